--- a/packages/crashes/src/CompletedRequests.ts
+++ b/packages/crashes/src/CompletedRequests.ts
@@ -1,34 +1,33 @@
-/**
- * The requests that ended well of late. Nothing is computed for them until a crash makes requests suspects: then those that are equal to
- * one that ended well are known to be sound.
- */
 import { digestRequest, type DigestedRequest } from "./digestRequest.js";
 
-/** Kept of each kind; a request that many callers send is among them. */
-const mostKept = 48;
-/** Larger bodies would make what is kept too large; requests with such bodies are seldom equal. */
-const largestBodyBytes = 8 * 1024;
+/** Number of requests kept of each kind; a request that many callers send is among them. */
+const maxPerKind = 48;
+/** Larger bodies would take too much memory, and requests with such bodies are rarely identical. */
+const maxBodyBytes = 8 * 1024;
 
-interface Completed {
+interface CompletedRequest {
   readonly asked: DigestedRequest;
   readonly atMs: number;
   digest?: string;
 }
 
-/** One for an instance. */
+/**
+ * Keeps recently completed requests of an instance. Their digests are computed only after a crash, to recognise suspects that are identical
+ * to a completed request and therefore harmless.
+ */
 export class CompletedRequests {
-  private readonly _byKind = new Map<string, Completed[]>();
+  private readonly _byKind = new Map<string, CompletedRequest[]>();
 
   /** @param kind - Requests of one kind don't displace those of another. */
   add(kind: string, asked: DigestedRequest, atMs: number): void {
-    if (asked.body.length > largestBodyBytes) return;
+    if (asked.body.length > maxBodyBytes) return;
     const kept = this._byKind.get(kind) ?? [];
     this._byKind.set(kind, kept);
     kept.push({ asked, atMs });
-    if (kept.length > mostKept) kept.shift();
+    if (kept.length > maxPerKind) kept.shift();
   }
 
-  /** When an equal request last ended well, by the digests given. */
+  /** Returns when a request with each of the given digests last completed. */
   find(digests: ReadonlySet<string>): Map<string, number> {
     const found = new Map<string, number>();
     for (const completed of [...this._byKind.values()].flat()) {
--- a/packages/crashes/src/CrashExchange.ts
+++ b/packages/crashes/src/CrashExchange.ts
@@ -1,40 +1,39 @@
-/** What instances tell each other of crashes. */
 import { NewsExchange, type NewsExchangeStructure } from "@shedtiller/membership";
-import { isAnythingTold, toldCrashesSchema, type ToldCrashes } from "./crashMessages.js";
+import { hasCrashReports, crashReportsMessageSchema, type CrashReportsMessage } from "./crashMessages.js";
 
 const crashTopic = "crashes";
 
-/** What an exchange works with. */
+/** Dependencies of {@link CrashReportBroadcast}. */
 export interface CrashExchangeStructure extends Pick<
-  NewsExchangeStructure<ToldCrashes>,
+  NewsExchangeStructure<CrashReportsMessage>,
   "membership" | "onInvalid" | "random"
 > {
-  /** Takes what a peer told; gives what of it was news. */
-  readonly take: (told: ToldCrashes) => ToldCrashes;
-  /** All that is known here. */
-  readonly tellAll: () => ToldCrashes;
+  /** Merges crash reports from a peer, and returns the parts that were new. */
+  readonly take: (reports: CrashReportsMessage) => CrashReportsMessage;
+  /** Returns all crash reports that this instance has. */
+  readonly tellAll: () => CrashReportsMessage;
 }
 
-/** One exchange an instance. */
+/** Exchanges crash reports with the other instances; one per instance. */
 export class CrashExchange {
-  private readonly _news: NewsExchange<ToldCrashes>;
+  private readonly _broadcast: NewsExchange<CrashReportsMessage>;
 
   constructor(structure: CrashExchangeStructure) {
-    this._news = new NewsExchange({
+    this._broadcast = new NewsExchange({
       ...structure,
       topic: crashTopic,
-      schema: toldCrashesSchema,
-      take: (told) => getAnything(structure.take(told)),
-      tellAll: () => getAnything(structure.tellAll()),
+      schema: crashReportsMessageSchema,
+      take: (reports) => toUndefinedIfEmpty(structure.take(reports)),
+      tellAll: () => toUndefinedIfEmpty(structure.tellAll()),
     });
   }
 
-  /** Tells what was found here. */
-  tell(news: ToldCrashes): void {
-    this._news.tell(news);
+  /** Broadcasts crash reports of this instance. */
+  tell(reports: CrashReportsMessage): void {
+    this._broadcast.tell(reports);
   }
 }
 
-function getAnything(told: ToldCrashes): ToldCrashes | undefined {
-  return isAnythingTold(told) ? told : undefined;
+function toUndefinedIfEmpty(reports: CrashReportsMessage): CrashReportsMessage | undefined {
+  return hasCrashReports(reports) ? reports : undefined;
 }
--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -1,97 +1,97 @@
-/**
- * Which requests crash the endpoints that run them. A crash takes all runs of its endpoint with it, so one crash says little of one request:
- * what counts is that a request was at its beginning in several crashes in a row, and that none of its runs outlived its beginning in
- * between. No network, no timers: instances merge what they see into ledgers of their own.
- */
 import {
-  mostToldSuspects,
-  type ToldClearing,
-  type ToldCrash,
-  type ToldCrashes,
-  type ToldHold,
-  type ToldTrial,
+  maxSuspectsPerCrash,
+  type ClearingMessage,
+  type CrashMessage,
+  type CrashReportsMessage,
+  type QuarantineMessage,
+  type TrialMessage,
 } from "./crashMessages.js";
 
-/** A request is held back once its crashes weigh this much. */
-export const heldFromWeight = 3;
+/** Weight of its crashes from which a request is quarantined. */
+export const quarantineWeight = 3;
 /**
- * Crashes of other endpoints around the same moment that the request had no part in: from this many on the crash may have a cause that
- * they share (a rack, a power supply, a cut), and weighs half. A request that does crash what it meets is then held after six.
+ * From this number of other endpoints that crashed at about the same time without running the request, the crash may have a common cause (a
+ * rack, a power supply, a network cut) and counts half. A request that does crash its endpoints is then quarantined after six crashes.
  */
-const crowdCrashes = 2;
-const crowdMs = 250;
-const crowdedFactor = 0.5;
+const coincidentCrashes = 2;
+const coincidenceMs = 250;
+const coincidenceFactor = 0.5;
 
 /**
- * A request of which a run outlived its beginning shortly before a crash weighs this much there: one that many callers send equal is at
- * its beginning in most crashes.
+ * Factor for the crashes of a request that survived its initial phase shortly before: where many callers send identical requests, one of
+ * them is in its initial phase at most crashes.
  */
-const knownSoundFactor = 0.25;
-const knownSoundMs = 60_000;
+const knownHarmlessFactor = 0.25;
+const knownHarmlessMs = 60_000;
 
 /**
- * The first time a request is held back for a moment only: where a request crashes every engine at once, sound ones that came with it have
- * as much against them, and are known apart by trials, one at a time.
+ * The first quarantine is short: where a request crashes every engine at once, harmless requests that arrived with it have as much evidence
+ * against them, and can only be told apart by trying them one at a time.
  */
-const firstHoldMs = 2_000;
-/** After a trial that crashed an endpoint again. */
-const laterHoldMs = 600_000;
-/** When a request may come back that another instance tries now. */
+const firstQuarantineMs = 2_000;
+/** Duration of a quarantine after a trial that crashed an endpoint again. */
+const laterQuarantineMs = 600_000;
+/** Time after which callers may retry a request that another instance is trying. */
 export const trialElsewhereMs = 5_000;
-/** A trial that led to nothing, since the request found no room, keeps others back for this long. */
-const trialMs = 3_000;
+/** A trial without a result, for example where the request found no capacity, keeps other instances from trying for this long. */
+const trialTimeoutMs = 3_000;
 /**
- * After a hold one instance after the other may try the request, each this much later: callers stay with one instance, and the first one
- * may get no such request. Whoever tries tells the others, which takes milliseconds.
+ * Interval at which one instance after another may try a request after its quarantine: callers stay with one instance, so that the first
+ * one may never receive the request. A trial is reported to the other instances within milliseconds.
  */
-const trialTurnMs = 250;
-/** What nobody has come back to for this long is forgotten. */
-export const memoryMs = 900_000;
-/** Bounds, whatever callers send; the oldest goes first. */
-const mostCrashes = 256;
-const mostCases = 1_024;
+const trialIntervalMs = 250;
+/** Crashes, clearings and quarantines that are older than this are forgotten. */
+export const crashRetentionMs = 900_000;
+/** Bounds on the memory, whatever callers send; the oldest entries are dropped first. */
+const maxCrashes = 256;
+const maxRequests = 1_024;
 
 interface Crash {
   readonly atMs: number;
   readonly suspects: Map<string, number>;
 }
 
-interface Hold {
-  /** Monotonic time of the newest trial after it. */
+interface Quarantine {
+  /** Monotonic time of the latest trial after the quarantine. */
   trialAtMs: number;
   readonly sinceMs: number;
   readonly untilMs: number;
   readonly times: number;
 }
 
-/** How a request stands: `due-for-trial` is one whose hold has ended without a run that cleared it. */
-export type Standing = "unknown" | "suspected" | "held" | "due-for-trial";
+/** Status of a request; `due-for-trial` is a request whose quarantine has ended without a run that cleared it. */
+export type RequestStatus = "unknown" | "suspected" | "held" | "due-for-trial";
 
-/** Told of each request that comes to be held, or is let go. */
-export type HoldListener = (digest: string, hold: ToldHold | undefined) => void;
+/** Called for each request that is quarantined (with the quarantine) or released (with undefined). */
+export type QuarantineListener = (digest: string, quarantine: QuarantineMessage | undefined) => void;
 
-/** One ledger an instance. All times are of the monotonic clock given. */
+/**
+ * Determines which requests crash the endpoints that run them; one per instance. A crash ends all runs of its endpoint, so that one crash
+ * says little about one request. Only consecutive crashes during the initial phase of a request count, as long as none of its runs survives
+ * the initial phase in between. Uses neither network nor timers: instances merge what they observe into ledgers of their own. All times are
+ * of the given monotonic clock.
+ */
 export class CrashLedger {
-  /** By the life of the endpoint that crashed; the oldest first. */
+  /** Keyed by the life of the crashed endpoint; the oldest come first. */
   private readonly _crashes = new Map<string, Crash>();
   private readonly _clearedAtMs = new Map<string, number>();
-  private readonly _holds = new Map<string, Hold>();
-  private readonly _listeners: HoldListener[] = [];
+  private readonly _quarantines = new Map<string, Quarantine>();
+  private readonly _listeners: QuarantineListener[] = [];
 
   constructor(private readonly _nowMs: () => number) {}
 
-  /** Whether nothing is known, so that no request need be looked up. */
+  /** Whether there are no crashes and no quarantines, so that requests need not be looked up. */
   get isEmpty(): boolean {
-    return this._crashes.size === 0 && this._holds.size === 0;
+    return this._crashes.size === 0 && this._quarantines.size === 0;
   }
 
-  /** Requests that are held back now. */
+  /** Number of requests that are quarantined now. */
   get heldCount(): number {
     const nowMs = this._nowMs();
-    return [...this._holds.values()].filter((hold) => nowMs < hold.untilMs).length;
+    return [...this._quarantines.values()].filter((quarantine) => nowMs < quarantine.untilMs).length;
   }
 
-  onHold(listener: HoldListener): void {
+  onHold(listener: QuarantineListener): void {
     this._listeners.push(listener);
   }
 
@@ -99,46 +99,48 @@
     return this._crashes.has(lifeId);
   }
 
-  getStanding(digest: string): Standing {
-    const hold = this._holds.get(digest);
-    if (hold !== undefined) return this._nowMs() < hold.untilMs ? "held" : "due-for-trial";
+  getStanding(digest: string): RequestStatus {
+    const quarantine = this._quarantines.get(digest);
+    if (quarantine !== undefined) return this._nowMs() < quarantine.untilMs ? "held" : "due-for-trial";
     return this.getWeight(digest) > 0 ? "suspected" : "unknown";
   }
 
-  /** Requests that have been held back, or are to be tried again, for a while. */
-  getHeldFor(durationMs: number): string[] {
+  /** Returns the requests that were quarantined at least this long ago and have not been cleared since. */
+  getQuarantinedFor(durationMs: number): string[] {
     const untilMs = this._nowMs() - durationMs;
-    return [...this._holds].flatMap(([digest, { sinceMs }]) => (sinceMs <= untilMs ? [digest] : []));
+    return [...this._quarantines].flatMap(([digest, { sinceMs }]) => (sinceMs <= untilMs ? [digest] : []));
   }
 
-  /** How often a request was held back; 0 where it was not, or was cleared since. */
-  getHoldTimes(digest: string): number {
-    return this._holds.get(digest)?.times ?? 0;
+  /** Returns how often a request was quarantined; 0 where it was not, or has been cleared since. */
+  getQuarantineCount(digest: string): number {
+    return this._quarantines.get(digest)?.times ?? 0;
   }
 
-  /** How long a request is still held back; 0 where it is not. */
+  /** Returns the remaining time of a quarantine; 0 where there is none. */
   getHoldLeftMs(digest: string): number {
-    return Math.max(0, (this._holds.get(digest)?.untilMs ?? 0) - this._nowMs());
+    return Math.max(0, (this._quarantines.get(digest)?.untilMs ?? 0) - this._nowMs());
   }
 
-  /** What the crashes weigh that speak against a request, since a run of it last outlived its beginning. */
+  /** Returns the weight of the crashes that count against a request since one of its runs last survived the initial phase. */
   getWeight(digest: string): number {
     let weight = 0;
     let countedAtMs = Number.NEGATIVE_INFINITY;
     for (const crash of this._crashes.values()) {
       const own = crash.suspects.get(digest);
       if (own === undefined) continue;
-      const isKnownSound = this._isKnownSound(digest, crash.atMs);
-      // Wherever many engines end at once, one that many callers send is at each of them.
-      if (isKnownSound && Math.abs(crash.atMs - countedAtMs) <= crowdMs) continue;
+      const isKnownHarmless = this._isKnownHarmless(digest, crash.atMs);
+      // Where many engines crash at once, a request that many callers send is running at each of them.
+      if (isKnownHarmless && Math.abs(crash.atMs - countedAtMs) <= coincidenceMs) continue;
       countedAtMs = crash.atMs;
       weight +=
-        own * (isKnownSound ? knownSoundFactor : 1) * (this._isCrowded(crash, digest) ? crowdedFactor : 1);
+        own *
+        (isKnownHarmless ? knownHarmlessFactor : 1) *
+        (this._isCoincident(crash, digest) ? coincidenceFactor : 1);
     }
     return weight;
   }
 
-  /** The life of the endpoint that a request crashed last. */
+  /** Returns the life of the endpoint that a request crashed last. */
   getNewestCrash(digest: string): string | undefined {
     let newest: string | undefined;
     let newestAtMs = Number.NEGATIVE_INFINITY;
@@ -151,84 +153,96 @@
   }
 
   /**
-   * Takes what is known of a crash, which several instances may see, each with requests of its own.
-   * @returns What of it was news; undefined if nothing was.
+   * Records a crash, which several instances may report, each with requests of its own.
+   * @returns The parts that were new; undefined if there were none.
    */
-  noteCrash(lifeId: string, atMs: number, suspects: ReadonlyMap<string, number>): ToldCrash | undefined {
-    this._forgetOld();
+  noteCrash(lifeId: string, atMs: number, suspects: ReadonlyMap<string, number>): CrashMessage | undefined {
+    this._removeExpired();
     const known = this._crashes.get(lifeId);
     const crash = known ?? { atMs, suspects: new Map<string, number>() };
-    const news = [...suspects]
+    const added = [...suspects]
       .sort(([, one], [, other]) => other - one)
       .filter(([digest, weight]) => this._addSuspect(crash, digest, weight));
     if (known === undefined) this._crashes.set(lifeId, crash);
-    for (const [digest] of news) this._holdIfDue(digest, crash.atMs);
-    keepNewest(this._crashes, mostCrashes);
-    if (known !== undefined && news.length === 0) return undefined;
-    return { lifeId, ageMs: this._getAgeMs(crash.atMs), suspects: news };
+    for (const [digest] of added) this._quarantineIfDue(digest, crash.atMs);
+    keepNewest(this._crashes, maxCrashes);
+    if (known !== undefined && added.length === 0) return undefined;
+    return { lifeId, ageMs: this._getAgeMs(crash.atMs), suspects: added };
   }
 
   /**
-   * Whether this instance may try a request after its hold, since it is its turn and nobody else does.
-   * @param rank - How many other instances come first.
+   * Returns whether this instance may try a request after its quarantine: its turn has come, and no other request is being tried.
+   * @param rank - Number of instances that come before this one.
    */
   mayTry(digest: string, rank: number): boolean {
-    const hold = this._holds.get(digest);
-    if (hold === undefined) return false;
-    // Two requests that are tried at once could crash together again.
-    if ([...this._holds.values()].some((other) => this._isOnTrial(other))) return false;
-    return this._nowMs() - hold.untilMs >= rank * trialTurnMs;
+    const quarantine = this._quarantines.get(digest);
+    if (quarantine === undefined) return false;
+    // Two requests that are tried at once could again crash an endpoint together.
+    if ([...this._quarantines.values()].some((other) => this._isOnTrial(other))) return false;
+    return this._nowMs() - quarantine.untilMs >= rank * trialIntervalMs;
   }
 
-  /** Notes that a request is tried after its hold; gives what is to be told, if that was news. */
-  noteTrial({ digest, ageMs }: ToldTrial): ToldTrial | undefined {
-    const hold = this._holds.get(digest);
+  /**
+   * Records that a request is being tried after its quarantine.
+   * @returns The trial, if it was new and is to be reported.
+   */
+  noteTrial({ digest, ageMs }: TrialMessage): TrialMessage | undefined {
+    const quarantine = this._quarantines.get(digest);
     const atMs = this._nowMs() - ageMs;
-    if (hold === undefined || this._isOnTrial(hold) || this._nowMs() < hold.untilMs) return undefined;
-    hold.trialAtMs = atMs;
+    if (quarantine === undefined || this._isOnTrial(quarantine) || this._nowMs() < quarantine.untilMs)
+      return undefined;
+    quarantine.trialAtMs = atMs;
     return { digest, ageMs };
   }
 
-  /** Remembers that a run of a request outlived its beginning at a time before it came under suspicion. */
-  noteSound(digest: string, atMs: number): ToldClearing | undefined {
+  /** Records that a run of a request survived its initial phase at the given time, which may precede the suspicion. */
+  noteHarmless(digest: string, atMs: number): ClearingMessage | undefined {
     if (this._isClearedSince(digest, atMs)) return undefined;
     return this._clear(digest, atMs);
   }
 
-  /** Notes that a run of a request outlived its beginning; gives what is to be told, where anything spoke against the request. */
-  noteOutlived(digest: string, atMs: number): ToldClearing | undefined {
-    const isNews = this._holds.has(digest) || this._hasSuspect(digest);
-    return isNews ? this.noteSound(digest, atMs) : undefined;
+  /**
+   * Records that a run of a request survived its initial phase.
+   * @returns The clearing, if there was evidence against the request.
+   */
+  noteOutlived(digest: string, atMs: number): ClearingMessage | undefined {
+    const isNews = this._quarantines.has(digest) || this._hasSuspect(digest);
+    return isNews ? this.noteHarmless(digest, atMs) : undefined;
   }
 
-  private _clear(digest: string, atMs: number): ToldClearing {
+  private _clear(digest: string, atMs: number): ClearingMessage {
     this._clearedAtMs.delete(digest);
     this._clearedAtMs.set(digest, atMs);
-    keepNewest(this._clearedAtMs, mostCases);
+    keepNewest(this._clearedAtMs, maxRequests);
     for (const crash of this._crashes.values()) if (crash.atMs <= atMs) crash.suspects.delete(digest);
-    const hold = this._holds.get(digest);
-    if (hold !== undefined && hold.sinceMs <= atMs) this._release(digest);
+    const quarantine = this._quarantines.get(digest);
+    if (quarantine !== undefined && quarantine.sinceMs <= atMs) this._release(digest);
     return { digest, ageMs: this._getAgeMs(atMs) };
   }
 
-  /** Lets a request go by an operator's word. */
-  release(digest: string): ToldClearing | undefined {
+  /** Releases a request on behalf of an operator. */
+  release(digest: string): ClearingMessage | undefined {
     return this.noteOutlived(digest, this._nowMs());
   }
 
-  /** Takes a hold that a peer or the store knows. */
-  noteHold({ digest, ageMs, leftMs, times }: ToldHold): ToldHold | undefined {
+  /** Applies a quarantine that a peer or the store reports. */
+  noteQuarantine({ digest, ageMs, leftMs, times }: QuarantineMessage): QuarantineMessage | undefined {
     const nowMs = this._nowMs();
     const sinceMs = nowMs - ageMs;
-    if (this._isClearedSince(digest, sinceMs) || (this._holds.get(digest)?.times ?? 0) >= times)
+    if (this._isClearedSince(digest, sinceMs) || (this._quarantines.get(digest)?.times ?? 0) >= times)
       return undefined;
-    this._setHold(digest, { sinceMs, untilMs: nowMs + leftMs, times, trialAtMs: Number.NEGATIVE_INFINITY });
+    this._setQuarantine(digest, {
+      sinceMs,
+      untilMs: nowMs + leftMs,
+      times,
+      trialAtMs: Number.NEGATIVE_INFINITY,
+    });
     return { digest, ageMs, leftMs, times };
   }
 
-  /** All that is known, for an instance that knows nothing yet. */
-  tellAll(): ToldCrashes {
-    this._forgetOld();
+  /** Returns all crash reports of the ledger, for an instance that has none yet. */
+  tellAll(): CrashReportsMessage {
+    this._removeExpired();
     return {
       crashes: [...this._crashes].map(([lifeId, { atMs, suspects }]) => ({
         lifeId,
@@ -236,72 +250,79 @@
         suspects: [...suspects],
       })),
       clearings: [...this._clearedAtMs].map(([digest, atMs]) => ({ digest, ageMs: this._getAgeMs(atMs) })),
-      holds: [...this._holds].map(([digest, hold]) => this._toTold(digest, hold)),
+      holds: [...this._quarantines].map(([digest, quarantine]) => this._toMessage(digest, quarantine)),
       trials: [],
     };
   }
 
-  /** Takes what a peer told; gives what of it was news. */
-  take(told: ToldCrashes): ToldCrashes {
+  /** Merges crash reports from a peer, and returns the parts that were new. */
+  take(reports: CrashReportsMessage): CrashReportsMessage {
     const nowMs = this._nowMs();
-    // A hold that is known already is not begun anew by the crashes that led to it.
+    // Quarantines come before crashes, so that the crashes that led to a known quarantine do not start another one.
     return {
-      clearings: told.clearings.flatMap(({ digest, ageMs }) => this.noteSound(digest, nowMs - ageMs) ?? []),
-      holds: told.holds.flatMap((hold) => this.noteHold(hold) ?? []),
-      trials: told.trials.flatMap((trial) => this.noteTrial(trial) ?? []),
-      crashes: told.crashes.flatMap(
+      clearings: reports.clearings.flatMap(
+        ({ digest, ageMs }) => this.noteHarmless(digest, nowMs - ageMs) ?? [],
+      ),
+      holds: reports.holds.flatMap((quarantine) => this.noteQuarantine(quarantine) ?? []),
+      trials: reports.trials.flatMap((trial) => this.noteTrial(trial) ?? []),
+      crashes: reports.crashes.flatMap(
         ({ lifeId, ageMs, suspects }) => this.noteCrash(lifeId, nowMs - ageMs, new Map(suspects)) ?? [],
       ),
     };
   }
 
-  /** Tells whether it was news. Beyond the most that one crash may have, the first ones stay. */
+  /** Adds a suspect and returns whether it was new. Once the maximum number of suspects of a crash is reached, further ones are ignored. */
   private _addSuspect({ atMs, suspects }: Crash, digest: string, weight: number): boolean {
     const known = suspects.get(digest);
-    if (known !== undefined ? known >= weight : suspects.size >= mostToldSuspects) return false;
+    if (known !== undefined ? known >= weight : suspects.size >= maxSuspectsPerCrash) return false;
     if (this._isClearedSince(digest, atMs)) return false;
     suspects.set(digest, weight);
     return true;
   }
 
-  /** A crash after the end of a hold is that of a trial: the request is held back again, for longer. */
-  private _holdIfDue(digest: string, crashedAtMs: number): void {
+  /**
+   * Quarantines a request that has enough evidence against it. A crash after the end of a quarantine is that of a trial, and leads to a
+   * longer quarantine.
+   */
+  private _quarantineIfDue(digest: string, crashedAtMs: number): void {
     const nowMs = this._nowMs();
-    const before = this._holds.get(digest);
+    const before = this._quarantines.get(digest);
     if (before !== undefined && nowMs < before.untilMs) return;
-    if (before === undefined ? this.getWeight(digest) < heldFromWeight : crashedAtMs <= before.sinceMs)
+    if (before === undefined ? this.getWeight(digest) < quarantineWeight : crashedAtMs <= before.sinceMs)
       return;
     const times = (before?.times ?? 0) + 1;
-    const untilMs = nowMs + (times === 1 ? firstHoldMs : laterHoldMs);
-    this._setHold(digest, { sinceMs: nowMs, untilMs, times, trialAtMs: Number.NEGATIVE_INFINITY });
+    const untilMs = nowMs + (times === 1 ? firstQuarantineMs : laterQuarantineMs);
+    this._setQuarantine(digest, { sinceMs: nowMs, untilMs, times, trialAtMs: Number.NEGATIVE_INFINITY });
   }
 
-  private _isOnTrial({ trialAtMs }: Hold): boolean {
-    return this._nowMs() - trialAtMs < trialMs;
+  private _isOnTrial({ trialAtMs }: Quarantine): boolean {
+    return this._nowMs() - trialAtMs < trialTimeoutMs;
   }
 
-  private _setHold(digest: string, hold: Hold): void {
-    this._holds.delete(digest);
-    this._holds.set(digest, hold);
-    keepNewest(this._holds, mostCases);
-    for (const listener of this._listeners) listener(digest, this._toTold(digest, hold));
+  private _setQuarantine(digest: string, quarantine: Quarantine): void {
+    this._quarantines.delete(digest);
+    this._quarantines.set(digest, quarantine);
+    keepNewest(this._quarantines, maxRequests);
+    for (const listener of this._listeners) listener(digest, this._toMessage(digest, quarantine));
   }
 
   private _release(digest: string): void {
-    this._holds.delete(digest);
+    this._quarantines.delete(digest);
     for (const listener of this._listeners) listener(digest, undefined);
   }
 
-  private _isKnownSound(digest: string, atMs: number): boolean {
-    const soundAtMs = this._clearedAtMs.get(digest);
-    return soundAtMs !== undefined && atMs - soundAtMs < knownSoundMs;
+  private _isKnownHarmless(digest: string, atMs: number): boolean {
+    const harmlessAtMs = this._clearedAtMs.get(digest);
+    return harmlessAtMs !== undefined && atMs - harmlessAtMs < knownHarmlessMs;
   }
 
-  /** Whether a crash has a cause that others share; a request that is at most of them is itself what they share. */
-  private _isCrowded(crash: Crash, digest: string): boolean {
-    const crowd = [...this._crashes.values()].filter(({ atMs }) => Math.abs(atMs - crash.atMs) <= crowdMs);
-    const others = crowd.filter(({ suspects }) => !suspects.has(digest)).length;
-    return others >= crowdCrashes && others >= crowd.length - others;
+  /** Returns whether a crash probably has a common cause with others. A request that was running at most of them is itself that cause. */
+  private _isCoincident(crash: Crash, digest: string): boolean {
+    const coincident = [...this._crashes.values()].filter(
+      ({ atMs }) => Math.abs(atMs - crash.atMs) <= coincidenceMs,
+    );
+    const others = coincident.filter(({ suspects }) => !suspects.has(digest)).length;
+    return others >= coincidentCrashes && others >= coincident.length - others;
   }
 
   private _hasSuspect(digest: string): boolean {
@@ -313,14 +334,14 @@
     return (this._clearedAtMs.get(digest) ?? Number.NEGATIVE_INFINITY) >= atMs;
   }
 
-  private _forgetOld(): void {
-    const oldestMs = this._nowMs() - memoryMs;
+  private _removeExpired(): void {
+    const oldestMs = this._nowMs() - crashRetentionMs;
     for (const [lifeId, { atMs }] of this._crashes) if (atMs < oldestMs) this._crashes.delete(lifeId);
     for (const [digest, atMs] of this._clearedAtMs) if (atMs < oldestMs) this._clearedAtMs.delete(digest);
-    for (const [digest, { untilMs }] of this._holds) if (untilMs < oldestMs) this._release(digest);
+    for (const [digest, { untilMs }] of this._quarantines) if (untilMs < oldestMs) this._release(digest);
   }
 
-  private _toTold(digest: string, { sinceMs, untilMs, times }: Hold): ToldHold {
+  private _toMessage(digest: string, { sinceMs, untilMs, times }: Quarantine): QuarantineMessage {
     return { digest, ageMs: this._getAgeMs(sinceMs), leftMs: untilMs - this._nowMs(), times };
   }
 
@@ -329,7 +350,7 @@
   }
 }
 
-/** Drops the oldest entries of a map beyond a number. */
+/** Removes the oldest entries of a map beyond a maximum size. */
 function keepNewest(map: Map<string, unknown>, most: number): void {
   for (const key of map.keys()) {
     if (map.size <= most) return;
--- a/packages/crashes/src/crashMessages.ts
+++ b/packages/crashes/src/crashMessages.ts
@@ -1,52 +1,55 @@
-/** What instances tell each other of crashes and of the requests under suspicion. Times are ages, since clocks differ. */
+/**
+ * Messages between instances about crashes and suspected requests. They contain ages rather than times, since the clocks of instances
+ * differ.
+ */
 import * as zod from "zod";
 
 const age = zod.number().nonnegative();
 const digest = zod.string().min(1).max(64);
 
-/** Requests under suspicion at one crash are told up to this many. */
-export const mostToldSuspects = 64;
-const mostToldItems = 2_048;
+/** Maximum number of suspects that are reported for one crash. */
+export const maxSuspectsPerCrash = 64;
+const maxItems = 2_048;
 
-/** A crash of an endpoint's process, and the requests whose runs there had shown no sign of outliving their beginning. */
-export const toldCrashSchema = zod.object({
+/** A crash of an endpoint's process, and the requests whose runs there had not survived their initial phase. */
+export const crashMessageSchema = zod.object({
   lifeId: zod.string().min(1).max(256),
   ageMs: age,
   /** Digests, each with the weight of the evidence. */
-  suspects: zod.array(zod.tuple([digest, zod.number().positive().max(1)])).max(mostToldSuspects),
+  suspects: zod.array(zod.tuple([digest, zod.number().positive().max(1)])).max(maxSuspectsPerCrash),
 });
-export type ToldCrash = zod.infer<typeof toldCrashSchema>;
+export type CrashMessage = zod.infer<typeof crashMessageSchema>;
 
-/** A request whose run outlived its beginning: crashes before that were not its doing. */
-export const toldClearingSchema = zod.object({ digest, ageMs: age });
-export type ToldClearing = zod.infer<typeof toldClearingSchema>;
+/** A request of which a run survived its initial phase: it did not cause earlier crashes. */
+export const clearingMessageSchema = zod.object({ digest, ageMs: age });
+export type ClearingMessage = zod.infer<typeof clearingMessageSchema>;
 
-/** A request whose hold has ended, and which the sender tries now. */
-export const toldTrialSchema = zod.object({ digest, ageMs: age });
-export type ToldTrial = zod.infer<typeof toldTrialSchema>;
+/** A request whose quarantine has ended and which the sender is trying now. */
+export const trialMessageSchema = zod.object({ digest, ageMs: age });
+export type TrialMessage = zod.infer<typeof trialMessageSchema>;
 
-/** A request that is held back. */
-export const toldHoldSchema = zod.object({
+/** A quarantined request. */
+export const quarantineMessageSchema = zod.object({
   digest,
   ageMs: age,
   leftMs: zod.number(),
-  /** How often it was held back, this time included. */
+  /** How often the request was quarantined, including this time. */
   times: zod.number().int().positive(),
 });
-export type ToldHold = zod.infer<typeof toldHoldSchema>;
+export type QuarantineMessage = zod.infer<typeof quarantineMessageSchema>;
 
-export const toldCrashesSchema = zod.object({
-  crashes: zod.array(toldCrashSchema).max(mostToldItems),
-  clearings: zod.array(toldClearingSchema).max(mostToldItems),
-  holds: zod.array(toldHoldSchema).max(mostToldItems),
-  trials: zod.array(toldTrialSchema).max(mostToldItems),
+export const crashReportsMessageSchema = zod.object({
+  crashes: zod.array(crashMessageSchema).max(maxItems),
+  clearings: zod.array(clearingMessageSchema).max(maxItems),
+  holds: zod.array(quarantineMessageSchema).max(maxItems),
+  trials: zod.array(trialMessageSchema).max(maxItems),
 });
-export type ToldCrashes = zod.infer<typeof toldCrashesSchema>;
+export type CrashReportsMessage = zod.infer<typeof crashReportsMessageSchema>;
 
-/** Nothing to tell. */
-export const nothingTold: ToldCrashes = { crashes: [], clearings: [], holds: [], trials: [] };
+/** An empty message. */
+export const nothingTold: CrashReportsMessage = { crashes: [], clearings: [], holds: [], trials: [] };
 
-/** Whether there is anything in it. */
-export function isAnythingTold({ crashes, clearings, holds, trials }: ToldCrashes): boolean {
+/** Returns whether a message contains any report. */
+export function hasCrashReports({ crashes, clearings, holds, trials }: CrashReportsMessage): boolean {
   return crashes.length + clearings.length + holds.length + trials.length > 0;
 }
--- a/packages/crashes/src/digestRequest.ts
+++ b/packages/crashes/src/digestRequest.ts
@@ -1,22 +1,21 @@
-/** Names a request by what it asks, so that an equal one is known again under another id and at another instance. */
 import * as crypto from "node:crypto";
 
-/** What makes two requests the same to the endpoints that run them. */
+/** The properties that make two requests identical to the endpoints that run them. */
 export interface DigestedRequest {
   readonly method: string;
   /** Path with query. */
   readonly path: string;
-  /** The client account; its keys may change between two requests. */
+  /** Name of the client account, rather than its key, which may change between two requests. */
   readonly accountName: string | undefined;
   readonly body: Buffer;
 }
 
-/** 128 bits: enough for no two requests to meet by chance, and half the bytes of the whole hash in messages. */
+/** 128 bits in base64url: enough to rule out collisions by chance, at half the bytes of the whole hash in messages. */
 const digestLength = 22;
 
 /**
- * Gives the digest of a request. Host and route are left out: endpoints see neither route nor service, and a caller that comes back over
- * another name of the same place asks the same.
+ * Returns the digest of a request, by which an identical request is recognised under another id and at another instance. Host and route are
+ * left out: endpoints see neither route nor service, and a caller that uses another name of the same service sends the same request.
  */
 export function digestRequest({ method, path, accountName, body }: DigestedRequest): string {
   const hash = crypto.createHash("sha256");
--- a/packages/crashes/src/getTrialRank.ts
+++ b/packages/crashes/src/getTrialRank.ts
@@ -1,7 +1,9 @@
-/** The order in which instances may try a request after its hold. */
 import { utils } from "@shedtiller/common";
 
-/** Gives how many others come first: the same order at each instance, also where some are cut off, and another one for each request. */
+/**
+ * Returns how many other instances may try a request before this one after its quarantine. Every instance computes the same order, even
+ * where some are cut off, and each request has an order of its own.
+ */
 export function getTrialRank(digest: string, ownName: string, names: readonly string[]): number {
   const getPlace = (name: string): number => utils.hash32(`${digest}\u0000${name}`);
   const own = getPlace(ownName);
--- a/packages/crashes/src/probeConnection.ts
+++ b/packages/crashes/src/probeConnection.ts
@@ -1,10 +1,12 @@
-/** Whether anything listens at an address: an endpoint that crashed refuses connections at once, one that only cut a connection does not. */
 import * as net from "node:net";
 
-/** What an attempt to connect showed; nothing, where no answer came in time or the way there is cut. */
+/** Result of a connection attempt; `nothing` where no answer came in time or the address could not be reached. */
 export type ProbeResult = "open" | "refused" | "nothing";
 
-/** Tries to connect, and closes at once. */
+/**
+ * Checks whether a process listens at an address by connecting and closing at once: an endpoint that crashed refuses connections
+ * immediately, one that only closed a connection does not.
+ */
 export function probeConnection(address: string, timeoutMs: number): Promise<ProbeResult> {
   const [host = "", port = ""] = address.split(":");
   return new Promise((resolve) => {
--- a/packages/crashes/src/tests/CrashExchangeTests.ts
+++ b/packages/crashes/src/tests/CrashExchangeTests.ts
@@ -3,7 +3,7 @@
 import type { Member, NoticeHandler, PeerIdentity } from "@shedtiller/membership";
 import { CrashExchange } from "../CrashExchange.js";
 import { CrashLedger } from "../CrashLedger.js";
-import { nothingTold, type ToldCrashes } from "../crashMessages.js";
+import { nothingTold, type CrashReportsMessage } from "../crashMessages.js";
 
 const self = { name: "a1", availabilityZone: "a" };
 const peers: readonly PeerIdentity[] = ["a2", "a3", "b1", "b2", "b3", "b4"].map((name) => ({
@@ -49,7 +49,7 @@
   return { exchange, ledger, told, invalid, receive, linked };
 }
 
-const news: ToldCrashes = {
+const news: CrashReportsMessage = {
   ...nothingTold,
   crashes: [{ lifeId: "i-1", ageMs: 5, suspects: [["d", 1]] }],
 };
--- a/packages/crashes/src/tests/CrashLedgerTests.ts
+++ b/packages/crashes/src/tests/CrashLedgerTests.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { CrashLedger } from "../CrashLedger.js";
-import { mostToldSuspects, nothingTold } from "../crashMessages.js";
+import { maxSuspectsPerCrash, nothingTold } from "../crashMessages.js";
 
 function create() {
   const clock = { nowMs: 1_000_000 };
@@ -121,7 +121,7 @@
   }
   const told = ledger.tellAll();
   t.true(told.crashes.length <= 256);
-  t.true(told.crashes.every((crash) => crash.suspects.length <= mostToldSuspects));
+  t.true(told.crashes.every((crash) => crash.suspects.length <= maxSuspectsPerCrash));
   t.is(ledger.getStanding("crashing"), "held", "the strongest evidence is kept");
 });
 
--- a/packages/gateway/src/crashes/CrashGuard.ts
+++ b/packages/gateway/src/crashes/CrashGuard.ts
@@ -1,4 +1,3 @@
-/** Wires the parts that find requests which crash endpoints, tell the peers, and keep what must outlast all instances. */
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import { notePeerMessageInvalid } from "../peers/notePeerMessageInvalid.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
@@ -7,13 +6,13 @@
   getTrialRank,
   nothingTold,
   type CrashExchangeStructure,
-  type ToldHold,
+  type QuarantineMessage,
 } from "@shedtiller/crashes";
 import { CrashWatch, type CrashWatchStructure } from "./CrashWatch.js";
 import type { HeldRequestStore } from "./HeldRequestStore.js";
-import { HoldKeeper } from "./HoldKeeper.js";
+import { QuarantineReconciler } from "./QuarantineReconciler.js";
 
-/** What a guard is made of. */
+/** Dependencies of {@link CrashQuarantine}. */
 export interface CrashGuardStructure extends Pick<
   CrashWatchStructure,
   "probe" | "count" | "onCrash" | "nowMs" | "pause"
@@ -24,51 +23,54 @@
   readonly log: DecisionLog;
   /** Whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
-  /** Names of all instances that are known, this one included, whether or not they are reached. */
+  /** Returns the names of all known instances, including this one, whether or not they can be reached. */
   readonly getInstanceNames: () => readonly string[];
 }
 
-/** One guard an instance. */
+/**
+ * Connects the parts that quarantine requests which crash endpoints: detection, reports to the peers, and the store in which quarantines
+ * outlast a restart of all instances. One per instance.
+ */
 export class CrashGuard {
   readonly watch: CrashWatch;
   private readonly _exchange: CrashExchange;
-  private readonly _keeper: HoldKeeper;
+  private readonly _reconciler: QuarantineReconciler;
 
   constructor(private readonly _structure: CrashGuardStructure) {
     const { membership, log, store, isReader } = _structure;
     this.watch = new CrashWatch({
       ..._structure,
-      tell: (news) => this._exchange.tell(news),
+      tell: (added) => this._exchange.tell(added),
       getTrialRank: (digest) => getTrialRank(digest, membership.self.name, _structure.getInstanceNames()),
-      keep: (digest, hold) => this._keeper.keep(digest, hold),
+      keep: (digest, quarantine) => this._reconciler.persist(digest, quarantine),
     });
     this._exchange = new CrashExchange({
       membership,
       onInvalid: (topic, from) => notePeerMessageInvalid(log, topic, from),
-      take: (told) => this.watch.take(told),
+      take: (reports) => this.watch.take(reports),
       tellAll: () => this.watch.ledger.tellAll(),
     });
-    this._keeper = new HoldKeeper({
+    this._reconciler = new QuarantineReconciler({
       store,
       log,
       isReader,
-      take: (holds) => this._takeRead(holds),
-      getHeldFor: (durationMs) => this.watch.ledger.getHeldFor(durationMs),
+      merge: (holds) => this._mergeStored(holds),
+      getQuarantinedFor: (durationMs) => this.watch.ledger.getQuarantinedFor(durationMs),
       release: (digest) => this.watch.release(digest),
     });
   }
 
   run(signal: AbortSignal): Promise<void> {
-    return this._keeper.run(signal);
+    return this._reconciler.run(signal);
   }
 
-  /** Lets go what an operator has dropped from the store; resolves once it was read, or could not be. */
+  /** Releases requests whose quarantine an operator has removed from the store; resolves once the store was read or could not be read. */
   compareWithStore(): Promise<void> {
-    return this._keeper.compare();
+    return this._reconciler.reconcile();
   }
 
-  private _takeRead(holds: readonly ToldHold[]): void {
-    const news = this.watch.take({ ...nothingTold, holds: [...holds] });
-    if (news.holds.length > 0) this._exchange.tell(news);
+  private _mergeStored(holds: readonly QuarantineMessage[]): void {
+    const added = this.watch.take({ ...nothingTold, holds: [...holds] });
+    if (added.holds.length > 0) this._exchange.tell(added);
   }
 }
--- a/packages/gateway/src/crashes/CrashWatch.ts
+++ b/packages/gateway/src/crashes/CrashWatch.ts
@@ -1,16 +1,12 @@
-/**
- * Finds the requests that crash endpoints, and holds them back. A run that loses its connection before it has shown that it outlives its
- * beginning makes its request a suspect, if the endpoint turns out to have crashed.
- */
 import { utils } from "@shedtiller/common";
 import {
   CompletedRequests,
   CrashLedger,
-  heldFromWeight,
+  quarantineWeight,
   trialElsewhereMs,
   nothingTold,
-  type ToldCrashes,
-  type ToldHold,
+  type CrashReportsMessage,
+  type QuarantineMessage,
   type DigestedRequest,
   type ProbeResult,
 } from "@shedtiller/crashes";
@@ -18,69 +14,77 @@
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 
-/** A run that goes on for this long after its first event has outlived its beginning. */
-export const beginningMs = 250;
-/** A run that the endpoint had not shown to have begun says half as much: it may have waited there. */
-const unbegunWeight = 0.5;
-/** An endpoint on a live machine refuses or takes a connection within milliseconds. */
+/** A run that continues for this long after its first event has survived its initial phase. */
+export const initialPhaseMs = 250;
+/** Weight of the evidence where the endpoint had not shown that the run had begun: the request may merely have waited there. */
+const notStartedWeight = 0.5;
+/** Timeout of a probe: an endpoint on a live machine accepts or refuses a connection within milliseconds. */
 const probeTimeoutMs = 300;
-/** Without an answer to the probe the endpoint's entry or its next start tells, within three heartbeats and a read. */
-const undecidedMs = 6_000;
-/** While another run of a suspect is at its beginning here, the next one waits for what becomes of it, this long at most. */
-const longestTurnMs = 600;
-/** Runs that are lost together are often sent on together, so that two crashes may still be chance; a third one should not cost a zone its service. */
+/**
+ * How long a crash may remain undecided where the probe got no answer: three heartbeats and a read of the list, in which the endpoint's
+ * entry disappears or shows a new start.
+ */
+const decisionTimeoutMs = 6_000;
+/**
+ * Maximum time for which a suspect waits until another run of the same request has survived its initial phase at this instance or ended.
+ */
+const maxTurnWaitMs = 600;
+/**
+ * Weight from which a request counts as a high risk. Requests that fail together are often retried together, so that two crashes may still
+ * be coincidence; a third one should not cost a zone its service.
+ */
 const highRiskWeight = 2;
-const turnPollMs = 10;
+const turnPollIntervalMs = 10;
 
-/** One run of a request, as long as it is in hand. */
+/** A run of a request that is in flight. */
 export interface WatchedRun {
   readonly request: { readonly digest: string };
-  /** The endpoint that it was sent to. */
+  /** The endpoint that the run was sent to. */
   readonly endpointId: string;
-  /** Whether the endpoint showed that it runs it. */
+  /** Whether the endpoint has shown that it runs the request. */
   readonly hasBegun: boolean;
-  /** Monotonic time of its first event; undefined before it. */
+  /** Monotonic time of the first event; undefined before that event. */
   readonly firstEventAtMs: number | undefined;
 }
 
-/** How likely a request is to crash the engine that it begins at. */
+/** How likely a request is to crash the engine that its chain begins with. */
 export type CrashRisk = "none" | "some" | "high";
 
-/** What the watch works with. */
+/** Dependencies of {@link CrashDetector}. */
 export interface CrashWatchStructure {
   readonly endpoints: Pick<EndpointTable, "get" | "onChanged">;
   readonly log: DecisionLog;
   readonly probe: (address: string, timeoutMs: number) => Promise<ProbeResult>;
-  /** Tells the peers. */
-  readonly tell: (news: ToldCrashes) => void;
-  /** How many other instances may try a request before this one after its hold. */
+  /** Broadcasts crash reports to the peers. */
+  readonly tell: (reports: CrashReportsMessage) => void;
+  /** Returns how many other instances may try a request before this one once its quarantine has ended. */
   readonly getTrialRank: (digest: string) => number;
   readonly count?: (what: "crash" | "held-back") => void;
-  /** Told of each endpoint that turned out to have crashed. */
+  /** Called for each endpoint that has turned out to have crashed. */
   readonly onCrash?: ((endpoint: Endpoint) => void) | undefined;
-  /** Keeps a hold beyond the end of all instances; undefined drops it. */
-  readonly keep?: (digest: string, hold: ToldHold | undefined) => void;
+  /** Stores a quarantine so that it outlasts a restart of all instances; undefined removes it. */
+  readonly keep?: (digest: string, quarantine: QuarantineMessage | undefined) => void;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: () => number;
   /** Waits, replaced in tests. */
   readonly pause?: (durationMs: number) => Promise<void>;
 }
 
-interface AskedRequest {
+interface IdentifiedRequest {
   readonly digest: string;
   readonly asked: DigestedRequest;
 }
 
-/** A run that ended well, until its endpoint has outlived it. */
-interface EndedRun {
+/** A run that completed, until its endpoint has been seen alive afterwards. */
+interface CompletedRun {
   readonly kind: string;
-  readonly request: AskedRequest;
+  readonly request: IdentifiedRequest;
   readonly endpoint: Endpoint;
   readonly endedAtMs: number;
 }
 
-/** An endpoint that cut connections, until it is known whether it crashed. */
-interface OpenCase {
+/** The investigation of an endpoint that closed connections, until it is known whether the endpoint crashed. */
+interface Investigation {
   readonly endpoint: Endpoint;
   readonly lifeId: string;
   readonly atMs: number;
@@ -88,14 +92,17 @@
   readonly decided: Promise<void>;
 }
 
-/** One watch an instance. */
+/**
+ * Detects requests that crash endpoints, and quarantines them. A run whose connection is lost before the end of its initial phase makes its
+ * request a suspect if the endpoint turns out to have crashed. One per instance.
+ */
 export class CrashWatch {
   readonly ledger: CrashLedger;
   private readonly _runs = new Set<WatchedRun>();
-  private readonly _open = new Map<string, OpenCase>();
-  /** Lives of endpoints whose crash this instance found. */
-  private readonly _foundHere = new Set<string>();
-  private readonly _ended = new Set<EndedRun>();
+  private readonly _investigations = new Map<string, Investigation>();
+  /** Lives of endpoints whose crash this instance detected. */
+  private readonly _detectedHere = new Set<string>();
+  private readonly _completedRuns = new Set<CompletedRun>();
   private readonly _completed = new CompletedRequests();
   private readonly _nowMs: () => number;
   private readonly _pause: (durationMs: number) => Promise<void>;
@@ -104,18 +111,18 @@
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
     this._pause = _structure.pause ?? utils.sleep;
     this.ledger = new CrashLedger(this._nowMs);
-    this.ledger.onHold((digest, hold) => this._noteHold(digest, hold));
+    this.ledger.onHold((digest, quarantine) => this._noteQuarantine(digest, quarantine));
     _structure.endpoints.onChanged((endpoint, event) => {
       if (event === "gone" || event === "restarted") this._endLife(endpoint);
     });
   }
 
-  /** Whether no request need be looked up. */
+  /** Whether there is no suspicion and no quarantine, so that requests need not be looked up. */
   get isQuiet(): boolean {
-    return this.ledger.isEmpty && this._open.size === 0;
+    return this.ledger.isEmpty && this._investigations.size === 0;
   }
 
-  /** Notes that a run is sent now. */
+  /** Records that a run is being sent. */
   begin(run: WatchedRun): void {
     this._runs.add(run);
     if (this.isQuiet || this.ledger.getStanding(run.request.digest) !== "due-for-trial") return;
@@ -123,71 +130,71 @@
     if (trial !== undefined) this._structure.tell({ ...nothingTold, trials: [trial] });
   }
 
-  /** Notes that a run is over. */
+  /** Records that a run is over. */
   end(run: WatchedRun): void {
     this._runs.delete(run);
   }
 
-  /** Lets a request go by an operator's word, here and at all peers. */
+  /** Releases a request on behalf of an operator, here and at all peers. */
   release(digest: string): void {
     const cleared = this.ledger.release(digest);
     if (cleared !== undefined) this._structure.tell({ ...nothingTold, clearings: [cleared] });
   }
 
   /**
-   * Notes that an endpoint ran a request to a good end. It says something of the request once the endpoint has outlived it for as long as
-   * a beginning lasts: a short run, or one that went on near the end of its stream, may end before its endpoint crashes.
+   * Records that an endpoint completed a run. A run that survived its initial phase clears its request at once. A shorter run may end just
+   * before its endpoint crashes, and clears its request only if the endpoint is still alive after the length of an initial phase.
    */
-  noteCompleted(kind: string, request: AskedRequest, run: WatchedRun, endpoint: Endpoint): void {
-    const ended: EndedRun = { kind, request, endpoint, endedAtMs: this._nowMs() };
-    if (this._hasOutlived(run)) return this._noteSoundEnd(ended);
-    this._ended.add(ended);
-    void this._pause(beginningMs).then(() => this._settle(ended));
+  noteCompleted(kind: string, request: IdentifiedRequest, run: WatchedRun, endpoint: Endpoint): void {
+    const completed: CompletedRun = { kind, request, endpoint, endedAtMs: this._nowMs() };
+    if (this._hasSurvived(run)) return this._noteHarmless(completed);
+    this._completedRuns.add(completed);
+    void this._pause(initialPhaseMs).then(() => this._settle(completed));
   }
 
-  /** Notes that a run of a request outlived its beginning. */
+  /** Records that a run of a request survived its initial phase. */
   noteOutlived(request: { readonly digest: string }): void {
     if (this.isQuiet) return;
     const { digest } = request;
-    for (const open of this._open.values()) open.suspects.delete(digest);
-    const wasHeld = this.ledger.getHoldTimes(digest) > 0;
+    for (const investigation of this._investigations.values()) investigation.suspects.delete(digest);
+    const wasQuarantined = this.ledger.getQuarantineCount(digest) > 0;
     const cleared = this.ledger.noteOutlived(digest, this._nowMs());
     if (cleared === undefined) return;
     this._structure.tell({ ...nothingTold, clearings: [cleared] });
-    if (wasHeld) this._structure.keep?.(digest, undefined);
+    if (wasQuarantined) this._structure.keep?.(digest, undefined);
   }
 
   /**
-   * Notes that the endpoint ended the connection of a run; resolves once it is known whether it crashed.
-   * @param endpoint - The one that ended, which may be another one of the chain than the first.
+   * Records that an endpoint closed the connection of a run; resolves once it is known whether the endpoint crashed.
+   * @param endpoint - The endpoint that closed the connection, which may be another one of the chain than the first.
    */
   async noteLost(run: WatchedRun, endpoint: Endpoint): Promise<void> {
-    if (this._hasOutlived(run)) return this.noteOutlived(run.request);
-    // An endpoint that leaves as planned ends what it still has.
+    if (this._hasSurvived(run)) return this.noteOutlived(run.request);
+    // An endpoint that stops as planned closes its remaining connections.
     const listed = this._structure.endpoints.get(endpoint.id);
     if (listed === undefined || endpoint.listed.isDraining) return;
-    const open = this._open.get(endpoint.lifeId) ?? this._openCase(endpoint);
+    const investigation = this._investigations.get(endpoint.lifeId) ?? this._investigate(endpoint);
     const { digest } = run.request;
-    const weight = run.hasBegun ? 1 : unbegunWeight;
-    open.suspects.set(digest, Math.max(weight, open.suspects.get(digest) ?? 0));
-    if (listed !== endpoint) return this._close(open, true);
-    await open.decided;
+    const weight = run.hasBegun ? 1 : notStartedWeight;
+    investigation.suspects.set(digest, Math.max(weight, investigation.suspects.get(digest) ?? 0));
+    if (listed !== endpoint) return this._close(investigation, true);
+    await investigation.decided;
   }
 
   /**
-   * Whether a request is held back now: the look right before each sending.
-   * @returns The time after which it may come back, or undefined where it may be sent.
+   * Checks whether a request is quarantined; called right before each send.
+   * @returns The time after which the request may be sent again, or undefined where it may be sent now.
    */
   getHeldBackMs(request: { readonly digest: string }): number | undefined {
     if (this.isQuiet) return undefined;
     const { digest } = request;
     const standing = this.ledger.getStanding(digest);
-    if (standing === "held") return this._noteHeldBack(this.ledger.getHoldLeftMs(digest));
-    if (standing !== "due-for-trial" || this._isOurTurn(digest)) return undefined;
-    return this._noteHeldBack(trialElsewhereMs);
+    if (standing === "held") return this._countRejection(this.ledger.getHoldLeftMs(digest));
+    if (standing !== "due-for-trial" || this._isOwnTurn(digest)) return undefined;
+    return this._countRejection(trialElsewhereMs);
   }
 
-  /** What there is against a request right before it is sent. */
+  /** Returns the risk of a request right before it is sent. */
   getRisk(request: { readonly digest: string }): CrashRisk {
     if (this.isQuiet) return "none";
     const weight = this._getWeight(request.digest);
@@ -196,130 +203,135 @@
     return weight > 0 ? "some" : "none";
   }
 
-  /** Waits until a request may be judged: a suspect has one run at its beginning at a time here. */
+  /** Waits until the risk of a request can be evaluated: a suspect has at most one run in its initial phase at a time on this instance. */
   async waitForTurn(request: { readonly digest: string }): Promise<void> {
     if (this.isQuiet) return;
     const { digest } = request;
-    const untilMs = this._nowMs() + longestTurnMs;
-    while (this._mustWait(digest) && this._nowMs() < untilMs) await this._pause(turnPollMs);
+    const untilMs = this._nowMs() + maxTurnWaitMs;
+    while (this._mustWait(digest) && this._nowMs() < untilMs) await this._pause(turnPollIntervalMs);
   }
 
-  /** Endpoints at which other suspects are at their beginning: two that crash together can't be told apart. */
+  /**
+   * Returns the endpoints at which other suspects are in their initial phase, since a crash there could not be attributed to one of them.
+   */
   getShunned(request: { readonly digest: string }): string[] {
     if (this.isQuiet || this._getWeight(request.digest) === 0) return [];
     return [...this._runs].flatMap((run) => {
-      const isOther = run.request.digest !== request.digest && !this._hasOutlived(run);
+      const isOther = run.request.digest !== request.digest && !this._hasSurvived(run);
       return isOther && this._getWeight(run.request.digest) > 0 ? [run.endpointId] : [];
     });
   }
 
-  /** Takes what a peer told; gives what of it was news. */
-  take(told: ToldCrashes): ToldCrashes {
-    this._noteSound(told.crashes.flatMap(({ suspects }) => suspects.map(([digest]) => digest)));
-    const news = this.ledger.take(told);
-    for (const { lifeId } of told.crashes) this._countEnded(lifeId);
-    for (const { suspects } of news.crashes) this._clearByOwnRuns(suspects.map(([digest]) => digest));
-    return news;
+  /** Merges crash reports from a peer, and returns the parts that were new. */
+  take(reports: CrashReportsMessage): CrashReportsMessage {
+    this._clearCompleted(reports.crashes.flatMap(({ suspects }) => suspects.map(([digest]) => digest)));
+    const added = this.ledger.take(reports);
+    for (const { lifeId } of reports.crashes) this._countCompleted(lifeId);
+    for (const { suspects } of added.crashes) this._clearByOwnRuns(suspects.map(([digest]) => digest));
+    return added;
   }
 
   private _mustWait(digest: string): boolean {
     const weight = this._getWeight(digest);
     if (weight === 0) return false;
-    return this._isAtBeginning(digest) || (weight >= heldFromWeight && this._isOpen(digest));
+    return this._isStarting(digest) || (weight >= quarantineWeight && this._isUndecided(digest));
   }
 
-  /** Whether it is not decided yet that an endpoint crashed which the request was at; it may be the one that counts. */
-  private _isOpen(digest: string): boolean {
-    return [...this._open.values()].some((open) => open.suspects.has(digest));
+  /** Returns whether it is still undecided if an endpoint that ran the request crashed; that crash may be the decisive one. */
+  private _isUndecided(digest: string): boolean {
+    return [...this._investigations.values()].some((investigation) => investigation.suspects.has(digest));
   }
 
-  private _isAtBeginning(digest: string): boolean {
-    for (const { request } of this._ended) if (request.digest === digest) return true;
+  private _isStarting(digest: string): boolean {
+    for (const { request } of this._completedRuns) if (request.digest === digest) return true;
     for (const run of this._runs) {
-      if (run.request.digest === digest && !this._hasOutlived(run)) return true;
+      if (run.request.digest === digest && !this._hasSurvived(run)) return true;
     }
     return false;
   }
 
-  /** What speaks against a request, with what is not decided yet. */
+  /** Returns the weight of the evidence against a request, including crashes that are still undecided. */
   private _getWeight(digest: string): number {
     let weight = this.ledger.getWeight(digest);
-    for (const open of this._open.values()) weight += open.suspects.get(digest) ?? 0;
+    for (const investigation of this._investigations.values())
+      weight += investigation.suspects.get(digest) ?? 0;
     return weight;
   }
 
-  private _hasOutlived({ firstEventAtMs }: WatchedRun): boolean {
-    return firstEventAtMs !== undefined && this._nowMs() - firstEventAtMs >= beginningMs;
+  private _hasSurvived({ firstEventAtMs }: WatchedRun): boolean {
+    return firstEventAtMs !== undefined && this._nowMs() - firstEventAtMs >= initialPhaseMs;
   }
 
-  private _openCase(endpoint: Endpoint): OpenCase {
+  private _investigate(endpoint: Endpoint): Investigation {
     const { lifeId } = endpoint;
     const probed = this._structure.probe(endpoint.listed.address, probeTimeoutMs);
-    const open: OpenCase = {
+    const investigation: Investigation = {
       endpoint,
       lifeId,
       atMs: this._nowMs(),
       suspects: new Map(),
-      decided: probed.then((result) => this._decide(open, result)),
+      decided: probed.then((result) => this._decide(investigation, result)),
     };
-    this._open.set(lifeId, open);
-    return open;
+    this._investigations.set(lifeId, investigation);
+    return investigation;
   }
 
-  private _decide(open: OpenCase, result: ProbeResult): void {
-    const isCrashed = result === "refused" || this.ledger.hasCrash(open.lifeId);
-    if (isCrashed) return this._close(open, true);
-    if (result === "open") return this._close(open, false);
-    void this._pause(undecidedMs).then(() => this._close(open, false));
+  private _decide(investigation: Investigation, result: ProbeResult): void {
+    const isCrashed = result === "refused" || this.ledger.hasCrash(investigation.lifeId);
+    if (isCrashed) return this._close(investigation, true);
+    if (result === "open") return this._close(investigation, false);
+    void this._pause(decisionTimeoutMs).then(() => this._close(investigation, false));
   }
 
-  /** The entry of an endpoint that has crashed goes, or another start of its process shows. */
+  /** Decides an investigation: the entry of a crashed endpoint disappears, or shows a new start of the process. */
   private _endLife(endpoint: Endpoint): void {
-    const open = this._open.get(endpoint.lifeId);
-    if (open !== undefined && !endpoint.listed.isDraining) this._close(open, true);
+    const investigation = this._investigations.get(endpoint.lifeId);
+    if (investigation !== undefined && !endpoint.listed.isDraining) this._close(investigation, true);
   }
 
-  private async _settle(ended: EndedRun): Promise<void> {
-    const { endpoint, request } = ended;
+  private async _settle(completed: CompletedRun): Promise<void> {
+    const { endpoint, request } = completed;
     const { lifeId } = endpoint;
-    let open = this._open.get(lifeId);
-    // Of a suspect it is asked whether its endpoint lives, since nobody else may have had a run there.
-    if (open === undefined && this._getWeight(request.digest) > 0) open = this._openCase(endpoint);
-    await open?.decided;
-    this._ended.delete(ended);
-    if (!this.ledger.hasCrash(lifeId)) this._noteSoundEnd(ended);
+    let investigation = this._investigations.get(lifeId);
+    // A suspect's endpoint is probed even without a lost connection, since no other request may have had a run there.
+    if (investigation === undefined && this._getWeight(request.digest) > 0)
+      investigation = this._investigate(endpoint);
+    await investigation?.decided;
+    this._completedRuns.delete(completed);
+    if (!this.ledger.hasCrash(lifeId)) this._noteHarmless(completed);
   }
 
-  private _noteSoundEnd({ kind, request, endedAtMs }: EndedRun): void {
+  private _noteHarmless({ kind, request, endedAtMs }: CompletedRun): void {
     this._completed.add(kind, request.asked, endedAtMs);
     this.noteOutlived(request);
   }
 
-  /** Requests whose runs ended well at an endpoint just before it crashed. */
-  private _getEndedAt(lifeId: string): string[] {
-    const ended = [...this._ended].filter(({ endpoint }) => endpoint.lifeId === lifeId);
-    return ended.map(({ request }) => request.digest);
+  /** Returns the requests whose runs completed at an endpoint right before the endpoint crashed. */
+  private _getCompletedAt(lifeId: string): string[] {
+    const completed = [...this._completedRuns].filter(({ endpoint }) => endpoint.lifeId === lifeId);
+    return completed.map(({ request }) => request.digest);
   }
 
-  /** Counts runs that had ended well here at an endpoint whose crash a peer found. */
-  private _countEnded(lifeId: string): void {
-    const suspects = new Map(this._getEndedAt(lifeId).map((digest) => [digest, 1]));
+  /** Counts completed runs of this instance at an endpoint whose crash a peer reported. */
+  private _countCompleted(lifeId: string): void {
+    const suspects = new Map(this._getCompletedAt(lifeId).map((digest) => [digest, 1]));
     if (suspects.size === 0) return;
     const crash = this.ledger.noteCrash(lifeId, this._nowMs(), suspects);
     if (crash !== undefined) this._structure.tell({ ...nothingTold, crashes: [crash] });
   }
 
-  private _close(open: OpenCase, isCrashed: boolean): void {
-    if (this._open.get(open.lifeId) !== open) return;
-    this._open.delete(open.lifeId);
-    for (const digest of this._getEndedAt(open.lifeId)) open.suspects.set(digest, 1);
-    if (isCrashed) this._structure.onCrash?.(open.endpoint);
-    if (!isCrashed || open.suspects.size === 0) return;
-    const { endpoint, lifeId, suspects } = open;
-    for (const found of this._foundHere) if (!this.ledger.hasCrash(found)) this._foundHere.delete(found);
-    this._foundHere.add(lifeId);
-    this._noteSound([...suspects.keys()]);
-    const crash = this.ledger.noteCrash(lifeId, open.atMs, suspects);
+  private _close(investigation: Investigation, isCrashed: boolean): void {
+    if (this._investigations.get(investigation.lifeId) !== investigation) return;
+    this._investigations.delete(investigation.lifeId);
+    for (const digest of this._getCompletedAt(investigation.lifeId)) investigation.suspects.set(digest, 1);
+    if (isCrashed) this._structure.onCrash?.(investigation.endpoint);
+    if (!isCrashed || investigation.suspects.size === 0) return;
+    const { endpoint, lifeId, suspects } = investigation;
+    for (const found of this._detectedHere)
+      if (!this.ledger.hasCrash(found)) this._detectedHere.delete(found);
+    this._detectedHere.add(lifeId);
+    this._clearCompleted([...suspects.keys()]);
+    const crash = this.ledger.noteCrash(lifeId, investigation.atMs, suspects);
     if (crash === undefined) return;
     this._structure.count?.("crash");
     for (const [digest, weight] of suspects) {
@@ -335,35 +347,35 @@
     this._clearByOwnRuns([...suspects.keys()]);
   }
 
-  private _noteHold(digest: string, hold: ToldHold | undefined): void {
+  private _noteQuarantine(digest: string, quarantine: QuarantineMessage | undefined): void {
     const { log, keep } = this._structure;
-    if (hold === undefined) return log.info("request-released", { digest });
-    log.warn("request-held", { digest, times: hold.times, leftMs: Math.round(hold.leftMs) });
-    // One of all instances keeps it: the one that found the crash that came last.
+    if (quarantine === undefined) return log.info("request-released", { digest });
+    log.warn("request-held", { digest, times: quarantine.times, leftMs: Math.round(quarantine.leftMs) });
+    // Only one instance stores the quarantine: the one that detected the latest crash.
     const newest = this.ledger.getNewestCrash(digest);
-    if (newest !== undefined && this._foundHere.has(newest)) keep?.(digest, hold);
+    if (newest !== undefined && this._detectedHere.has(newest)) keep?.(digest, quarantine);
   }
 
-  /** An equal request that runs here and has outlived its beginning clears the suspects. */
+  /** Clears suspects that are identical to a request whose run at this instance has survived its initial phase. */
   private _clearByOwnRuns(digests: readonly string[]): void {
     for (const run of this._runs) {
-      if (this._hasOutlived(run) && digests.includes(run.request.digest)) this.noteOutlived(run.request);
+      if (this._hasSurvived(run) && digests.includes(run.request.digest)) this.noteOutlived(run.request);
     }
   }
 
-  /** Suspects that are equal to requests that ended well here are told to be sound, before they are counted. */
-  private _noteSound(digests: readonly string[]): void {
+  /** Clears suspects that are identical to requests that have completed at this instance, before the crash is counted. */
+  private _clearCompleted(digests: readonly string[]): void {
     if (digests.length === 0) return;
     const found = this._completed.find(new Set(digests));
-    const clearings = [...found].flatMap(([digest, atMs]) => this.ledger.noteSound(digest, atMs) ?? []);
+    const clearings = [...found].flatMap(([digest, atMs]) => this.ledger.noteHarmless(digest, atMs) ?? []);
     if (clearings.length > 0) this._structure.tell({ ...nothingTold, clearings });
   }
 
-  private _isOurTurn(digest: string): boolean {
-    return !this._isAtBeginning(digest) && this.ledger.mayTry(digest, this._structure.getTrialRank(digest));
+  private _isOwnTurn(digest: string): boolean {
+    return !this._isStarting(digest) && this.ledger.mayTry(digest, this._structure.getTrialRank(digest));
   }
 
-  private _noteHeldBack(leftMs: number): number {
+  private _countRejection(leftMs: number): number {
     this._structure.count?.("held-back");
     return leftMs;
   }
--- a/packages/gateway/src/crashes/HeldRequestStore.ts
+++ b/packages/gateway/src/crashes/HeldRequestStore.ts
@@ -1,17 +1,16 @@
-/** Where requests that are held back outlast the end of all instances. */
 import type { results } from "@shedtiller/common";
 import type { StoreError } from "../discovery/ChangeFeed.js";
 import * as zod from "zod";
 
 export const storedHoldSchema = zod.object({
   digest: zod.string().min(1).max(64),
-  /** Unix milliseconds; instances that read it share no other clock. */
+  /** End of the quarantine in Unix milliseconds, since instances that read it share no other clock. */
   untilUnixMs: zod.number(),
   times: zod.number().int().positive(),
 });
 export type StoredHold = zod.infer<typeof storedHoldSchema>;
 
-/** Keeps holds; one call for each that begins or ends. */
+/** Stores quarantines so that they outlast a restart of all instances; called once for each quarantine that begins or ends. */
 export abstract class HeldRequestStore {
   abstract read(): Promise<results.Result<StoredHold[], StoreError>>;
   abstract keep(hold: StoredHold): Promise<results.Result<void, StoreError>>;
--- a/packages/gateway/src/tests/crashes/CrashWatchTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashWatchTests.ts
@@ -1,7 +1,7 @@
 /** What counts as a crash, and what clears a request. */
 import test from "ava";
-import { beginningMs, CrashWatch, type WatchedRun } from "../../crashes/CrashWatch.js";
-import { nothingTold, type ToldCrashes, digestRequest, type ProbeResult } from "@shedtiller/crashes";
+import { initialPhaseMs, CrashWatch, type WatchedRun } from "../../crashes/CrashWatch.js";
+import { nothingTold, type CrashReportsMessage, digestRequest, type ProbeResult } from "@shedtiller/crashes";
 import type { Endpoint } from "../../discovery/Endpoint.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
@@ -15,7 +15,7 @@
 class Scene {
   readonly clock = new SimulatedClock();
   readonly endpoints = new EndpointTable(this.clock.nowMs);
-  readonly told: ToldCrashes[] = [];
+  readonly told: CrashReportsMessage[] = [];
   probeResult: ProbeResult = "refused";
   probes = 0;
   trialRank = 0;
@@ -135,7 +135,7 @@
   await scene.clock.run(10_000);
   await scene.lose("i-1");
   await scene.lose("i-2");
-  await scene.lose("i-3", { firstEventAtMs: scene.clock.nowMs() - beginningMs });
+  await scene.lose("i-3", { firstEventAtMs: scene.clock.nowMs() - initialPhaseMs });
   t.is(scene.watch.ledger.getWeight("a"), 0);
   t.is(scene.told.at(-1)?.clearings.length, 1);
 });
@@ -143,7 +143,7 @@
 test("an equal request that has outlived its beginning here clears what peers tell", async (t) => {
   const scene = new Scene();
   await scene.clock.run(10_000);
-  scene.watch.begin(scene.createRun("i-4", { firstEventAtMs: scene.clock.nowMs() - 2 * beginningMs }));
+  scene.watch.begin(scene.createRun("i-4", { firstEventAtMs: scene.clock.nowMs() - 2 * initialPhaseMs }));
   const crashes = ["i-1", "i-2", "i-3"].map((lifeId) => ({
     lifeId,
     ageMs: 0,
--- a/packages/gateway/src/tests/crashes/HoldKeeperTests.ts
+++ b/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
@@ -1,8 +1,8 @@
 import test from "ava";
 import { errors, results, utils } from "@shedtiller/common";
-import type { ToldHold } from "@shedtiller/crashes";
+import type { QuarantineMessage } from "@shedtiller/crashes";
 import { HeldRequestStore, type StoredHold } from "../../crashes/HeldRequestStore.js";
-import { HoldKeeper } from "../../crashes/HoldKeeper.js";
+import { QuarantineReconciler } from "../../crashes/QuarantineReconciler.js";
 import type { StoreError } from "../../discovery/ChangeFeed.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { SilentSink } from "../SilentSink.js";
@@ -31,25 +31,25 @@
 }
 
 function create(store: MemoryStore, held: readonly string[] = []) {
-  const taken: ToldHold[] = [];
+  const taken: QuarantineMessage[] = [];
   const released: string[] = [];
   const reader = { isReader: true };
-  const keeper = new HoldKeeper({
+  const keeper = new QuarantineReconciler({
     store,
     log: new DecisionLog(new SilentSink(), () => 0),
     isReader: () => reader.isReader,
-    take: (holds) => taken.push(...holds),
-    getHeldFor: () => held,
+    merge: (holds) => taken.push(...holds),
+    getQuarantinedFor: () => held,
     release: (digest) => released.push(digest),
   });
   return { keeper, taken, released, reader };
 }
 
-const hold: ToldHold = { digest: "a", ageMs: 0, leftMs: 20_000, times: 1 };
+const hold: QuarantineMessage = { digest: "a", ageMs: 0, leftMs: 20_000, times: 1 };
 
 test("a hold outlasts all instances, and is read once, by one of a zone", async (t) => {
   const store = new MemoryStore();
-  create(store).keeper.keep("a", hold);
+  create(store).keeper.persist("a", hold);
   const { keeper, taken } = create(store);
   await keeper.tick();
   await keeper.tick();
@@ -69,23 +69,23 @@
   const { keeper } = create(store);
   await keeper.tick();
   store.isAway = true;
-  keeper.keep("a", hold);
+  keeper.persist("a", hold);
   await utils.yieldToEvents();
   t.is(store.holds.size, 0);
   store.isAway = false;
   await keeper.tick();
   t.deepEqual([...store.holds.keys()], ["a"]);
-  keeper.keep("a", undefined);
+  keeper.persist("a", undefined);
   t.is(store.holds.size, 0);
 });
 
 test("what an operator has dropped from the store is let go, and nothing else", async (t) => {
   const store = new MemoryStore();
   const { keeper, released } = create(store, ["a", "b"]);
-  keeper.keep("a", hold);
-  keeper.keep("b", { ...hold, digest: "b" });
+  keeper.persist("a", hold);
+  keeper.persist("b", { ...hold, digest: "b" });
   await utils.yieldToEvents();
   store.holds.delete("a");
-  await keeper.compare();
+  await keeper.reconcile();
   t.deepEqual(released, ["a"]);
 });
