--- a/packages/gateway/src/discovery/ChangeFeed.ts
+++ b/packages/gateway/src/discovery/ChangeFeed.ts
@@ -1,28 +1,31 @@
-/** A set of keyed values that changes over time, as the platform's store offers it. */
 import { errors, type results } from "@shedtiller/common";
 
-/** One change; `value` is undefined where the key was dropped, or where what stands under it now can't be read. */
+/** One change of a keyed set; `value` is undefined where the key was removed or its new value cannot be parsed. */
 export interface Change<T> {
   readonly key: string;
   readonly value: T | undefined;
-  /** Something was written under the key that is no value: what stood there before has been replaced, but not dropped. */
+  /**
+   * Whether the new value under the key cannot be parsed: the previous value was overwritten, but the key was not removed.
+   */
   readonly isUnreadable?: boolean | undefined;
 }
 
-/** All values at one moment, and where to read on. */
+/** All values at one point in time, and the offset from which to read later changes. */
 export interface FeedSnapshot<T> {
   readonly values: ReadonlyMap<string, T>;
   readonly nextOffset: number;
 }
 
-/** Changes since an offset. `isCompacted` tells that some are gone, so that a snapshot is needed. */
+/**
+ * Changes since an offset. Where `isCompacted` is set, some of them are no longer stored and the reader has to take a new snapshot.
+ */
 export interface FeedPage<T> {
   readonly changes: readonly Change<T>[];
   readonly nextOffset: number;
   readonly isCompacted: boolean;
 }
 
-/** The store did not answer, or refused. */
+/** An error of a read of the store, which either did not answer or rejected the call. */
 export type StoreError =
   | errors.NotReachedError
   | errors.ConnectionLostError
@@ -42,14 +45,14 @@
   }
 }
 
-/** Reads a keyed set and its changes. */
+/** Reads a set of keyed values and its changes from the platform's store. */
 export abstract class ChangeFeed<T> {
   /** Reads all values. */
   abstract getSnapshot(): Promise<results.Result<FeedSnapshot<T>, StoreError>>;
 
   /**
-   * Reads changes from an offset on.
-   * @param waitMs - How long the store may hold the call while there is nothing new.
+   * Reads the changes from an offset on.
+   * @param waitMs - How long the store may keep the call open while there are no changes (long polling).
    */
   abstract getChanges(offset: number, waitMs: number): Promise<results.Result<FeedPage<T>, StoreError>>;
 }
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -1,51 +1,60 @@
-/** What this instance knows of one endpoint. */
 import { EndpointRest } from "@shedtiller/routing";
-import { PermitHand } from "./PermitHand.js";
+import { LocalPermits } from "./LocalPermits.js";
 import { SendPermit } from "./SendPermit.js";
 import type { KnownLimit } from "./EndpointLimits.js";
 import type { ListedEndpoint } from "./ListedEndpoint.js";
 import { FailureGuard } from "./FailureGuard.js";
 
-/** Load that requests put on an endpoint. */
+/** The load that requests put on an endpoint. */
 export interface EndpointLoad {
-  /** Requests under way. */
+  /** Requests in flight. */
   readonly requests: number;
-  /** Tokens reserved in the KV cache, each counted once for each layer that the endpoint runs for it. */
+  /** Tokens reserved in the KV cache, each counted once for each layer that the endpoint runs for that token. */
   readonly tokenLayers: number;
 }
 
-/** An engine's room changes with its layers, which takes seconds; after this it is tried with its full room again. */
-const seenFullMs = 2_000;
+/**
+ * How long an observed capacity limit applies. The free capacity of an engine changes with its layers, which takes seconds; after this time
+ * the full capacity is tried again.
+ */
+const observedCapacityMs = 2_000;
 
-/** Stands between the id and the start of a process; ids of the platform are letters, digits and dashes. */
+/**
+ * Separates the endpoint id from the start time of the process. Ids of the platform consist of letters, digits and dashes.
+ */
 export const lifeSeparator = "@";
 
-/** How many other instances are taken to put the same load on endpoints as this one. */
+/** The number of other instances that are assumed to put the same load on endpoints as this instance. */
 export interface AssumedPeers {
   count: number;
 }
 
 const noLoad: EndpointLoad = { requests: 0, tokenLayers: 0 };
 
-/** An endpoint with its listed state, our own load on it, and that of the peers as they last told. */
+/**
+ * One endpoint as this instance sees it: its listed state, the load that this instance puts on it, the last loads that peers reported, and
+ * the permits, back-off and failures that restrict sending to it.
+ */
 export class Endpoint {
-  /** Monotonic time until which it gets no new work unless nothing else is left. */
+  /** Monotonic time until which the endpoint gets no new work unless no other endpoint is available. */
   suspectUntilMs = 0;
   /** Monotonic time of the evidence that led to the suspicion. */
   suspectedAtMs = 0;
-  /** Monotonic time until which it gets nothing new from this instance, since it just refused for want of room. */
+  /**
+   * Monotonic time until which this instance sends no new requests to the endpoint, because it has just rejected one for lack of capacity.
+   */
   refusedUntilMs = 0;
-  /** Requests of this instance that it failed at once. */
+  /** Stops requests to the endpoint after requests of this instance failed right away. */
   readonly failures = new FailureGuard();
-  /** Suspicions in a row without a heartbeat between them. */
+  /** Consecutive suspicions without a heartbeat between them. */
   suspicions = 0;
-  private _seenFull: { readonly tokenLayers: number; readonly untilMs: number } | undefined;
-  /** Factor by which it is slower than its kind, by its own report; 1 is nominal. */
+  private _observedCapacity: { readonly tokenLayers: number; readonly untilMs: number } | undefined;
+  /** Factor by which the endpoint is slower than its accelerator kind, as it reports itself; 1 is nominal. */
   slowness = 1;
-  /** The limit that it named last; undefined while it never did. */
+  /** The limit that the endpoint stated last; undefined as long as it has stated none. */
   limit: KnownLimit | undefined;
-  readonly permits = new PermitHand();
-  /** The rest that it asked this instance for. */
+  readonly permits = new LocalPermits();
+  /** The back-off that the endpoint requested from this instance. */
   readonly rest = new EndpointRest();
   private _own: EndpointLoad = noLoad;
   private readonly _peerLoads = new Map<string, EndpointLoad>();
@@ -59,13 +68,15 @@
     return this.listed.id;
   }
 
-  /** Names one life of the endpoint's process: what peers tell of an earlier one must not count for this one. */
+  /**
+   * Identifies one life of the endpoint's process. Reports of peers on an earlier life must not be applied to the current one.
+   */
   get lifeId(): string {
     const { id, bornAtMs } = this.listed;
     return bornAtMs === undefined ? id : `${id}${lifeSeparator}${bornAtMs}`;
   }
 
-  /** Where orders and questions to this life of it go. */
+  /** The recipient of orders and report requests for the current life of the endpoint. */
   get orderTarget(): { readonly id: string; readonly address: string; readonly lifeId: string } {
     return { id: this.id, address: this.listed.address, lifeId: this.lifeId };
   }
@@ -74,11 +85,11 @@
     return this._own;
   }
 
-  /** Our own load and that of all peers, told or assumed. */
+  /** Returns the load that this instance and all peers put on the endpoint, as reported or assumed. */
   getLoad(): EndpointLoad {
-    const alike = 1 + this._assumedPeers.count;
-    let requests = this._own.requests * alike;
-    let tokenLayers = this._own.tokenLayers * alike;
+    const loadFactor = 1 + this._assumedPeers.count;
+    let requests = this._own.requests * loadFactor;
+    let tokenLayers = this._own.tokenLayers * loadFactor;
     for (const load of this._peerLoads.values()) {
       requests += load.requests;
       tokenLayers += load.tokenLayers;
@@ -90,66 +101,73 @@
     this._own = { requests: this._own.requests + requests, tokenLayers: this._own.tokenLayers + tokenLayers };
   }
 
-  /** Takes a peer's load; undefined where it has none. */
+  /** Sets the load of a peer; undefined removes the load. */
   setPeerLoad(peer: string, load: EndpointLoad | undefined): void {
     if (load === undefined) this._peerLoads.delete(peer);
     else this._peerLoads.set(peer, load);
   }
 
-  /** Forgets the load of peers that are not named. */
+  /** Removes the loads of all peers that are not in `peers`. */
   keepPeerLoads(peers: ReadonlySet<string>): void {
     for (const peer of this._peerLoads.keys()) if (!peers.has(peer)) this._peerLoads.delete(peer);
   }
 
   /**
-   * Notes that it refused for want of room at the load that it has now: its room is smaller than its layers tell, as while it
-   * changes them. It gets no more than that load for a while.
-   * @returns Whether that was not known yet.
+   * Records that the endpoint rejected a request for lack of capacity at its current load: its free capacity is smaller than its layers
+   * suggest, for example while it changes them. For a short time the endpoint gets no more than that load.
+   * @returns Whether this lowers the known capacity.
    */
   noteFull(nowMs: number): boolean {
     const { tokenLayers } = this.getLoad();
-    const isNews = tokenLayers < this.getSeenFullTokenLayers(nowMs);
-    this._seenFull = { tokenLayers, untilMs: nowMs + seenFullMs };
-    return isNews;
+    const isLower = tokenLayers < this.getSeenFullTokenLayers(nowMs);
+    this._observedCapacity = { tokenLayers, untilMs: nowMs + observedCapacityMs };
+    return isLower;
   }
 
-  /** The load at which it refused of late; infinite where it did not. */
+  /**
+   * Returns the load at which the endpoint recently rejected a request for lack of capacity; infinite where it has not rejected any.
+   */
   getSeenFullTokenLayers(nowMs: number): number {
-    const seen = this._seenFull;
+    const seen = this._observedCapacity;
     return seen === undefined || nowMs >= seen.untilMs ? Number.POSITIVE_INFINITY : seen.tokenLayers;
   }
 
-  /** Whether a request may be sent to it: within the limit that it names, and not in a rest that it asked for. */
+  /**
+   * Returns whether a request may be sent to the endpoint, within its stated limit and outside its requested back-off.
+   */
   hasPermit(nowMs: number): boolean {
     if (!this.rest.mayBegin(nowMs)) return false;
     return this.limit?.perSecond === undefined || this.permits.getCount(nowMs) > 0;
   }
 
-  /** Takes the right to send one request; undefined where there is none now. */
+  /** Takes the permit to send one request; undefined where none is available now. */
   tryTakePermit(nowMs: number): SendPermit | undefined {
     if (!this.hasPermit(nowMs)) return undefined;
     const isLimited = this.limit?.perSecond !== undefined;
     const expiresAtMs = isLimited ? this.permits.tryTake(nowMs) : undefined;
-    if (!isLimited) this.permits.noteFree(nowMs);
+    if (!isLimited) this.permits.noteUnlimitedSend(nowMs);
     this.rest.noteSent(nowMs);
     this.failures.noteSent(nowMs);
     return new SendPermit(this, expiresAtMs);
   }
 
-  /** Takes back a permit with which nothing was sent. */
+  /** Returns a permit with which no request was sent. */
   takeBack(expiresAtMs: number | undefined): void {
     if (expiresAtMs !== undefined) this.permits.giveBack(expiresAtMs);
     this.rest.noteNotSent();
     this.failures.noteNotSent();
   }
 
-  /** Notes an answer to a request that it took. */
+  /** Records that the endpoint answered a request that it had accepted. */
   noteAnswered(sentAtMs: number): void {
     this.failures.noteAnswered(sentAtMs);
     this.rest.noteAnswered(sentAtMs);
   }
 
-  /** Whether it failed last or has just come back from a rest, so that a request which can't be sent again is better off elsewhere. */
+  /**
+   * Returns whether the last request to the endpoint failed or its back-off has just ended. A request that cannot be retried should then go
+   * to another endpoint.
+   */
   isUnproven(nowMs: number): boolean {
     return this.failures.isUnproven(nowMs) || this.rest.isUnproven(nowMs);
   }
--- a/packages/gateway/src/discovery/EndpointLimits.ts
+++ b/packages/gateway/src/discovery/EndpointLimits.ts
@@ -1,21 +1,20 @@
-/** The limits that endpoints name with their answers: which one holds, and since when. */
 import { utils } from "@shedtiller/common";
 import type { StatedLimit } from "../http/EndpointStatement.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { Endpoint } from "./Endpoint.js";
 
-/** What an endpoint named last. */
+/** The request rate limit that an endpoint stated last. */
 export interface KnownLimit {
   /** Undefined once the endpoint answers without a limit again. */
   readonly perSecond: number | undefined;
-  /** Monotonic time of the answer that said so first. */
+  /** Monotonic time at which the first answer with this limit arrived. */
   readonly atMs: number;
 }
 
-/** What the limits of an instance work with. */
+/** Dependencies of {@link EndpointLimits}. */
 export interface EndpointLimitsStructure {
   readonly log: DecisionLog;
-  /** Counts answers that name a limit. */
+  /** Counts answers that state a limit. */
   readonly count?: ((service: string) => void) | undefined;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
@@ -23,7 +22,9 @@
 
 export type LimitListener = (endpoint: Endpoint) => void;
 
-/** One an instance. */
+/**
+ * Keeps the request rate limits that endpoints state with their answers, and decides which of several statements applies.
+ */
 export class EndpointLimits {
   private readonly _nowMs: () => number;
   private readonly _listeners: LimitListener[] = [];
@@ -32,14 +33,14 @@
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
-  /** Calls `listener` when an answer tells something new. */
+  /** Calls `listener` when an answer changes the limit of an endpoint. */
   onLearnt(listener: LimitListener): void {
     this._listeners.push(listener);
   }
 
   /**
-   * Takes what an answer to a request states.
-   * @param sentAtMs - Monotonic time of the request: an answer may have been on its way while another one told something newer.
+   * Applies the limit that the answer to a request states.
+   * @param sentAtMs - Monotonic time of the request: answers can arrive out of order, so that a later one may be older.
    */
   noteAnswer(endpoint: Endpoint, stated: StatedLimit, sentAtMs: number): void {
     if (stated.kind === "unreadable") return this._noteUnreadable(endpoint, stated.text);
@@ -50,19 +51,27 @@
     for (const listener of this._listeners) listener(endpoint);
   }
 
-  /** Takes what a peer knows; tells whether it was news. */
-  takeTold(endpoint: Endpoint, told: KnownLimit): boolean {
-    const isNews = this._isNewer(endpoint.limit, told.perSecond, told.atMs);
-    if (isNews) this._set(endpoint, told, "peer");
-    return isNews;
+  /**
+   * Applies the limit that a peer reported.
+   * @returns Whether the limit changed.
+   */
+  takeTold(endpoint: Endpoint, reported: KnownLimit): boolean {
+    const isNewer = this._isNewer(endpoint.limit, reported.perSecond, reported.atMs);
+    if (isNewer) this._set(endpoint, reported, "peer");
+    return isNewer;
   }
 
-  /** Takes what a report states. Reports need not name a limit, so that one without it ends none. */
+  /**
+   * Applies the limit that a report states. Reports need not state a limit, so that a report without one does not end a limit.
+   */
   noteReport(endpoint: Endpoint, stated: StatedLimit | undefined, sentAtMs: number): void {
     if (stated !== undefined && stated.kind !== "none") this.noteAnswer(endpoint, stated, sentAtMs);
   }
 
-  /** A lower limit holds at once; what raises or ends one has to answer a request that was sent since it was known. */
+  /**
+   * Returns whether a statement replaces the known limit. A lower limit applies at once; a statement that raises or ends the limit has to
+   * answer a request that was sent after the limit became known.
+   */
   private _isNewer(known: KnownLimit | undefined, perSecond: number | undefined, sentAtMs: number): boolean {
     if (known === undefined) return perSecond !== undefined;
     if (known.perSecond === perSecond) return false;
@@ -74,7 +83,7 @@
     const before = endpoint.limit?.perSecond;
     const { perSecond } = limit;
     endpoint.limit = limit;
-    // Permits in hand were handed out by the limit before.
+    // Local permits were granted under the previous limit.
     if (perSecond === undefined || perSecond < (before ?? 0)) endpoint.permits.clear();
     this._structure.log.info(getEvent(before, perSecond), {
       endpointId: endpoint.id,
@@ -95,7 +104,7 @@
   }
 }
 
-/** The name of the line for a change. */
+/** Returns the event name for a change of the limit. */
 function getEvent(before: number | undefined, perSecond: number | undefined): string {
   if (perSecond === undefined) return "endpoint-limit-ended";
   return before === undefined ? "endpoint-limit-began" : "endpoint-limit-changed";
--- a/packages/gateway/src/discovery/EndpointStatements.ts
+++ b/packages/gateway/src/discovery/EndpointStatements.ts
@@ -1,4 +1,3 @@
-/** The one place that takes what answers say of their endpoints, whatever they answer: requests, streams, reports or orders. */
 import { utils } from "@shedtiller/common";
 import { longestRestMs, turnedAwayStatuses } from "@shedtiller/routing";
 import type { StatedAnswer } from "../http/EndpointStatement.js";
@@ -8,62 +7,65 @@
 import type { EndpointLimits } from "./EndpointLimits.js";
 import type { EndpointTable } from "./EndpointTable.js";
 
-/** Different unknown headers that are logged; endpoints could send any number of them. */
-const mostLoggedNames = 64;
+/** Maximum number of different unknown headers that are logged, since endpoints could send any number of them. */
+const maxLoggedNames = 64;
 
-/** What a statement was about. */
+/** The subject of a statement, used as a metric label. */
 export type StatementKind = "rest" | "leaving" | "unknown-header" | "unreadable";
 
-/** What statements work with. */
+/** Dependencies of {@link EndpointStatements}. */
 export interface EndpointStatementsStructure {
   readonly endpoints: Pick<EndpointTable, "get" | "getLife" | "noteLeaving">;
   readonly limits: Pick<EndpointLimits, "noteAnswer" | "noteReport">;
   readonly log: DecisionLog;
-  /** Counts answers that say something of their endpoint. */
+  /** Counts answers with a statement about their endpoint. */
   readonly count?: ((what: StatementKind, service: string) => void) | undefined;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
 }
 
-/** One an instance. */
+/**
+ * Applies the statements that endpoints make about themselves in the headers of their answers, whether they answer requests, streams,
+ * report requests or orders. All such answers pass through this class.
+ */
 export class EndpointStatements {
   private readonly _nowMs: () => number;
   private readonly _loggedNames = new Set<string>();
-  private readonly _leavingListeners: ((lifeId: string) => void)[] = [];
+  private readonly _drainingListeners: ((lifeId: string) => void)[] = [];
 
   constructor(private readonly _structure: EndpointStatementsStructure) {
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
-  /** Calls `listener` when an answer was the first to say that an endpoint leaves. */
+  /** Calls `listener` when an answer is the first to state that an endpoint is draining. */
   onLeaving(listener: (lifeId: string) => void): void {
-    this._leavingListeners.push(listener);
+    this._drainingListeners.push(listener);
   }
 
-  /** Takes what the answer to a request states. */
+  /** Applies the statements of the answer to a request. */
   noteAnswer(endpoint: Endpoint, answer: StatedAnswer): void {
     this._structure.limits.noteAnswer(endpoint, answer.stated.limit, answer.sentAtMs);
-    this._noteRestEnded(endpoint);
-    this._noteBeyondLimit(endpoint, answer);
+    this._noteBackoffEnded(endpoint);
+    this._noteOtherStatements(endpoint, answer);
   }
 
-  /** Takes what the answer to an order or a question states. */
+  /** Applies the statements of the answer to an order or a report request. */
   noteOrderAnswer(target: OrderTarget, answer: StatedAnswer): void {
     const { endpoints, limits } = this._structure;
     const endpoint =
       target.lifeId === undefined ? endpoints.get(target.id) : endpoints.getLife(target.lifeId);
     if (endpoint === undefined) return;
     limits.noteReport(endpoint, answer.stated.limit, answer.sentAtMs);
-    this._noteBeyondLimit(endpoint, answer);
+    this._noteOtherStatements(endpoint, answer);
   }
 
-  private _noteBeyondLimit(endpoint: Endpoint, answer: StatedAnswer): void {
-    if (turnedAwayStatuses.includes(answer.status)) this._noteReturn(endpoint, answer);
-    if (answer.stated.isLeaving) this._noteLeaving(endpoint);
-    for (const name of answer.stated.unknownNames) this._noteUnknown(endpoint, name);
+  private _noteOtherStatements(endpoint: Endpoint, answer: StatedAnswer): void {
+    if (turnedAwayStatuses.includes(answer.status)) this._noteRetryAfter(endpoint, answer);
+    if (answer.stated.isLeaving) this._noteDraining(endpoint);
+    for (const name of answer.stated.unknownNames) this._noteUnknownHeader(endpoint, name);
   }
 
-  private _noteReturn(endpoint: Endpoint, { status, stated }: StatedAnswer): void {
+  private _noteRetryAfter(endpoint: Endpoint, { status, stated }: StatedAnswer): void {
     const { comeBack } = stated;
     if (comeBack.kind === "none") return;
     if (comeBack.kind === "unreadable") {
@@ -83,24 +85,27 @@
     });
   }
 
-  private _noteRestEnded(endpoint: Endpoint): void {
+  private _noteBackoffEnded(endpoint: Endpoint): void {
     const restMs = endpoint.rest.takeEndedMs(this._nowMs());
     if (restMs !== undefined)
       this._structure.log.info("endpoint-rest-ended", { ...describe(endpoint), restMs });
   }
 
-  /** It gets nothing new from now on; all instances are told, since it answers each of them only once it was asked in vain. */
-  private _noteLeaving(endpoint: Endpoint): void {
+  /**
+   * Stops new work for a draining endpoint and notifies the listeners, which inform the peers: the endpoint states its draining only in
+   * answers, so that each instance would otherwise have to send it a request first.
+   */
+  private _noteDraining(endpoint: Endpoint): void {
     this._count("leaving", endpoint);
     if (!this._structure.endpoints.noteLeaving(endpoint.lifeId)) return;
     this._structure.log.info("endpoint-leaves", { ...describe(endpoint), source: "answer" });
-    for (const listener of this._leavingListeners) listener(endpoint.lifeId);
+    for (const listener of this._drainingListeners) listener(endpoint.lifeId);
   }
 
-  /** Logs each name once: an endpoint that states what nothing reads is seen on its first day. */
-  private _noteUnknown(endpoint: Endpoint, name: string): void {
+  /** Logs each unknown header once, so that a header that no code reads is noticed as soon as an endpoint sends it. */
+  private _noteUnknownHeader(endpoint: Endpoint, name: string): void {
     this._count("unknown-header", endpoint);
-    if (this._loggedNames.has(name) || this._loggedNames.size >= mostLoggedNames) return;
+    if (this._loggedNames.has(name) || this._loggedNames.size >= maxLoggedNames) return;
     this._loggedNames.add(name);
     this._structure.log.warn("endpoint-header-unknown", { ...describe(endpoint), name });
   }
--- a/packages/gateway/src/discovery/EndpointSuspicions.ts
+++ b/packages/gateway/src/discovery/EndpointSuspicions.ts
@@ -1,4 +1,3 @@
-/** Weighs evidence against endpoints: what is sure is told to the peers, what is hearsay is checked with the endpoint itself. */
 import { utils } from "@shedtiller/common";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { EngineOrders } from "../orders/EngineOrders.js";
@@ -6,21 +5,24 @@
 import type { EndpointTable } from "./EndpointTable.js";
 import type { LayerSpan } from "./ListedEndpoint.js";
 
-/** Engines answer questions for their report at once; links take a few milliseconds. */
+/** Timeout of report requests: engines answer them at once, and links take a few milliseconds. */
 const reportTimeoutMs = 150;
-/** An engine that was named and yet answers is short of room, or out of reach for its neighbour: it is left alone for this long. */
+/**
+ * How long no requests go to an engine that another engine reported but that still answers. Such an engine lacks capacity or cannot be
+ * reached by its neighbour.
+ */
 const namedBackoffMs = 600;
 
-/** While an engine is asked which layers it holds, and for as long after an answer in vain, it gets nothing new. */
+/** How long an engine gets no new work while its layers are being queried, and after a query without a result. */
 const layersBackoffMs = 300;
 
-/** What suspicions work with. */
+/** Dependencies of {@link EndpointSuspicions}. */
 export interface EndpointSuspicionsStructure {
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
   readonly tellPeers: (endpointId: string) => void;
-  /** Tells the peers which layers an engine holds, where the list has others. */
+  /** Reports to the peers which layers an engine has loaded, where the list says otherwise. */
   readonly tellLayers: (endpointId: string, layers: readonly LayerSpan[]) => void;
   /** Counts a suspicion by its cause. */
   readonly count: (cause: string) => void;
@@ -28,22 +30,25 @@
   readonly nowMs?: () => number;
 }
 
-/** One for an instance. */
+/**
+ * Failure detector for endpoints: broadcasts a suspicion to the peers if this instance has observed the failure itself, and verifies the
+ * reports of other engines with the endpoint first.
+ */
 export class EndpointSuspicions {
   private readonly _nowMs: () => number;
-  /** Endpoints that are being asked which layers they hold. */
-  private readonly _asked = new Set<Endpoint>();
+  /** Endpoints whose layers are being queried. */
+  private readonly _queried = new Set<Endpoint>();
 
   constructor(private readonly _structure: EndpointSuspicionsStructure) {
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
-  /** Notes that an endpoint did not answer this instance. */
+  /** Records that an endpoint did not answer this instance. */
   noteSilent(endpointId: string, reason: string): void {
     if (this._suspect(endpointId, reason)) this._structure.tellPeers(endpointId);
   }
 
-  /** Notes that another engine named this one; resolves once the engine was asked. */
+  /** Records that another engine reported this engine as faulty; resolves once the engine has been queried. */
   async noteNamed(endpointId: string, reason: string): Promise<void> {
     const { endpoints, orders, tellPeers, log } = this._structure;
     const endpoint = endpoints.get(endpointId);
@@ -56,19 +61,20 @@
   }
 
   /**
-   * Notes that an engine said that it does not hold what the list says; resolves once it was asked what it holds. An engine that starts
-   * again is listed as before for up to two seconds, and as the fastest one it draws what comes: on a day of three zones, five of 36
-   * engines started again, and 0.06 of the requests of two seconds were served in time while they were only taken for full.
+   * Records that an engine denied having the layers that the list states; resolves once its layers have been queried.
+   * A restarted engine stays in the list with its previous layers for up to 2 s, and attracts requests because it appears to be the
+   * fastest. When five of 36 engines in three zones restarted and were merely treated as full, only 6 % of the requests of two seconds were
+   * served in time.
    */
   async noteNotHeld(endpointId: string): Promise<void> {
     const { endpoints, orders, log, tellLayers } = this._structure;
     const endpoint = endpoints.get(endpointId);
-    if (endpoint === undefined || this._asked.has(endpoint)) return;
-    this._asked.add(endpoint);
+    if (endpoint === undefined || this._queried.has(endpoint)) return;
+    this._queried.add(endpoint);
     endpoint.refusedUntilMs = this._nowMs() + layersBackoffMs;
     const { address } = endpoint.listed;
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
-    this._asked.delete(endpoint);
+    this._queried.delete(endpoint);
     if (report.err) return this.noteSilent(endpointId, `holds other layers: ${report.val.code}`);
     if (!endpoints.setLayers(endpoint, report.val.layers)) return;
     endpoint.refusedUntilMs = 0;
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -1,49 +1,58 @@
-/** All endpoints that this instance knows, by the store's list and by evidence of its own and of peers. */
 import { utils } from "@shedtiller/common";
 import type { Change } from "./ChangeFeed.js";
 import { Endpoint, lifeSeparator, type AssumedPeers, type EndpointLoad } from "./Endpoint.js";
 import type { LayerSpan, ListedEndpoint } from "./ListedEndpoint.js";
 
 /**
- * After the store comes back, endpoints that live may be missing from it for a moment, until their next heartbeat.
- * The platform says about two seconds; one that is missing for longer is gone.
+ * Grace period for entries that are missing after the store has recovered: live endpoints may be absent until their next heartbeat. The
+ * platform states about 2 s; an endpoint that is missing for longer is gone.
  */
-const returnGraceMs = 2_000;
+const recoveryGraceMs = 2_000;
 /**
- * An endpoint under whose id something unreadable was written gets nothing new, and counts as gone after this: two heartbeats of a usual
- * deployment, in which an endpoint that lives has written again.
+ * An endpoint whose entry was overwritten with an unreadable value gets no new work, and counts as gone after this time: two heartbeats of
+ * a typical deployment, in which a live endpoint has written its entry again.
  */
 const unreadableGraceMs = 2_400;
 /**
- * Starts of endpoints, and lives that said that they leave, that are remembered beyond their entries: a late word of an earlier life is
- * known as such, and an entry that comes back takes no leaving back.
+ * Maximum number of process starts and draining lives that are remembered beyond their entries, so that a late report of an earlier life is
+ * recognised, and an entry that reappears does not undo the draining.
+ */
+const maxRememberedLives = 4_096;
+/**
+ * Duration of the first suspicion of an endpoint: two heartbeats of a typical deployment, after which a dead endpoint drops out of the
+ * list.
  */
-const mostRemembered = 4_096;
-/** First suspicion of an endpoint: two heartbeats of a usual deployment, so that a dead one drops out of the list next. */
 const suspicionMs = 3_000;
-/** Suspicions of an endpoint that stays silent double up to this; a heartbeat ends them. */
-const longestSuspicionMs = 24_000;
-/** Suspicions older than this count no more: twice the longest one, so that a dead endpoint's go on doubling. */
-const forgottenAfterMs = 2 * longestSuspicionMs;
-/** A heartbeat that came this long after the evidence shows that the endpoint lives. */
-const clearedByHeartbeatAfterMs = 1_000;
-
-/** What became of an endpoint; `restarted` takes the place of `gone` for one whose process is another one under the same id. */
+/** The suspicions of a silent endpoint double in duration up to this maximum; a heartbeat ends them. */
+const maxSuspicionMs = 24_000;
+/**
+ * Earlier suspicions no longer count after this time: twice the maximum duration, so that the suspicions of a dead endpoint keep doubling.
+ */
+const suspicionMemoryMs = 2 * maxSuspicionMs;
+/** A heartbeat that arrives at least this long after the evidence shows that the endpoint is alive. */
+const minHeartbeatDelayMs = 1_000;
+
+/** A change of an endpoint; `restarted` replaces `gone` where a new process runs under the same id. */
 export type EndpointEvent = "added" | "draining" | "gone" | "restarted" | "layers" | "suspected" | "cleared";
-/** How a word of an endpoint stands to the life of its process that is known. */
+/** How a report on an endpoint relates to the known life of the endpoint's process. */
 export type LifeOrder = "same" | "newer" | "earlier";
 export type EndpointListener = (endpoint: Endpoint, event: EndpointEvent) => void;
 
-/** Holds the endpoints. An endpoint that drains or is gone gets no new work from that moment on. */
+/**
+ * Holds all endpoints that this instance knows, from the store's list and from evidence of its own and of its peers. An endpoint that
+ * drains or is gone gets no new work from that moment on.
+ */
 export class EndpointTable {
   private readonly _endpoints = new Map<string, Endpoint>();
   private readonly _listeners: EndpointListener[] = [];
-  /** Endpoints that the list no longer has, and when they are dropped unless they come back. */
+  /**
+   * Endpoints that are missing from the list, and the monotonic time at which they are dropped unless they reappear.
+   */
   private readonly _missing = new Map<string, number>();
-  /** Unix milliseconds of the newest start known of each id; the oldest ids first. */
+  /** The latest known start of each endpoint id in Unix milliseconds; the least recently updated id comes first. */
   private readonly _newestStarts = new Map<string, number>();
-  /** Lives that said themselves that they leave; the oldest first. */
-  private readonly _leavingLives = new Set<string>();
+  /** Lives of endpoints that have stated that they are draining; the oldest come first. */
+  private readonly _drainingLives = new Set<string>();
   private _graceUntilMs = 0;
   private readonly _assumedPeers: AssumedPeers = { count: 0 };
   private _mayAssumePeers = true;
@@ -62,8 +71,8 @@
   }
 
   /**
-   * Takes an engine's own word on the layers that it holds, which is newer than the list's.
-   * @returns Whether the list had others. An endpoint that has been replaced meanwhile has none to take.
+   * Sets the layers that an engine reported itself, which are more recent than those in the list.
+   * @returns Whether the list had other layers; false for an endpoint that has been replaced in the meantime.
    */
   setLayers(endpoint: Endpoint, layers: readonly LayerSpan[]): boolean {
     if (this._endpoints.get(endpoint.id) !== endpoint) return false;
@@ -73,7 +82,7 @@
     return true;
   }
 
-  /** The endpoint of an id, if it is in the life that a peer speaks of. */
+  /** Returns the endpoint of a life, if that life is the current one. */
   getLife(lifeId: string): Endpoint | undefined {
     const endpoint = this._endpoints.get(lifeId.split(lifeSeparator)[0] ?? "");
     return endpoint?.lifeId === lifeId ? endpoint : undefined;
@@ -87,7 +96,7 @@
     return this.getAll().find((endpoint) => endpoint.listed.address === address);
   }
 
-  /** Endpoints of a service that may get new work. */
+  /** Returns the endpoints of a service that may get new work. */
   getUsable(service: string): Endpoint[] {
     return this.getAll().filter(
       (endpoint) =>
@@ -95,31 +104,31 @@
     );
   }
 
-  /** Notes that the store is back after it was away. */
+  /** Starts the grace period for missing entries, since the store has recovered. */
   noteStoreReturned(): void {
-    this._graceUntilMs = this._nowMs() + returnGraceMs;
+    this._graceUntilMs = this._nowMs() + recoveryGraceMs;
   }
 
-  /** Takes the whole list. */
+  /** Replaces all entries by those of a complete list. */
   setAll(values: ReadonlyMap<string, ListedEndpoint>): void {
     this.isKnown = true;
-    for (const endpoint of this.getAll()) if (!values.has(endpoint.id)) this._miss(endpoint);
-    for (const listed of values.values()) this._set(listed, false);
+    for (const endpoint of this.getAll()) if (!values.has(endpoint.id)) this._markMissing(endpoint);
+    for (const listed of values.values()) this._setListed(listed, false);
   }
 
-  /** Takes changes of the list. */
+  /** Applies changes of the list. */
   apply(changes: readonly Change<ListedEndpoint>[]): void {
     for (const change of changes) {
-      if (change.value !== undefined) this._set(change.value, true);
-      else this._unlist(change);
+      if (change.value !== undefined) this._setListed(change.value, true);
+      else this._removeListed(change);
     }
     this.dropMissing();
   }
 
   /**
-   * Takes word of the start of an endpoint's process.
-   * @param layers - What it holds; nothing is taken for granted of an earlier life.
-   * @returns Whether the word is of the life that is known now, of a newer one or of an earlier one, which changes nothing.
+   * Records the reported start of an endpoint's process.
+   * @param layers - Layers that the process has loaded; those of an earlier life no longer apply.
+   * @returns Whether the report concerns the known life, a newer one, or an earlier one; a report on an earlier life changes nothing.
    */
   noteStart(id: string, bornAtMs: number | undefined, layers: readonly LayerSpan[]): LifeOrder {
     const endpoint = this._endpoints.get(id);
@@ -130,14 +139,16 @@
   }
 
   /**
-   * Takes an endpoint's own word that it leaves, also where its entry says otherwise or is not known yet. Only a new life ends it.
-   * @returns Whether that was news.
+   * Records that an endpoint stated that it is draining, even if its entry says otherwise or is not known yet. Only a new life ends the
+   * draining.
+   * @returns Whether this was not known yet.
    */
   noteLeaving(lifeId: string): boolean {
-    if (this._leavingLives.has(lifeId)) return false;
-    this._leavingLives.add(lifeId);
-    const [oldest] = this._leavingLives;
-    if (this._leavingLives.size > mostRemembered && oldest !== undefined) this._leavingLives.delete(oldest);
+    if (this._drainingLives.has(lifeId)) return false;
+    this._drainingLives.add(lifeId);
+    const [oldest] = this._drainingLives;
+    if (this._drainingLives.size > maxRememberedLives && oldest !== undefined)
+      this._drainingLives.delete(oldest);
     const endpoint = this.getLife(lifeId);
     if (endpoint === undefined || endpoint.listed.isDraining) return endpoint === undefined;
     endpoint.listed = { ...endpoint.listed, isDraining: true };
@@ -145,32 +156,35 @@
     return true;
   }
 
-  /** Lives of listed endpoints that said themselves that they leave. */
+  /** Returns the lives of listed endpoints that have stated that they are draining. */
   getLeavingLives(): string[] {
-    return this.getAll().flatMap(({ lifeId }) => (this._leavingLives.has(lifeId) ? [lifeId] : []));
+    return this.getAll().flatMap(({ lifeId }) => (this._drainingLives.has(lifeId) ? [lifeId] : []));
   }
 
-  /** Drops what has been missing past its grace. */
+  /** Drops the endpoints whose grace period is over. */
   dropMissing(): void {
     const nowMs = this._nowMs();
     for (const [id, dropAtMs] of this._missing) if (nowMs >= dropAtMs) this._drop(id);
   }
 
-  /** Notes evidence that an endpoint does not work: it gets no new work for a while. */
+  /**
+   * Records evidence that an endpoint does not work: the endpoint gets no new work for a while.
+   * @returns Whether the endpoint is known and was not under suspicion yet.
+   */
   suspect(id: string): boolean {
     const endpoint = this._endpoints.get(id);
     const nowMs = this._nowMs();
     if (endpoint === undefined || endpoint.isSuspect(nowMs)) return false;
-    // Heartbeats that change nothing are not told, so a calm time has to count as well.
-    if (nowMs - endpoint.suspectedAtMs > forgottenAfterMs) endpoint.suspicions = 0;
+    // Heartbeats that change nothing are not reported by the list, so that a time without suspicions has to count as well.
+    if (nowMs - endpoint.suspectedAtMs > suspicionMemoryMs) endpoint.suspicions = 0;
     endpoint.suspectedAtMs = nowMs;
-    endpoint.suspectUntilMs = nowMs + Math.min(longestSuspicionMs, suspicionMs * 2 ** endpoint.suspicions);
+    endpoint.suspectUntilMs = nowMs + Math.min(maxSuspicionMs, suspicionMs * 2 ** endpoint.suspicions);
     endpoint.suspicions += 1;
     this._notify(endpoint, "suspected");
     return true;
   }
 
-  /** Takes a suspicion back that turned out to be wrong. */
+  /** Withdraws a suspicion that turned out to be wrong. */
   clear(id: string): void {
     const endpoint = this._endpoints.get(id);
     if (endpoint === undefined || !endpoint.isSuspect(this._nowMs())) return;
@@ -180,32 +194,35 @@
   }
 
   /**
-   * Takes the others' load to be like this instance's own until one of them has told its load. After a start of all nobody knows anything
-   * for the first second: each instance then takes the same cheapest chains, and where callers come twice as fast as usual, 5 in 100
-   * requests are refused by engines; with this it is under 1 in 100, at 5 in 100 more time a token (test of many choosers).
+   * Assumes that the peers put the same load on endpoints as this instance, until one of them reports its load. After a simultaneous start
+   * of all instances none knows the loads of the others for the first second, and all choose the same cheapest chains. With callers twice
+   * as fast as usual, engines rejected 5 % of the requests without this assumption and less than 1 % with it, at 5 % more time per token
+   * (see the test of many choosers).
    */
   assumePeers(count: number): void {
     if (this._mayAssumePeers) this._assumedPeers.count = count;
   }
 
-  /** From now on only what peers tell counts. */
+  /** Ends the assumption: from now on only the loads that peers report count. */
   endAssumption(): void {
     this._mayAssumePeers = false;
     this._assumedPeers.count = 0;
   }
 
-  /** Takes a peer's load on all endpoints, by the ids of their lives; those not named have none of it. */
+  /**
+   * Sets the load of a peer on all endpoints, keyed by the ids of their lives; endpoints without an entry have no load of this peer.
+   */
   setPeerLoads(peer: string, loads: ReadonlyMap<string, EndpointLoad>): void {
     this.endAssumption();
     for (const endpoint of this._endpoints.values()) endpoint.setPeerLoad(peer, loads.get(endpoint.lifeId));
   }
 
-  /** Forgets the load of peers that are no longer reached. */
+  /** Removes the loads of peers that can no longer be reached. */
   keepPeerLoads(peers: ReadonlySet<string>): void {
     for (const endpoint of this._endpoints.values()) endpoint.keepPeerLoads(peers);
   }
 
-  private _set(listed: ListedEndpoint, isHeartbeat: boolean): void {
+  private _setListed(listed: ListedEndpoint, isHeartbeat: boolean): void {
     const order = this._compareLives(listed.id, listed.bornAtMs);
     if (order === "earlier") return;
     this._missing.delete(listed.id);
@@ -213,14 +230,16 @@
     if (known === undefined) return this._add(listed);
     if (order === "newer") return this._restart(known, listed);
     const before = known.listed;
-    // A drain is never taken back for the same start of a process.
+    // Draining is final for a life of the process.
     known.listed = before.isDraining ? { ...listed, isDraining: true } : listed;
     if (isHeartbeat) this._noteHeartbeat(known);
     if (listed.isDraining && !before.isDraining) this._notify(known, "draining");
     if (JSON.stringify(listed.layers) !== JSON.stringify(before.layers)) this._notify(known, "layers");
   }
 
-  /** An endpoint that tells its start always does; a word without one is then not its own. */
+  /**
+   * Endpoints that report their start do so always; a report without a start is therefore not about the current life.
+   */
   private _compareLives(id: string, bornAtMs: number | undefined): LifeOrder {
     const newest = this._newestStarts.get(id);
     if (newest === undefined) {
@@ -237,12 +256,13 @@
     this._newestStarts.delete(id);
     this._newestStarts.set(id, bornAtMs);
     const [oldest] = this._newestStarts.keys();
-    if (this._newestStarts.size > mostRemembered && oldest !== undefined) this._newestStarts.delete(oldest);
+    if (this._newestStarts.size > maxRememberedLives && oldest !== undefined)
+      this._newestStarts.delete(oldest);
   }
 
   /**
-   * An endpoint that starts again is another one: what it held, its load, room, suspicions and resets are those of a process that is
-   * gone, and work that passes it is lost.
+   * Replaces an endpoint whose process has restarted. Its layers, load, capacity, suspicions and resets belong to a process that no longer
+   * exists, and work that passes through that process is lost.
    */
   private _restart(before: Endpoint, listed: ListedEndpoint): void {
     this._missing.delete(before.id);
@@ -252,11 +272,13 @@
     this._notify(endpoint, "added");
   }
 
-  /** An entry that was dropped is gone, unless the store has just come back; one that can't be read may be written anew. */
-  private _unlist({ key, isUnreadable }: Change<ListedEndpoint>): void {
+  /**
+   * Marks an endpoint whose entry was removed as missing. An entry that cannot be parsed may be written again within the grace period.
+   */
+  private _removeListed({ key, isUnreadable }: Change<ListedEndpoint>): void {
     const endpoint = this._endpoints.get(key);
     if (endpoint === undefined) return;
-    if (isUnreadable !== true) return this._miss(endpoint);
+    if (isUnreadable !== true) return this._markMissing(endpoint);
     if (!this._missing.has(key)) this._missing.set(key, this._nowMs() + unreadableGraceMs);
   }
 
@@ -268,20 +290,20 @@
 
   private _create(listed: ListedEndpoint): Endpoint {
     const endpoint = new Endpoint(listed, this._assumedPeers);
-    if (this._leavingLives.has(endpoint.lifeId)) endpoint.listed = { ...listed, isDraining: true };
+    if (this._drainingLives.has(endpoint.lifeId)) endpoint.listed = { ...listed, isDraining: true };
     return endpoint;
   }
 
   private _noteHeartbeat(endpoint: Endpoint): void {
     const nowMs = this._nowMs();
-    if (nowMs - endpoint.suspectedAtMs < clearedByHeartbeatAfterMs) return;
+    if (nowMs - endpoint.suspectedAtMs < minHeartbeatDelayMs) return;
     endpoint.suspicions = 0;
     if (!endpoint.isSuspect(nowMs)) return;
     endpoint.suspectUntilMs = 0;
     this._notify(endpoint, "cleared");
   }
 
-  private _miss(endpoint: Endpoint): void {
+  private _markMissing(endpoint: Endpoint): void {
     const nowMs = this._nowMs();
     if (nowMs >= this._graceUntilMs) return this._drop(endpoint.id);
     if (!this._missing.has(endpoint.id)) this._missing.set(endpoint.id, this._graceUntilMs);
--- a/packages/gateway/src/discovery/EndpointWatch.ts
+++ b/packages/gateway/src/discovery/EndpointWatch.ts
@@ -1,4 +1,3 @@
-/** Follows the list of endpoints in the store. */
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { Change, ChangeFeed, StoreError } from "./ChangeFeed.js";
 import type { EndpointTable } from "./EndpointTable.js";
@@ -6,18 +5,18 @@
 import type { ListedEndpoint } from "./ListedEndpoint.js";
 
 /**
- * A held read proves only that the list was complete when it was sent, so a proof is up to twice this old. An endpoint that leaves
- * has to be known within 2 s, also after the reader of a zone has lost the store.
+ * Long-poll timeout. A long poll shows only that the list was complete when the request was sent, so that the list may be up to twice this
+ * old. A draining endpoint has to be known within 2 s, also after the reader of a zone has lost the store.
  */
-const heldReadMs = 400;
+const longPollMs = 400;
 const retryMs = 250;
 /**
- * While entries change, this pause sets how many reads a zone makes and how often its instances are told. As long as a held read, so
- * that proofs get no older by it.
+ * While entries change, this pause determines how often a zone reads the list and how often its instances are notified. It is as long as a
+ * long poll, so that it does not increase the age of the list.
  */
 const gatherMs = 400;
 
-/** One watch an instance. */
+/** Follows the list of endpoints in the store and applies its changes to the endpoint table; one per instance. */
 export class EndpointWatch {
   readonly follower: FeedFollower<ListedEndpoint>;
 
@@ -37,7 +36,7 @@
         log.info("endpoint-store-regained", { endpoints: _endpoints.getAll().length });
       },
     };
-    this.follower = new FeedFollower(feed, listener, { waitMs: heldReadMs, retryMs, gatherMs, ...clock });
+    this.follower = new FeedFollower(feed, listener, { waitMs: longPollMs, retryMs, gatherMs, ...clock });
     _endpoints.onChanged((endpoint, event) => {
       const { id, listed } = endpoint;
       const layers = listed.layers.map((span) => `${span.start}-${span.end}`);
@@ -55,15 +54,15 @@
   }
 
   /**
-   * Takes a list that a peer knew to be complete at `provenAtMs`, if that is newer than what we have.
-   * @param list - Undefined where it was the one that we had when we asked.
+   * Applies a list that was complete at `freshAtMs` according to a peer, if that is newer than the known list.
+   * @param list - Undefined where the list is the one that this instance had when it sent the request.
    */
-  takeList(list: readonly ListedEndpoint[] | undefined, nextOffset: number, provenAtMs: number): void {
+  takeList(list: readonly ListedEndpoint[] | undefined, nextOffset: number, freshAtMs: number): void {
     if (list === undefined) {
-      this.follower.takeTold({ fromOffset: nextOffset, nextOffset, changes: [] }, provenAtMs);
+      this.follower.takeTold({ fromOffset: nextOffset, nextOffset, changes: [] }, freshAtMs);
       return;
     }
     const values = new Map(list.map((listed) => [listed.id, listed]));
-    this.follower.takeSnapshot(values, nextOffset, provenAtMs);
+    this.follower.takeSnapshot(values, nextOffset, freshAtMs);
   }
 }
--- a/packages/gateway/src/discovery/FailureGuard.ts
+++ b/packages/gateway/src/discovery/FailureGuard.ts
@@ -1,69 +1,74 @@
+import { SlowStart } from "@shedtiller/routing";
+
+/** Open time after a first failure, so that a retry of the same request goes to another endpoint. */
+const firstOpenMs = 50;
+/** Open time after a second consecutive failure; doubled after each further one. */
+const secondOpenMs = 500;
+/** Maximum open time: endpoints that fail this way work again after a few seconds, and are tried at this interval. */
+const maxOpenMs = 4_000;
 /**
- * Tells an endpoint that fails each request at once (a reset, a refusal, a failure of its own) from one that failed once. An endpoint that
- * fails at once always has the least load and so attracts all requests: one engine of 190 took 3,751 sends within 6.6 s of an overloaded
- * day, and 3,100 streams ended with them.
+ * A request that cannot be retried goes to an endpoint whose last request failed only after no other request has been sent there for this
+ * long.
  */
-import { ReturnRamp } from "@shedtiller/routing";
-
-/** After one failure the endpoint is left alone for this long, so that the same request goes elsewhere. */
-const firstAvoidanceMs = 50;
-/** After a second one without an answer between them it is left alone for this long, and for twice as long after each further one. */
-const secondAvoidanceMs = 500;
-/** Endpoints that fail so are sound again after some seconds; they are tried this often. */
-const longestAvoidanceMs = 4_000;
-/** A request with no second chance tries an endpoint that failed last only if nobody else has done so for this long. */
-const untriedMs = 5_000;
+const minIdleMs = 5_000;
 
-/** One guard an endpoint, with what this instance has seen itself. */
+/**
+ * Circuit breaker for one endpoint, based on the requests of this instance. Distinguishes an endpoint that fails every request right away
+ * (by a reset, a rejection or an internal failure) from one that failed once. An endpoint that fails right away always has the least load
+ * and therefore attracts all requests: under overload one of 190 engines received 3,751 requests within 6.6 s, and 3,100 streams ended with
+ * them.
+ */
 export class FailureGuard {
   private _failures = 0;
-  private _notedAtMs = Number.NEGATIVE_INFINITY;
-  private _avoidedUntilMs = 0;
-  private readonly _ramp = new ReturnRamp();
+  private _failedAtMs = Number.NEGATIVE_INFINITY;
+  private _openUntilMs = 0;
+  private readonly _slowStart = new SlowStart();
 
-  /** Notes that an endpoint answered a request that was sent at `sentAtMs`. */
+  /** Records that the endpoint answered a request that was sent at `sentAtMs`. */
   noteAnswered(sentAtMs = Number.POSITIVE_INFINITY): void {
-    if (sentAtMs <= this._notedAtMs) return;
+    if (sentAtMs <= this._failedAtMs) return;
     this._failures = 0;
-    this._ramp.noteAnswered(sentAtMs);
+    this._slowStart.noteAnswered(sentAtMs);
   }
 
   /**
-   * Notes a request that failed. Those that failed with it count as one.
+   * Records a failed request. Requests that fail together count as one failure.
    * @param sentAtMs - Monotonic time at which the request was sent.
    */
   noteFailed(sentAtMs: number, nowMs: number): void {
-    if (sentAtMs <= this._notedAtMs) return;
-    this._notedAtMs = nowMs;
+    if (sentAtMs <= this._failedAtMs) return;
+    this._failedAtMs = nowMs;
     this._failures += 1;
-    const avoidanceMs =
-      this._failures === 1
-        ? firstAvoidanceMs
-        : Math.min(longestAvoidanceMs, secondAvoidanceMs * 2 ** (this._failures - 2));
-    this._avoidedUntilMs = nowMs + avoidanceMs;
-    this._ramp.start(nowMs);
+    const openMs =
+      this._failures === 1 ? firstOpenMs : Math.min(maxOpenMs, secondOpenMs * 2 ** (this._failures - 2));
+    this._openUntilMs = nowMs + openMs;
+    this._slowStart.start(nowMs);
   }
 
   noteSent(nowMs: number): void {
-    this._ramp.noteSent(nowMs);
+    this._slowStart.noteSent(nowMs);
   }
 
   noteNotSent(): void {
-    this._ramp.noteNotSent();
+    this._slowStart.noteNotSent();
   }
 
-  /** Whether the endpoint gets nothing new from this instance now, unless nothing else is left. */
+  /**
+   * Returns whether the circuit is open, so that this instance sends no new requests to the endpoint unless no other is available.
+   */
   isAvoided(nowMs: number): boolean {
-    return nowMs < this._avoidedUntilMs;
+    return nowMs < this._openUntilMs;
   }
 
-  /** Whether it is avoided, or has no answer yet to the first requests that went there after that. */
+  /**
+   * Returns whether the circuit is open, or the slow start after its opening admits no further request until one is answered.
+   */
   isOnProbation(nowMs: number): boolean {
-    return this.isAvoided(nowMs) || this._ramp.isFull(nowMs);
+    return this.isAvoided(nowMs) || this._slowStart.isFull(nowMs);
   }
 
-  /** Whether it failed last, so that a request which can't be sent again is better off elsewhere. */
+  /** Returns whether the last request failed. A request that cannot be retried should then go to another endpoint. */
   isUnproven(nowMs: number): boolean {
-    return this._failures > 0 && nowMs < this._avoidedUntilMs + untriedMs;
+    return this._failures > 0 && nowMs < this._openUntilMs + minIdleMs;
   }
 }
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -1,35 +1,34 @@
-/**
- * Follows a change feed: a snapshot first, then changes, with a new snapshot where the history has a gap. It reads the store by
- * itself, or takes what another instance has read.
- */
 import { utils } from "@shedtiller/common";
 import type { Change, ChangeFeed, FeedPage, StoreError } from "./ChangeFeed.js";
 
-/** Without a proof for this long the store counts as away; a follower that takes pages from a peer notices by this. */
-const awayAfterMs = 4_000;
-/** After a page with changes the next read waits, so that changes that come in a row are read together. */
+/**
+ * The store counts as unavailable once the set has not been known to be current for this long; a follower that gets its pages from a peer
+ * detects an outage this way.
+ */
+const unavailableAfterMs = 4_000;
+/** Pause after a page with changes, so that changes in quick succession are read together. */
 const gatherIntervalMs = 200;
 /**
- * Failed reads of a follower that does not read for others double their pause up to this. While a store that turns calls away for eight
- * seconds was asked by all of 195 instances every 250 ms, they made 12,000 calls.
+ * Maximum pause after failed reads of a follower that reads for itself only; the pause doubles up to this. With a fixed pause of 250 ms,
+ * 195 instances made 12,000 calls to a store that rejected calls for 8 s.
  */
-const longestRetryMs = 2_000;
-/** The pause doubles this often at most, so that the power stays a small number. */
-const mostRetryDoublings = 8;
+const maxRetryMs = 2_000;
+/** Maximum number of doublings of the pause, which bounds the exponent. */
+const maxRetryDoublings = 8;
 
-/** What a follower reports to. */
+/** Receives the values and changes that a follower reads. */
 export interface FeedListener<T> {
-  /** All values at `provenAtMs` (monotonic); keys that are absent have been dropped. */
-  onSnapshot(values: ReadonlyMap<string, T>, provenAtMs: number): void;
-  /** Changes, possibly none: the set is complete as of `provenAtMs`. */
-  onChanges(changes: readonly Change<T>[], provenAtMs: number): void;
+  /** Called with all values as of `freshAtMs` (monotonic); keys that are absent have been removed. */
+  onSnapshot(values: ReadonlyMap<string, T>, freshAtMs: number): void;
+  /** Called with changes, possibly none: the set is complete as of `freshAtMs`. */
+  onChanges(changes: readonly Change<T>[], freshAtMs: number): void;
   onLost(error: StoreError): void;
   onRegained(): void;
 }
 
-/** How a follower paces its calls. */
+/** Timing of a follower's calls. */
 export interface FollowOptions {
-  /** How long the store may hold a read. */
+  /** How long the store may keep a read open (long polling). */
   readonly waitMs: number;
   /** Pause after a failed read. */
   readonly retryMs: number;
@@ -41,33 +40,38 @@
   readonly pause?: (durationMs: number, signal: AbortSignal) => Promise<void>;
 }
 
-/** A read of the store, or what a peer tells of one. */
-export interface ToldPage<T> {
-  /** Where the read began. */
+/** A page of the feed that a peer has read from the store. */
+export interface PeerPage<T> {
+  /** Offset at which the read began. */
   readonly fromOffset: number;
   readonly nextOffset: number;
-  /** Undefined where the peer tells only that something has changed. */
+  /** Undefined where the peer reports only that something has changed. */
   readonly changes: readonly Change<T>[] | undefined;
 }
 
-/** One task that follows until its signal aborts. */
+/**
+ * Follows a change feed, from a snapshot on and with a new snapshot where the history has a gap. Reads the store itself, or applies pages
+ * that another instance has read.
+ */
 export class FeedFollower<T> {
   private readonly _nowMs: () => number;
   private readonly _pause: (durationMs: number, signal: AbortSignal) => Promise<void>;
   private readonly _readListeners: ((page: FeedPage<T>, fromOffset: number) => void)[] = [];
   private _offset: number | undefined;
-  private _provenAtMs = Number.NEGATIVE_INFINITY;
+  private _freshAtMs = Number.NEGATIVE_INFINITY;
   private _isLost = false;
   private _isReader = true;
-  private _isStandIn = false;
-  /** The next read is answered at once: nothing has been proven for a while, or there is something to catch up with. */
-  private _isHurried = true;
-  /** Since when something newer is known to exist that was not read yet. */
+  private _isFallbackReader = false;
+  /**
+   * Whether the next read returns without long polling, because the freshness of the set is unknown or changes are known to be missing.
+   */
+  private _isNextReadImmediate = true;
+  /** Monotonic time since which changes have been known to exist that have not been read. */
   private _behindSinceMs: number | undefined;
-  /** Up to where changes are known to exist. */
-  private _knownEnd = 0;
+  /** Offset up to which changes are known to exist. */
+  private _knownEndOffset = 0;
   private _failures = 0;
-  private _woken = new utils.Deferred<void>();
+  private _wakeUp = new utils.Deferred<void>();
 
   constructor(
     private readonly _feed: ChangeFeed<T>,
@@ -78,84 +82,91 @@
     this._pause = _options.pause ?? utils.sleep;
   }
 
-  /** Where reading goes on; undefined before the first snapshot. */
+  /** The offset of the next read; undefined before the first snapshot. */
   get nextOffset(): number | undefined {
     return this._offset;
   }
 
-  /** How old the proof is that the set is complete. */
+  /** Returns the time since the set was last known to be current. */
   getProofAgeMs(): number {
-    return this._nowMs() - this._provenAtMs;
+    return this._nowMs() - this._freshAtMs;
   }
 
-  /** For how long something newer has been known to exist that was not read yet. */
+  /** Returns how long changes have been known to exist that have not been read. */
   getBehindMs(): number {
     return this._behindSinceMs === undefined ? 0 : this._nowMs() - this._behindSinceMs;
   }
 
-  /** Calls `listener` with each page of changes that this follower has read by itself. */
+  /** Calls `listener` with each page of changes that this follower has read from the store itself. */
   onRead(listener: (page: FeedPage<T>, fromOffset: number) => void): void {
     this._readListeners.push(listener);
   }
 
-  /** Whether it reads only since nobody told it anything for too long. */
+  /** Whether this follower reads the store only because it has received no page from a peer for too long. */
   get isStandIn(): boolean {
-    return this._isReader && this._isStandIn;
+    return this._isReader && this._isFallbackReader;
   }
 
   /**
-   * Sets whether this follower reads the store all the time.
-   * @param isStandIn - Whether it does so only until it is told again: its failed reads double their pause.
+   * Sets whether this follower reads the store continuously.
+   * @param isStandIn - Whether it does so only until a peer sends pages again; the pause after failed reads then doubles.
    */
   setReader(isReader: boolean, isStandIn = false): void {
-    this._isStandIn = isStandIn;
+    this._isFallbackReader = isStandIn;
     if (isReader === this._isReader) return;
     this._isReader = isReader;
-    this._isHurried = true;
-    if (isReader) this._woken.resolve();
+    this._isNextReadImmediate = true;
+    if (isReader) this._wakeUp.resolve();
   }
 
-  /** Takes what a peer has read. What does not join on is read from the store. */
-  takeTold(page: ToldPage<T>, provenAtMs: number): void {
+  /**
+   * Applies a page that a peer has read. A page that does not continue at the known offset causes a read of the store.
+   */
+  takeTold(page: PeerPage<T>, freshAtMs: number): void {
     if (this._offset === undefined || page.nextOffset < this._offset) return;
     const isKnown = page.nextOffset === this._offset;
-    this._knownEnd = Math.max(this._knownEnd, page.nextOffset);
+    this._knownEndOffset = Math.max(this._knownEndOffset, page.nextOffset);
     if (!isKnown && (page.changes === undefined || page.fromOffset !== this._offset)) return this._catchUp();
-    this._noteProofGap(provenAtMs);
-    this._moveTo(page.nextOffset);
-    this._accept(isKnown ? [] : (page.changes ?? []), provenAtMs);
+    this._noteFreshnessGap(freshAtMs);
+    this._advanceTo(page.nextOffset);
+    this._applyChanges(isKnown ? [] : (page.changes ?? []), freshAtMs);
   }
 
-  /** Takes a whole set that a peer knew to be complete at `provenAtMs`, unless ours is newer. */
-  takeSnapshot(values: ReadonlyMap<string, T>, nextOffset: number, provenAtMs: number): void {
-    if (provenAtMs <= this._provenAtMs || nextOffset < (this._offset ?? 0)) return;
-    this._moveTo(nextOffset);
-    this._provenAtMs = provenAtMs;
-    this._listener.onSnapshot(values, provenAtMs);
+  /** Applies a complete set that was current at `freshAtMs` according to a peer, unless the known one is newer. */
+  takeSnapshot(values: ReadonlyMap<string, T>, nextOffset: number, freshAtMs: number): void {
+    if (freshAtMs <= this._freshAtMs || nextOffset < (this._offset ?? 0)) return;
+    this._advanceTo(nextOffset);
+    this._freshAtMs = freshAtMs;
+    this._listener.onSnapshot(values, freshAtMs);
   }
 
-  /** Takes note that what the store has before an offset came from elsewhere. It proves nothing: something newer may exist. */
+  /**
+   * Advances to an offset whose preceding changes were obtained from another source. The set does not become fresher by that, since newer
+   * changes may exist.
+   */
   takeAhead(nextOffset: number): void {
-    if (this._offset !== undefined && nextOffset > this._offset) this._moveTo(nextOffset);
+    if (this._offset !== undefined && nextOffset > this._offset) this._advanceTo(nextOffset);
   }
 
-  /** Follows until `signal` aborts. */
+  /** Follows the feed until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    signal.addEventListener("abort", () => this._woken.resolve(), { once: true });
+    signal.addEventListener("abort", () => this._wakeUp.resolve(), { once: true });
     while (!signal.aborted) {
       if (this._isIdle()) await this._waitUntilWoken();
       else await this._readAndPause(signal);
     }
   }
 
-  /** Whether peers tell all that there is to know: it does not read for others, and has nothing to catch up with. */
+  /**
+   * Returns whether peers provide all changes, so that this follower neither reads for others nor has changes to catch up on.
+   */
   private _isIdle(): boolean {
     return this._offset !== undefined && !this._isReader && this._behindSinceMs === undefined;
   }
 
   private async _waitUntilWoken(): Promise<void> {
-    await this._woken.promise;
-    this._woken = new utils.Deferred();
+    await this._wakeUp.promise;
+    this._wakeUp = new utils.Deferred();
   }
 
   private async _readAndPause(signal: AbortSignal): Promise<void> {
@@ -168,7 +179,7 @@
 
   private _getPauseMs(error: StoreError | undefined, offsetBefore: number | undefined): number {
     if (error !== undefined) return this._getRetryMs();
-    // A store that has not got yet what a peer was given is asked again, but not all the time.
+    // A store that does not have changes yet that a peer has received is read again, with a pause between reads.
     const isWaiting = this._offset === offsetBefore && this._behindSinceMs === undefined;
     return isWaiting ? 0 : (this._options.gatherMs ?? gatherIntervalMs);
   }
@@ -177,71 +188,73 @@
     const error =
       this._offset === undefined ? await this._readSnapshot() : await this._readChanges(this._offset);
     if (error !== undefined) this._behindSinceMs ??= this._isReader ? undefined : this._nowMs();
-    else if (this._offset !== undefined) this._moveTo(this._offset);
+    else if (this._offset !== undefined) this._advanceTo(this._offset);
     return error;
   }
 
-  /** Goes on from an offset; nothing is left to catch up with once all that is known to exist lies before it. */
-  private _moveTo(nextOffset: number): void {
+  /** Advances to an offset. Nothing is left to catch up on once that reaches the end of the known changes. */
+  private _advanceTo(nextOffset: number): void {
     this._offset = nextOffset;
-    this._knownEnd = Math.max(this._knownEnd, nextOffset);
-    if (nextOffset === this._knownEnd) this._behindSinceMs = undefined;
+    this._knownEndOffset = Math.max(this._knownEndOffset, nextOffset);
+    if (nextOffset === this._knownEndOffset) this._behindSinceMs = undefined;
   }
 
   private async _readSnapshot(): Promise<StoreError | undefined> {
-    const askedAtMs = this._nowMs();
+    const requestedAtMs = this._nowMs();
     const snapshot = await this._feed.getSnapshot();
     if (snapshot.err) return snapshot.val;
     this._noteAnswered();
-    this._moveTo(snapshot.val.nextOffset);
-    this._provenAtMs = askedAtMs;
-    this._listener.onSnapshot(snapshot.val.values, askedAtMs);
+    this._advanceTo(snapshot.val.nextOffset);
+    this._freshAtMs = requestedAtMs;
+    this._listener.onSnapshot(snapshot.val.values, requestedAtMs);
     return undefined;
   }
 
   private async _readChanges(offset: number): Promise<StoreError | undefined> {
-    const askedAtMs = this._nowMs();
-    const waitMs = this._isHurried || !this._isReader ? 0 : this._options.waitMs;
-    this._isHurried = false;
+    const requestedAtMs = this._nowMs();
+    const waitMs = this._isNextReadImmediate || !this._isReader ? 0 : this._options.waitMs;
+    this._isNextReadImmediate = false;
     const page = await this._feed.getChanges(offset, waitMs);
     if (page.err) return page.val;
     this._noteAnswered();
     if (page.val.isCompacted) return this._readSnapshot();
-    // A peer told the same changes while this read was under way.
+    // A peer sent the same changes while this read was in progress.
     if (this._offset !== undefined && this._offset > offset && page.val.nextOffset <= this._offset)
       return undefined;
-    this._moveTo(page.val.nextOffset);
-    this._accept(page.val.changes, askedAtMs);
+    this._advanceTo(page.val.nextOffset);
+    this._applyChanges(page.val.changes, requestedAtMs);
     for (const listener of this._readListeners) listener(page.val, offset);
     return undefined;
   }
 
-  private _accept(changes: readonly Change<T>[], provenAtMs: number): void {
-    this._provenAtMs = Math.max(this._provenAtMs, provenAtMs);
-    this._listener.onChanges(changes, this._provenAtMs);
+  private _applyChanges(changes: readonly Change<T>[], freshAtMs: number): void {
+    this._freshAtMs = Math.max(this._freshAtMs, freshAtMs);
+    this._listener.onChanges(changes, this._freshAtMs);
   }
 
-  /** Something newer exists than what was told; it is read from the store at once. */
+  /** Reads the store at once, since changes exist beyond those that peers sent. */
   private _catchUp(): void {
     this._behindSinceMs ??= this._nowMs();
-    this._isHurried = true;
-    this._woken.resolve();
+    this._isNextReadImmediate = true;
+    this._wakeUp.resolve();
   }
 
-  /** A peer that proves something after a long pause has just got the store back. */
-  private _noteProofGap(provenAtMs: number): void {
-    if (provenAtMs - this._provenAtMs > awayAfterMs || this._isLost) this._listener.onRegained();
+  /**
+   * Notifies the listener that the store has recovered, since a peer has read it after a long gap or after a failed read.
+   */
+  private _noteFreshnessGap(freshAtMs: number): void {
+    if (freshAtMs - this._freshAtMs > unavailableAfterMs || this._isLost) this._listener.onRegained();
     this._isLost = false;
   }
 
-  /** The listener learns that the store is back before it gets what the store says. */
+  /** Notifies the listener that the store has recovered before the content of the answer is passed on. */
   private _noteAnswered(): void {
     if (this._isLost) this._listener.onRegained();
     this._isLost = false;
   }
 
   private _noteFailed(error: StoreError): void {
-    this._isHurried = true;
+    this._isNextReadImmediate = true;
     this._failures += 1;
     if (!this._isLost) this._listener.onLost(error);
     this._isLost = true;
@@ -249,7 +262,7 @@
 
   private _getRetryMs(): number {
     const { retryMs } = this._options;
-    if (this._isReader && !this._isStandIn) return retryMs;
-    return Math.min(longestRetryMs, retryMs * 2 ** Math.min(this._failures - 1, mostRetryDoublings));
+    if (this._isReader && !this._isFallbackReader) return retryMs;
+    return Math.min(maxRetryMs, retryMs * 2 ** Math.min(this._failures - 1, maxRetryDoublings));
   }
 }
--- a/packages/gateway/src/discovery/ListedEndpoint.ts
+++ b/packages/gateway/src/discovery/ListedEndpoint.ts
@@ -1,7 +1,7 @@
-/** An endpoint as service discovery lists it. */
+/** The entry of an endpoint in service discovery. */
 import * as zod from "zod";
 
-/** A contiguous range of layers, `end` exclusive. */
+/** A contiguous range of layers; `end` is exclusive. */
 export const layerSpanSchema = zod.object({
   start: zod.number().int().nonnegative(),
   end: zod.number().int().nonnegative(),
@@ -9,23 +9,23 @@
 export type LayerSpan = zod.infer<typeof layerSpanSchema>;
 
 export const listedEndpointSchema = zod.object({
-  /** Names the endpoint; a process that starts again may have the same. */
+  /** Identifies the endpoint; a restarted process may reuse the id. */
   id: zod.string().min(1),
   service: zod.string(),
-  /** IP and port. */
+  /** IP address and port. */
   address: zod.string(),
   availabilityZone: zod.string(),
   slots: zod.number().int().nonnegative(),
   isDraining: zod.boolean(),
   /** Name of the accelerator kind, for engines. */
   kind: zod.string().optional(),
-  /** Layers held, for engines; empty while none are. */
+  /** Loaded layers, for engines; empty while none are loaded. */
   layers: zod.array(layerSpanSchema),
-  /** Names of the models held. */
+  /** Names of the loaded models. */
   modelNames: zod.array(zod.string()),
   /**
-   * Unix milliseconds of the start of its process: an endpoint that starts again under its id holds and knows nothing of before.
-   * Compared with other starts of the same id only. Undefined where endpoints don't tell it.
+   * Start of the process in Unix milliseconds: a restarted endpoint has none of the layers and state of its previous life. Compared only
+   * with other starts under the same id. Undefined where endpoints don't report it.
    */
   bornAtMs: zod.number().int().optional(),
 });
--- a/packages/gateway/src/discovery/PermitHand.ts
+++ b/packages/gateway/src/discovery/LocalPermits.ts
@@ -1,27 +1,29 @@
-/** The permits that this instance has in hand for one endpoint with a limit, and its sends from before the limit was known. */
 import { WindowedCount } from "@shedtiller/routing";
 
-/** Sends of this time before a limit was known count against it. */
-const chargedMs = 1_000;
+/** Sends within this time before a limit became known count against the limit. */
+const chargedWindowMs = 1_000;
 
-/** What is to be told of permits with the next ask. */
+/** Usage of permits that the next request for permits reports. */
 export interface PermitAccount {
   readonly used: number;
-  /** Permits that ran out unused. */
+  /** Permits that expired unused. */
   readonly returned: number;
   /** Sends without a permit. */
   readonly charged: number;
 }
 
-/** One for each life of an endpoint. */
-export class PermitHand {
-  /** Monotonic times at which the permits in hand run out, the earliest first. */
+/**
+ * Holds the permits that this instance may use for one life of an endpoint with a limit, and counts its sends from before the limit became
+ * known.
+ */
+export class LocalPermits {
+  /** Monotonic times at which the local permits expire, the earliest first. */
   private _expiresAtMs: number[] = [];
   private _used = 0;
   private _returned = 0;
-  private _free = new WindowedCount(chargedMs);
+  private _unlimitedSends = new WindowedCount(chargedWindowMs);
 
-  /** Permits that may be used now. */
+  /** Returns the number of permits that may be used now. */
   getCount(nowMs: number): number {
     this._dropExpired(nowMs);
     return this._expiresAtMs.length;
@@ -32,7 +34,7 @@
     this._expiresAtMs.sort((a, b) => a - b);
   }
 
-  /** Takes a permit; gives the time at which it runs out, or undefined where there is none. */
+  /** Takes a permit and returns the time at which the permit expires; undefined where there is none. */
   tryTake(nowMs: number): number | undefined {
     this._dropExpired(nowMs);
     const expiresAtMs = this._expiresAtMs.shift();
@@ -40,33 +42,33 @@
     return expiresAtMs;
   }
 
-  /** Takes back a permit that was not used after all. */
+  /** Returns a permit that was not used after all. */
   giveBack(expiresAtMs: number): void {
     this.add(1, expiresAtMs);
     this._used -= 1;
   }
 
-  /** Notes a send while no limit is known. */
-  noteFree(nowMs: number): void {
-    this._free.add(nowMs);
+  /** Counts a send while no limit is known. */
+  noteUnlimitedSend(nowMs: number): void {
+    this._unlimitedSends.add(nowMs);
   }
 
-  /** Gives the account since the last one, and begins a new one. */
+  /** Returns the usage since the last call, and starts counting anew. */
   takeAccount(nowMs: number): PermitAccount {
     this._dropExpired(nowMs);
-    // One that was told as used and came back since is not told again.
+    // A permit that was reported as used and returned afterwards is not reported again.
     const account = {
       used: Math.max(0, this._used),
       returned: this._returned,
-      charged: this._free.get(nowMs),
+      charged: this._unlimitedSends.get(nowMs),
     };
     this._used = Math.min(0, this._used);
     this._returned = 0;
-    this._free = new WindowedCount(chargedMs);
+    this._unlimitedSends = new WindowedCount(chargedWindowMs);
     return account;
   }
 
-  /** Drops all permits, as when the limit has ended. */
+  /** Removes all permits, for example when the limit has ended. */
   clear(): void {
     this._expiresAtMs = [];
     this._used = 0;
--- a/packages/routing/src/EndpointDirectory.ts
+++ b/packages/routing/src/EndpointDirectory.ts
@@ -1,53 +1,58 @@
-/** What one instance knows of all endpoints: listed state, reports, and its own evidence, which goes first. */
 import { utils } from "@shedtiller/common";
 import type { ListedInstance } from "@shedtiller/logservice";
 import { getBoundariesThatReach } from "./choosers/ChainChooser.js";
 import type { EngineReport, LayerRange } from "./EngineReport.js";
-import { OutlierGuard } from "./OutlierGuard.js";
+import { OutlierEjection } from "./OutlierEjection.js";
 
-/** An endpoint as the directory holds it. */
+/** An endpoint with its listed state, its last report, and the observations of this instance. */
 export interface EndpointEntry {
   readonly name: string;
   readonly role: "engine" | "service";
   readonly service: string | undefined;
   readonly availabilityZone: string;
   readonly address: string;
-  /** Seen to be leaving, by the list, the endpoint's own word or a peer's. Never taken back for this address. */
+  /** Whether the endpoint is draining according to the list, its own report or a peer. Final for this address. */
   isLeaving: boolean;
-  /** Our own last contact failed. Cleared by the next report that comes from the endpoint itself. */
+  /** Whether the last direct contact of this instance failed. Cleared by the next report that comes from the endpoint itself. */
   isUnreachable: boolean;
   report: EngineReport | undefined;
   reportAtMs: number;
-  /** Is to hold something else soon; new work goes elsewhere where it can. */
+  /** Whether the endpoint is to load other layers soon; new work goes to other endpoints where possible. */
   isRetiring: boolean;
-  /** Streams of ours that have this endpoint in their chain. */
+  /** Streams of this instance that have the endpoint in their chain. */
   ownStreams: number;
-  /** What `ownStreams` was when the report in hand was made, so that nothing is counted twice. */
+  /** Value of `ownStreams` when the last report arrived, so that no stream is counted twice. */
   ownStreamsAtReport: number;
 }
 
-/** An engine that holds layers, ready to be chosen. */
+/** An engine with loaded layers that may be chosen. */
 export interface EngineCandidate {
   readonly entry: EndpointEntry;
   readonly report: EngineReport;
   readonly layers: LayerRange;
 }
 
-/** Holds the endpoints and answers which may get new work. */
+/**
+ * Knows the endpoints from the platform's list, their reports and direct contacts, and returns those that may get new work. Direct
+ * observations of this instance take precedence.
+ */
 export class EndpointDirectory {
-  readonly outliers = new OutlierGuard();
+  readonly outliers = new OutlierEjection();
   private readonly _entries = new Map<string, EndpointEntry>();
   private readonly _leavingListeners: ((entry: EndpointEntry) => void)[] = [];
 
-  /** Takes a page of the platform's list. Endpoints that are no longer listed are dropped. */
+  /** Replaces the entries by those of the platform's list. Endpoints that are no longer listed are removed. */
   setListed(instances: readonly ListedInstance[]): void {
     const listed = instances.filter((instance) => instance.role !== "entry");
     const names = new Set(listed.map((instance) => instance.name));
     for (const name of this._entries.keys()) if (!names.has(name)) this._entries.delete(name);
-    for (const instance of listed) this._setOne(instance);
+    for (const instance of listed) this._setListedOne(instance);
   }
 
-  /** Takes a report. `isDirect` tells that the endpoint itself sent it to us just now. */
+  /**
+   * Records a report.
+   * @param isDirect - Whether the endpoint itself has just sent the report to this instance.
+   */
   setReport(report: EngineReport, isDirect: boolean): void {
     const entry = this._entries.get(report.name);
     if (entry === undefined) return;
@@ -58,7 +63,7 @@
     if (report.state === "leaving") this.markLeaving(report.name);
   }
 
-  /** Notes that an endpoint is leaving; it gets no new work from here on. */
+  /** Records that an endpoint is draining; the endpoint gets no new work from now on. */
   markLeaving(name: string): void {
     const entry = this._entries.get(name);
     if (entry === undefined || entry.isLeaving) return;
@@ -66,19 +71,19 @@
     for (const listener of this._leavingListeners) listener(entry);
   }
 
-  /** Notes that a direct contact failed. */
+  /** Records that a direct contact failed. */
   markUnreachable(name: string): void {
     const entry = this._entries.get(name);
     if (entry !== undefined) entry.isUnreachable = true;
   }
 
-  /** Notes that a direct contact worked. */
+  /** Records that a direct contact succeeded. */
   markReachable(name: string): void {
     const entry = this._entries.get(name);
     if (entry !== undefined) entry.isUnreachable = false;
   }
 
-  /** Calls `listener` once for each endpoint that begins to leave. */
+  /** Calls `listener` once for each endpoint that starts draining. */
   onLeaving(listener: (entry: EndpointEntry) => void): void {
     this._leavingListeners.push(listener);
   }
@@ -91,13 +96,16 @@
     return [...this._entries.values()];
   }
 
-  /** Versions of a model that live engines hold. */
+  /** Returns the versions of a model that engines report. */
   getVersions(model: string): string[] {
     const reports = this.getEntries().flatMap((entry) => entry.report ?? []);
     return [...new Set(reports.filter((report) => report.model === model).map((report) => report.version))];
   }
 
-  /** Whether the engines may make up a whole chain of a version again, by their last reports; one without a report may hold any. */
+  /**
+   * Returns whether the engines may form a complete chain of a version, by their last reports; an engine without a report may have any
+   * layers.
+   */
   mayHaveChain(model: string, version: string, layerCount: number): boolean {
     const engines = this.getEntries().filter((entry) => entry.role === "engine");
     if (engines.some((entry) => entry.report === undefined)) return true;
@@ -109,25 +117,25 @@
     return getBoundariesThatReach(ranges, layerCount).has(0);
   }
 
-  /** Engines that may get new work for a model version. */
+  /** Returns the engines that may get new work for a model version. */
   getEngines(model: string, version: string): EngineCandidate[] {
     const candidates: EngineCandidate[] = [];
     for (const entry of this._entries.values()) {
       const report = entry.report;
-      if (report?.layers === undefined || !isOpenToWork(entry)) continue;
+      if (report?.layers === undefined || !acceptsWork(entry)) continue;
       if (report.state !== "live" || report.model !== model || report.version !== version) continue;
       candidates.push({ entry, report, layers: report.layers });
     }
-    return this._withoutEjected(candidates);
+    return this._withoutOutliers(candidates);
   }
 
-  /** Endpoints of a plain service that may get new work. */
+  /** Returns the endpoints of a plain service that may get new work. */
   getServiceEndpoints(service: string): EndpointEntry[] {
-    return this.getEntries().filter((entry) => entry.service === service && isOpenToWork(entry));
+    return this.getEntries().filter((entry) => entry.service === service && acceptsWork(entry));
   }
 
-  /** Ejection acts among engines with the same layers, so that it never takes the last one of a range. */
-  private _withoutEjected(candidates: readonly EngineCandidate[]): EngineCandidate[] {
+  /** Ejects outliers among engines with the same layers only, so that the last engine of a layer range is never ejected. */
+  private _withoutOutliers(candidates: readonly EngineCandidate[]): EngineCandidate[] {
     const byRange = new Map<string, EngineCandidate[]>();
     for (const candidate of candidates) {
       const key = candidate.layers.join("-");
@@ -139,7 +147,7 @@
     return [...byRange.values()].flatMap((group) => this.outliers.withoutEjected(group, getName));
   }
 
-  private _setOne(instance: ListedInstance): void {
+  private _setListedOne(instance: ListedInstance): void {
     const known = this._entries.get(instance.name);
     if (known === undefined || known.address !== instance.address) {
       this._entries.set(instance.name, createEntry(instance));
@@ -148,7 +156,7 @@
   }
 }
 
-function isOpenToWork(entry: EndpointEntry): boolean {
+function acceptsWork(entry: EndpointEntry): boolean {
   return !entry.isLeaving && !entry.isUnreachable;
 }
 
--- a/packages/routing/src/EndpointRest.ts
+++ b/packages/routing/src/EndpointRest.ts
@@ -1,69 +1,71 @@
-/** The rest that an endpoint has asked this instance for. Other instances may be welcome there, so that none is told. */
-import { ReturnRamp } from "./ReturnRamp.js";
+import { SlowStart } from "./SlowStart.js";
 
-/** Statuses with which an endpoint turns a request away for a time (RFC 9110, section 15.6.4; RFC 6585, section 4). */
+/** Statuses with which an endpoint rejects a request temporarily (RFC 9110, section 15.6.4; RFC 6585, section 4). */
 export const turnedAwayStatuses: readonly number[] = [429, 503];
-/** An endpoint that is out for longer leaves, or starts again; a longer time is more likely a slip. */
+/** Maximum back-off: an endpoint that is unavailable for longer stops or restarts, and a longer time is more likely a mistake. */
 export const longestRestMs = 600_000;
-/** A request with no second chance tries an endpoint that comes back only if nobody else has done so for this long. */
-const untriedMs = 5_000;
+/** A request that cannot be retried goes to an endpoint in slow start only after no other request has been sent there for this long. */
+const minIdleMs = 5_000;
 
-/** One for each life of an endpoint. */
+/**
+ * The back-off that one life of an endpoint has requested from this instance, followed by a slow start. Not shared with other instances,
+ * whose requests the endpoint may accept.
+ */
 export class EndpointRest {
   private _fromMs = 0;
   private _untilMs = 0;
-  private _isEndNoted = true;
-  private readonly _ramp = new ReturnRamp();
+  private _isEndReported = true;
+  private readonly _slowStart = new SlowStart();
 
-  /** Monotonic time of the end of the last rest. */
+  /** Monotonic time of the end of the last back-off. */
   get untilMs(): number {
     return this._untilMs;
   }
 
-  /** Whether it has hardly been tried since its last rest. Where nobody else tries it for a while, anyone may. */
+  /** Returns whether few requests have been sent since the last back-off. After a while without requests any request may be sent. */
   isUnproven(nowMs: number): boolean {
-    return !this._ramp.isOver && nowMs < this._untilMs + untriedMs;
+    return !this._slowStart.isOver && nowMs < this._untilMs + minIdleMs;
   }
 
   /**
-   * Notes that it wants nothing until `untilMs`. Each answer binds for its own time, so that a shorter one takes nothing back.
-   * @returns Whether it was not resting yet.
+   * Extends the back-off to `untilMs`. Each answer applies for its own time, so that a shorter time does not shorten the back-off.
+   * @returns Whether the endpoint was not in back-off yet.
    */
   note(untilMs: number, nowMs: number): boolean {
     const isNew = this.getLeftMs(nowMs) === 0;
     if (isNew) this._fromMs = nowMs;
     this._untilMs = Math.max(this._untilMs, untilMs);
-    this._isEndNoted = false;
-    this._ramp.start(this._untilMs);
+    this._isEndReported = false;
+    this._slowStart.start(this._untilMs);
     return isNew;
   }
 
-  /** Time until the rest ends; 0 where there is none. */
+  /** Returns the time until the back-off ends; 0 where there is none. */
   getLeftMs(nowMs: number): number {
     return Math.max(0, this._untilMs - nowMs);
   }
 
-  /** Whether a request may go there now. After a rest few go first. */
+  /** Returns whether a request may be sent now. After a back-off the slow start limits the requests. */
   mayBegin(nowMs: number): boolean {
-    return this.getLeftMs(nowMs) === 0 && !this._ramp.isFull(nowMs);
+    return this.getLeftMs(nowMs) === 0 && !this._slowStart.isFull(nowMs);
   }
 
   noteSent(nowMs: number): void {
-    this._ramp.noteSent(nowMs);
+    this._slowStart.noteSent(nowMs);
   }
 
   noteNotSent(): void {
-    this._ramp.noteNotSent();
+    this._slowStart.noteNotSent();
   }
 
   noteAnswered(sentAtMs: number): void {
-    this._ramp.noteAnswered(sentAtMs);
+    this._slowStart.noteAnswered(sentAtMs);
   }
 
-  /** Gives how long the last rest lasted, once after its end. */
+  /** Returns the duration of the last back-off, once after its end. */
   takeEndedMs(nowMs: number): number | undefined {
-    if (this._isEndNoted || this.getLeftMs(nowMs) > 0) return undefined;
-    this._isEndNoted = true;
+    if (this._isEndReported || this.getLeftMs(nowMs) > 0) return undefined;
+    this._isEndReported = true;
     return this._untilMs - this._fromMs;
   }
 }
--- a/packages/routing/src/RetryBudget.ts
+++ b/packages/routing/src/RetryBudget.ts
@@ -1,16 +1,17 @@
-/** A budget that holds retries to a share of live traffic, so that a fault is not made worse by retrying. */
-
 const defaultShare = 0.2;
 const defaultReserve = 10;
 
-/** Each request adds a share of a retry; each retry takes one. The reserve lets a quiet instance retry at all. */
+/**
+ * Limits retries to a share of the live traffic, so that retries don't amplify a fault. Each request adds a fraction of a retry, and each
+ * retry takes one. The reserve allows an instance with little traffic to retry at all.
+ */
 export class RetryBudget {
   private _balance: number;
 
   /**
    * @param share - Retries allowed per request.
-   * @param reserve - Largest balance.
-   * @param initialBalance - Balance at the start; less than the reserve where a restart must not give a full one.
+   * @param _reserve - Maximum balance.
+   * @param initialBalance - Balance at the start; less than the reserve where a restart must not grant a full one.
    */
   constructor(
     readonly share = defaultShare,
@@ -20,12 +21,12 @@
     this._balance = initialBalance;
   }
 
-  /** Largest balance. */
+  /** The maximum balance. */
   get reserve(): number {
     return this._reserve;
   }
 
-  /** Sets the largest balance; what is above it is lost, and nothing is added. */
+  /** Sets the maximum balance; a balance above the maximum is reduced, and nothing is added. */
   setReserve(reserve: number): void {
     this._reserve = reserve;
     this._balance = Math.min(this._balance, reserve);
@@ -40,7 +41,10 @@
     this._balance = Math.min(this.reserve, this._balance + retries);
   }
 
-  /** Takes one retry from the budget; tells whether there was one. */
+  /**
+   * Takes one retry from the budget.
+   * @returns Whether the budget allowed a retry.
+   */
   tryTake(): boolean {
     if (this._balance < 1) return false;
     this._balance -= 1;
--- a/packages/routing/src/WindowedCount.ts
+++ b/packages/routing/src/WindowedCount.ts
@@ -1,9 +1,10 @@
-/** Counts events over a sliding window, in slices, so that memory does not grow with the events. */
-
-/** Slices of a window: what is counted may be this part of the window older than the window is long. */
+/** Slices per window. An event may be counted for up to one slice longer than the window. */
 const slicesPerWindow = 20;
 
-/** One counter. It never counts an event for less than the window, so that a bound on the count holds for every window. */
+/**
+ * Counts events over a sliding window, in slices, so that memory does not grow with the number of events. An event is never counted for
+ * less than the window, so that a bound on the count holds for every window.
+ */
 export class WindowedCount {
   private readonly _slices = new Float64Array(slicesPerWindow + 1);
   private _slice = 0;
@@ -20,13 +21,13 @@
     this._sum += 1;
   }
 
-  /** Events of the window that ends at a monotonic time. */
+  /** Returns the number of events in the window that ends at a monotonic time. */
   get(nowMs: number): number {
     this._advance(nowMs);
     return this._sum;
   }
 
-  /** Empties the slices that have fallen out of the window. */
+  /** Clears the slices that have left the window. */
   private _advance(nowMs: number): void {
     const slice = Math.floor((nowMs * slicesPerWindow) / this._windowMs);
     const passed = Math.min(this._slices.length, slice - this._slice);
--- a/packages/routing/src/choosers/ChainChooser.ts
+++ b/packages/routing/src/choosers/ChainChooser.ts
@@ -1,23 +1,25 @@
-/** The choice of a chain of engines that covers all layers of a model. */
 import type { EngineCandidate } from "../EndpointDirectory.js";
 
-/** What a choice is made for. */
+/** Parameters of a choice. */
 export interface ChoiceOptions {
   readonly layerCount: number;
   /** Availability zone of the choosing instance. */
   readonly availabilityZone: string;
-  /** Instances that choose among the same engines, this one included; 1 where that is not known. */
+  /** Number of instances that choose among the same engines, including this one; 1 where that is not known. */
   readonly instanceCount?: number;
-  /** Endpoints that must not be chosen, for a retry. */
+  /** Names of endpoints that must not be chosen, for a retry. */
   readonly excluded?: ReadonlySet<string>;
 }
 
-/** Builds chains stage by stage; variants differ in how they pick among the engines that fit next. */
+/**
+ * Chooses a chain of engines that covers all layers of a model, stage by stage; subclasses differ in how they choose among the engines that
+ * can come next.
+ */
 export abstract class ChainChooser {
-  /** Name of the variant, for the bench and the metrics. */
+  /** Name of the variant, for the benchmark and the metrics. */
   abstract readonly name: string;
 
-  /** Gives a chain from layer 0 to the last, or undefined where the candidates don't cover the layers. */
+  /** Returns a chain from the first layer to the last, or undefined where the candidates don't cover the layers. */
   choose(candidates: readonly EngineCandidate[], options: ChoiceOptions): EngineCandidate[] | undefined {
     const usable = candidates.filter((candidate) => options.excluded?.has(candidate.entry.name) !== true);
     const reachesEnd = getBoundariesThatReach(usable, options.layerCount);
@@ -33,22 +35,22 @@
     return chain;
   }
 
-  /** Picks one of the engines that fit at a boundary. There is always at least one. */
+  /** Chooses one of the engines that can come next. There is always at least one. */
   protected abstract pickStage(fitting: readonly EngineCandidate[], options: ChoiceOptions): EngineCandidate;
 }
 
-/** The layer boundaries from which a chain can reach the last layer. */
+/** Returns the layer boundaries from which a chain can reach the last layer. */
 export function getBoundariesThatReach(
   candidates: readonly Pick<EngineCandidate, "layers">[],
   layerCount: number,
 ): Set<number> {
-  const reaching = new Set([layerCount]);
+  const boundaries = new Set([layerCount]);
   const byEnd = [...candidates].sort((a, b) => b.layers[1] - a.layers[1] || b.layers[0] - a.layers[0]);
-  for (const candidate of byEnd) if (reaching.has(candidate.layers[1])) reaching.add(candidate.layers[0]);
-  return reaching;
+  for (const candidate of byEnd) if (boundaries.has(candidate.layers[1])) boundaries.add(candidate.layers[0]);
+  return boundaries;
 }
 
-/** Picks one of a list that has at least one item. */
+/** Returns the first item of a list that has at least one. */
 export function pickFirst<T>(items: readonly T[]): T {
   return items[0] as T;
 }
--- a/packages/routing/src/choosers/ExpectedTimeChooser.ts
+++ b/packages/routing/src/choosers/ExpectedTimeChooser.ts
@@ -1,15 +1,17 @@
-/** Our choice: the chain with the least expected time for a token, over all stages at once. */
 import type { utils } from "@shedtiller/common";
 import type { EngineCandidate } from "../EndpointDirectory.js";
 import { ChainChooser, type ChoiceOptions } from "./ChainChooser.js";
 
 const crossZoneMs = 1.5;
-/** Slight preference for the emptier of engines that are not full. */
+/** Weight of the load of an engine that is not full, which slightly favours the less loaded engine. */
 const fillWeight = 0.5;
-/** Relative spread of the random factor that keeps instances with the same reports from choosing alike. */
+/** Relative spread of the random factor that keeps instances with the same reports from making the same choice. */
 const spread = 0.1;
 
-/** Shortest path over layer boundaries; the length of an engine is its expected time for one step. */
+/**
+ * Chooses the chain with the least expected time per token over all stages, as the shortest path over layer boundaries. The length of an
+ * engine is its expected time for one step.
+ */
 export class ExpectedTimeChooser extends ChainChooser {
   readonly name = "expected-time";
 
@@ -26,8 +28,8 @@
       .sort((a, b) => a.layers[0] - b.layers[0] || a.layers[1] - b.layers[1]);
     const best = new Map<number, Path>([[0, { timeMs: 0, last: undefined, before: undefined }]]);
     for (const candidate of usable) this._extend(best, candidate, options);
-    const whole = best.get(options.layerCount);
-    return whole === undefined ? undefined : unwind(whole);
+    const path = best.get(options.layerCount);
+    return path === undefined ? undefined : unwind(path);
   }
 
   protected override pickStage(fitting: readonly EngineCandidate[], options: ChoiceOptions): EngineCandidate {
@@ -35,7 +37,7 @@
     return timed.reduce((best, next) => (next.timeMs < best.timeMs ? next : best)).candidate;
   }
 
-  /** Candidates come in order of their first layer, so each path that reaches it is final. */
+  /** Candidates are sorted by their first layer, so that the best path to that layer is already final. */
   private _extend(best: Map<number, Path>, candidate: EngineCandidate, options: ChoiceOptions): void {
     const before = best.get(candidate.layers[0]);
     if (before === undefined) return;
@@ -46,23 +48,24 @@
   }
 
   /**
-   * A batched step takes its time whether its slots are full or not, and a stream is at this engine only for its part of
-   * the layers; so an engine costs no more until that many streams are there, and in proportion from then on.
+   * Returns the expected time of a step at an engine. A batched step takes the same time whether or not its slots are full, and a stream
+   * occupies the engine only for its share of the layers. An engine therefore costs no more until its slots are filled, and proportionally
+   * more from then on.
    */
   private _getTimeMs(candidate: EngineCandidate, options: ChoiceOptions): number {
     const { entry, report, layers } = candidate;
     const linkMs = entry.availabilityZone === options.availabilityZone ? 0 : crossZoneMs;
-    const part = (layers[1] - layers[0]) / options.layerCount;
-    const fill = getExpectedLoad(candidate, options.instanceCount ?? 1) * part;
+    const share = (layers[1] - layers[0]) / options.layerCount;
+    const fill = getExpectedLoad(candidate, options.instanceCount ?? 1) * share;
     const timeMs = linkMs + report.stepMs * (Math.max(1, fill) + fillWeight * fill);
     return timeMs * (1 + spread * this._random.nextUnit());
   }
 }
 
 /**
- * Streams per slot now: what was reported, and what began or ended here since. A report can be so old that it shows none
- * of a rush; but an instance knows its own streams, and takes the others to have as many, which keeps them all
- * from running to the same engine between two reports.
+ * Returns the expected streams per slot: the reported ones, corrected by the streams of this instance that have begun or ended since. A
+ * report can be too old to show a sudden rise in load; assuming that the other instances have as many streams as this one keeps all
+ * instances from choosing the same engine between two reports.
  */
 export function getExpectedLoad(candidate: EngineCandidate, instanceCount: number): number {
   const { entry, report } = candidate;
--- a/packages/routing/src/choosers/baselines.ts
+++ b/packages/routing/src/choosers/baselines.ts
@@ -1,14 +1,14 @@
-/** Simple variants, kept as baselines that the bench compares against. */
+/** Simple variants that serve as baselines in the benchmark. */
 import { utils } from "@shedtiller/common";
 import type { EngineCandidate } from "../EndpointDirectory.js";
 import { ChainChooser, pickFirst } from "./ChainChooser.js";
 
-/** Streams per slot that the last report shows. */
+/** Returns the streams per slot according to the last report. */
 export function getReportedLoad(candidate: EngineCandidate): number {
   return candidate.report.activeStreams / candidate.report.slots;
 }
 
-/** Any engine that fits, each as likely as the next. */
+/** Chooses at random among the engines that can come next, with equal probability. */
 export class RandomChooser extends ChainChooser {
   readonly name = "random";
 
@@ -21,7 +21,7 @@
   }
 }
 
-/** Each engine that fits in turn. */
+/** Chooses the engines that can come next in turn. */
 export class RoundRobinChooser extends ChainChooser {
   readonly name = "round-robin";
   private readonly _turns = new Map<number, number>();
@@ -34,7 +34,7 @@
   }
 }
 
-/** The engine whose last report shows the least load. */
+/** Chooses the engine with the least load according to its last report. */
 export class LeastReportedChooser extends ChainChooser {
   readonly name = "least-reported";
 
@@ -43,7 +43,7 @@
   }
 }
 
-/** The better reported of two random engines (Mitzenmacher, 2001). */
+/** Chooses the less loaded of two random engines, according to their last reports (Mitzenmacher, 2001). */
 export class TwoChoicesChooser extends ChainChooser {
   readonly name = "two-choices";
 
--- a/packages/routing/src/tests/routingTests.ts
+++ b/packages/routing/src/tests/routingTests.ts
@@ -8,7 +8,7 @@
 } from "../choosers/index.js";
 import { EndpointDirectory } from "../EndpointDirectory.js";
 import type { EngineReport, LayerRange } from "../EngineReport.js";
-import { OutlierGuard } from "../OutlierGuard.js";
+import { OutlierEjection } from "../OutlierEjection.js";
 import { RetryBudget } from "../RetryBudget.js";
 
 function createReport(name: string, layers: LayerRange, structure: Partial<EngineReport> = {}): EngineReport {
@@ -107,7 +107,7 @@
 
 test("an endpoint that failed three times in a row is left out for a while, but never more than half of them", (t) => {
   let nowMs = 0;
-  const guard = new OutlierGuard(() => nowMs);
+  const guard = new OutlierEjection(() => nowMs);
   for (let count = 0; count < 3; count++) guard.recordFailure("a");
   t.deepEqual(
     guard.withoutEjected(["a", "b", "c"], (name) => name),
