--- a/packages/gateway/src/orders/EngineOrders.ts
+++ b/packages/gateway/src/orders/EngineOrders.ts
@@ -1,70 +1,69 @@
-/** Orders to engines and their reports, as the platform offers them. */
 import { errors, type results } from "@shedtiller/common";
 import type { LayerSpan } from "../discovery/ListedEndpoint.js";
 import type { CallError } from "../http/HttpCall.js";
 import type { StatedAnswer } from "../http/EndpointStatement.js";
 import type { ChainStage } from "../http/MessageCodec.js";
 
-/** What an engine tells of itself; some hundred milliseconds old. */
+/** The state that an engine reports about itself; some hundred milliseconds old. */
 export interface EngineReport {
-  /** Unix milliseconds of the start of its process; undefined where engines don't tell it. */
+  /** Start of the process in Unix milliseconds; undefined where engines don't report it. */
   readonly bornAtMs?: number | undefined;
-  /** Orders that it has begun since its start. */
+  /** Number of orders that the process has begun. */
   readonly orderCount: number;
-  /** Whether an order is under way. */
+  /** Whether an order is in progress. */
   readonly isBusy: boolean;
   readonly layers: readonly LayerSpan[];
   readonly running: number;
   readonly queued: number;
   readonly usedTokenLayers: number;
   readonly totalTokenLayers: number;
-  /** Factor by which it is slower than its kind; 1 is nominal. */
+  /** Factor by which the engine is slower than its accelerator kind; 1 is nominal. */
   readonly slowness: number;
-  /** Requests, begun here, that stand still, each with the address of the engine that they wait for. */
+  /** Requests that began at this engine and have stalled, each with the address of the engine that they are waiting for. */
   readonly stalled: readonly { readonly requestId: string; readonly address: string }[];
 }
 
-/** An engine did not do what it was ordered to. */
+/** An engine rejected an order. */
 export class OrderRefusedError extends errors.ShedtillerError {
   readonly code = "order_refused";
 
   constructor(
     readonly address: string,
     readonly status: number,
-    /** The engine at fault, where the refusal names one. */
+    /** Address of the faulty engine, where the rejection names one. */
     readonly faultyAddress: string | undefined,
   ) {
-    super(`The engine at ${address} refused an order with status ${status}.`);
+    super(`The engine at ${address} rejected an order with status ${status}.`);
   }
 }
 
-/** A report of a process that has ended since, or that never was this engine's. */
+/** A report comes from a process that has ended since, or that never was the process of this engine. */
 export class EarlierLifeError extends errors.ShedtillerError {
   readonly code = "earlier_life";
 
   constructor(readonly address: string) {
-    super(`What the engine at ${address} reported is of an earlier start of its process.`);
+    super(`The report of the engine at ${address} belongs to an earlier start of its process.`);
   }
 }
 
 export type OrderError = CallError | OrderRefusedError | EarlierLifeError | errors.InvalidInputError;
 
-/** An engine that orders and questions go to. */
+/** The recipient of orders and report requests. */
 export interface OrderTarget {
   readonly id: string;
   readonly address: string;
-  /** Names the life of its process that is meant; left out where that makes no difference. */
+  /** Identifies the life of the engine's process that is addressed; omitted where it makes no difference. */
   readonly lifeId?: string;
 }
 
-/** Told what an answer to an order or a question states of its engine. */
+/** Receives the statements about an engine in its answer to an order or a report request. */
 export type OrderAnswerListener = (target: OrderTarget, answer: StatedAnswer) => void;
 
-/** Sends orders and reads reports. */
+/** Sends orders to engines and reads their reports. */
 export abstract class EngineOrders {
   private readonly _listeners: OrderAnswerListener[] = [];
 
-  /** Calls `listener` with what each answer states of its engine. */
+  /** Calls `listener` with the statements of each answer about its engine. */
   onAnswer(listener: OrderAnswerListener): void {
     this._listeners.push(listener);
   }
@@ -74,8 +73,9 @@
   }
 
   /**
-   * Asks an engine for its report.
-   * @param isFresh - Whether a connection of its own is used. A kept one may have gone silent, which tells nothing of the engine.
+   * Requests the report of an engine.
+   * @param isFresh - Whether to open a new connection. A pooled connection may no longer work, which does not show that the engine has
+   * failed.
    */
   abstract getReport(
     target: OrderTarget,
@@ -84,8 +84,9 @@
   ): Promise<results.Result<EngineReport, OrderError>>;
 
   /**
-   * Orders an engine to hold a span of layers and no others; layers given up wait for what still passes them.
-   * @param expectedOrderCount - The order does nothing if the engine has begun another number of orders.
+   * Orders an engine to load a span of layers and to drop all others; dropped layers remain loaded until the requests that pass through
+   * them have ended.
+   * @param expectedOrderCount - The order has no effect if the engine has begun a different number of orders.
    */
   abstract placeLayers(
     target: OrderTarget,
@@ -93,7 +94,7 @@
     expectedOrderCount: number,
   ): Promise<results.Result<void, OrderError>>;
 
-  /** Moves a running request, begun at `target`, to another chain with the same first engine. */
+  /** Moves a running request that began at `target` to another chain with the same first engine. */
   abstract changeChain(
     target: OrderTarget,
     requestId: string,
--- a/packages/gateway/src/orders/EnginePoll.ts
+++ b/packages/gateway/src/orders/EnginePoll.ts
@@ -1,4 +1,3 @@
-/** Asks the engines in turn how slow they are, so that chains avoid those that slow down without failing. */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -7,26 +6,29 @@
 import type { EngineOrders } from "./EngineOrders.js";
 import { getSlowness } from "./getSlowness.js";
 
-/** Each engine is asked once in this time, by one instance for all of its zone. A question is priced like a health check. */
-const roundMs = 2_000;
+/** Interval at which each engine is polled, by one instance for its whole zone. A poll costs about as much as a health check. */
+const pollIntervalMs = 2_000;
 const idleMs = 500;
 const reportTimeoutMs = 500;
-/** Only changes by more than this are told. */
-const toldChange = 0.2;
+/** Smaller changes of the slowness are not reported. */
+const minReportedChange = 0.2;
 
-/** What a poll works with. */
+/** Dependencies of {@link EnginePoll}. */
 export interface EnginePollStructure {
   readonly keeper: ConfigurationKeeper;
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
   readonly availabilityZone: string;
-  /** Whether this instance asks for its zone now. */
+  /** Whether this instance polls the engines of its zone now. */
   readonly mayAsk: () => boolean;
   readonly tell: (endpointId: string, slowness: number) => void;
 }
 
-/** One task an instance; it asks the engines of its zone while it is its turn. */
+/**
+ * Polls the slowness of the engines of a zone in turn while this instance has that role, so that chains avoid engines that slow down
+ * without failing; one per instance.
+ */
 export class EnginePoll {
   constructor(private readonly _structure: EnginePollStructure) {}
 
@@ -36,8 +38,8 @@
       if (engines.length === 0) await utils.sleep(idleMs, signal).catch(() => undefined);
       for (const engine of engines) {
         if (signal.aborted || !this._structure.mayAsk()) break;
-        void this._ask(engine);
-        await utils.sleep(roundMs / engines.length, signal).catch(() => undefined);
+        void this._poll(engine);
+        await utils.sleep(pollIntervalMs / engines.length, signal).catch(() => undefined);
       }
     }
   }
@@ -52,12 +54,12 @@
       .filter((engine) => engine.listed.layers.length > 0 && engine.rest.getLeftMs(nowMs) === 0);
   }
 
-  private async _ask(engine: Endpoint): Promise<void> {
+  private async _poll(engine: Endpoint): Promise<void> {
     const report = await this._structure.orders.getReport(engine.orderTarget, reportTimeoutMs, false);
-    // What a new life reports is of another endpoint than the one that was asked about.
+    // The report of a new life does not apply to the endpoint that was polled.
     if (report.err || this._structure.endpoints.get(engine.id) !== engine) return;
     const slowness = getSlowness(report.val);
-    if (Math.abs(slowness - engine.slowness) < toldChange) return;
+    if (Math.abs(slowness - engine.slowness) < minReportedChange) return;
     engine.slowness = slowness;
     this._structure.tell(engine.id, slowness);
     this._structure.log.info("engine-slowness", { endpointId: engine.id, slowness });
--- a/packages/gateway/src/orders/LayerKeeper.ts
+++ b/packages/gateway/src/orders/LayerKeeper.ts
@@ -1,4 +1,3 @@
-/** Sees to it that each zone holds whole copies of its models: orders what a zone's planner finds due. */
 import { utils } from "@shedtiller/common";
 import * as placement from "@shedtiller/placement";
 import { toCopyEngine, toCopyModel } from "../chains/engineModel.js";
@@ -9,52 +8,58 @@
 import type { LayerSpan } from "../discovery/ListedEndpoint.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { EngineOrders, EngineReport } from "./EngineOrders.js";
-import { LostEngines } from "./LostEngines.js";
+import { LostEngineDetector } from "./LostEngineDetector.js";
 import { getExpectedSpan, noLayers, type ZoneEngine, type ZoneOrder } from "./planZoneOrders.js";
 import { ZonePlanner } from "./ZonePlanner.js";
 
 const tickMs = 200;
-/** A zone without any copy is planned once its list has been still for longer than a heartbeat interval. */
-const settledForPlanMs = 1_500;
-/** A single engine is planned for once the list has been still for this long, so that several come together. */
-const settledForRepairMs = 300;
+/** A zone without any copy of the model is planned once no engine has been added for longer than a heartbeat interval. */
+const settledBeforePlanMs = 1_500;
+/**
+ * Orders for a zone with copies are planned once no engine has been added for this long, so that several new engines are planned for
+ * together.
+ */
+const settledBeforeRepairMs = 300;
 const reportTimeoutMs = 500;
-/** An order whose layers do not show is looked into after the load time and this much more. */
+/** An order counts as overdue if the list does not show its layers after the load time and this much more. */
 const overdueMs = 4_000;
-/** After an order that failed the engine is looked at again this much later. */
+/** An engine whose order failed is considered again after this time. */
 const retryMs = 1_000;
 
-interface Pending {
+interface PendingOrder {
   readonly span: LayerSpan;
   readonly dueAtMs: number;
 }
 
-/** What a keeper works with. */
+/** Dependencies of {@link LayerReconciler}. */
 export interface LayerKeeperStructure {
   readonly keeper: ConfigurationKeeper;
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
-  /** Whether this instance may order engines of a zone now. */
+  /** Whether this instance may send orders to the engines of a zone now. */
   readonly mayOrder: (availabilityZone: string) => boolean;
 }
 
-/** One task an instance; it acts only while the instance may give orders. */
+/**
+ * Keeps whole copies of the models loaded in each zone, by sending the orders that the planner of a zone finds due. Acts only while this
+ * instance may send orders; one per instance.
+ */
 export class LayerKeeper {
-  private readonly _pending = new Map<string, Pending>();
+  private readonly _pending = new Map<string, PendingOrder>();
   private readonly _retryAtMs = new Map<string, number>();
   private readonly _planners = new Map<string, ZonePlanner>();
   private readonly _addedAtMs = new Map<string, number>();
-  private readonly _lost: LostEngines;
+  private readonly _lostEngines: LostEngineDetector;
 
   constructor(private readonly _structure: LayerKeeperStructure) {
-    this._lost = new LostEngines(_structure.orders, _structure.log);
+    this._lostEngines = new LostEngineDetector(_structure.orders, _structure.log);
     _structure.endpoints.onChanged((endpoint, event) => {
-      if (event === "added") this._addedAtMs.set(getPool(endpoint), utils.monotonicMs());
-      // Orders to the life before are void, whether they were answered or not.
+      if (event === "added") this._addedAtMs.set(getPoolKey(endpoint), utils.monotonicMs());
+      // Orders to the previous life are void, whether or not they were answered.
       if (event === "gone" || event === "restarted") this._forget(endpoint.id);
-      if (event === "suspected" && this._isKept(endpoint)) void this._lost.check(endpoint);
-      if (event === "layers" && this._isShown(endpoint)) this._pending.delete(endpoint.id);
+      if (event === "suspected" && this._isManaged(endpoint)) void this._lostEngines.check(endpoint);
+      if (event === "layers" && this._isListedAsOrdered(endpoint)) this._pending.delete(endpoint.id);
     });
   }
 
@@ -69,8 +74,8 @@
     );
   }
 
-  /** Whether this instance orders the endpoint, as an engine of a zone. */
-  private _isKept(endpoint: Endpoint): boolean {
+  /** Returns whether this instance sends orders to the endpoint, as an engine of a zone. */
+  private _isManaged(endpoint: Endpoint): boolean {
     const { listed } = endpoint;
     return listed.layers.length > 0 && this._structure.mayOrder(listed.availabilityZone);
   }
@@ -78,30 +83,30 @@
   private async _tick(): Promise<void> {
     const services = this._structure.keeper.table?.configuration.services ?? [];
     for (const service of services) {
-      if (service.engine !== undefined) await this._keepService(service, service.engine);
+      if (service.engine !== undefined) await this._reconcileService(service, service.engine);
     }
   }
 
-  private async _keepService(service: Service, profile: EngineProfile): Promise<void> {
+  private async _reconcileService(service: Service, profile: EngineProfile): Promise<void> {
     const endpoints = this._structure.endpoints.getUsable(service.name);
     const zones = utils.groupBy(endpoints, (endpoint) => endpoint.listed.availabilityZone);
     for (const [zone, members] of zones) {
       if (!this._structure.mayOrder(zone)) continue;
-      const orders = await this._plan(this._lost.sift(members), profile);
+      const orders = await this._plan(this._lostEngines.withoutLost(members), profile);
       await Promise.all(orders.map((order) => this._order(order, profile)));
     }
   }
 
-  /** Orders that bring a zone nearer to a balance; nothing while the list still moves. */
+  /** Returns the orders that bring a zone closer to a balance; none while engines are still being added. */
   private async _plan(members: readonly Endpoint[], profile: EngineProfile): Promise<ZoneOrder[]> {
     const nowMs = utils.monotonicMs();
     const [sample] = members;
     if (sample === undefined) return [];
-    const pool = getPool(sample);
+    const pool = getPoolKey(sample);
     const engines = members.map((member) => this._toZoneEngine(member, profile, nowMs));
-    const isUnused = engines.every((engine) => getExpectedSpan(engine) === noLayers);
-    const stillMs = nowMs - (this._addedAtMs.get(pool) ?? 0);
-    if (stillMs < (isUnused ? settledForPlanMs : settledForRepairMs)) return [];
+    const isEmptyZone = engines.every((engine) => getExpectedSpan(engine) === noLayers);
+    const settledMs = nowMs - (this._addedAtMs.get(pool) ?? 0);
+    if (settledMs < (isEmptyZone ? settledBeforePlanMs : settledBeforeRepairMs)) return [];
     const planner = this._planners.get(pool) ?? new ZonePlanner();
     this._planners.set(pool, planner);
     return planner.plan(engines, toCopyModel(profile));
@@ -119,13 +124,13 @@
     };
   }
 
-  private _isShown(endpoint: Endpoint): boolean {
+  private _isListedAsOrdered(endpoint: Endpoint): boolean {
     const span = this._pending.get(endpoint.id)?.span;
     const [layers] = endpoint.listed.layers;
     return span === undefined || (layers?.start === span.start && layers.end === span.end);
   }
 
-  /** Orders one engine, after a look at what it has been ordered already. */
+  /** Sends an order to an engine after checking its report for an order in progress. */
   private async _order(order: ZoneOrder, profile: EngineProfile): Promise<void> {
     const { name, span } = order;
     const endpoint = this._structure.endpoints.get(name);
@@ -135,8 +140,8 @@
     const report = await this._structure.orders.getReport(target, reportTimeoutMs);
     if (report.err) return this._note(endpoint, span, report.val.code);
     if (this._structure.endpoints.get(name) !== endpoint) return this._note(endpoint, span, "started again");
-    const hindrance = getHindrance(order, report.val, endpoint, profile);
-    if (hindrance !== undefined) return this._note(endpoint, span, hindrance);
+    const postponeReason = getPostponeReason(order, report.val, endpoint, profile);
+    if (postponeReason !== undefined) return this._note(endpoint, span, postponeReason);
     if (!this._structure.mayOrder(endpoint.listed.availabilityZone)) return;
     const placed = await this._structure.orders.placeLayers(target, span, report.val.orderCount);
     this._note(endpoint, span, placed.ok ? "accepted" : placed.val.code);
@@ -158,19 +163,19 @@
   private _forget(id: string): void {
     this._pending.delete(id);
     this._retryAtMs.delete(id);
-    this._lost.forget(id);
+    this._lostEngines.forget(id);
   }
 }
 
-/** Why an engine can't be given an order now; undefined where it can. */
-function getHindrance(
+/** Returns why an engine can't receive an order now; undefined where it can. */
+function getPostponeReason(
   order: ZoneOrder,
   report: EngineReport,
   endpoint: Endpoint,
   profile: EngineProfile,
 ): string | undefined {
   if (report.isBusy) return "busy";
-  // What it holds besides, or no longer, shows in the list soon.
+  // Differences between the engine and the list disappear with the engine's next entry.
   if (JSON.stringify(report.layers) !== JSON.stringify(endpoint.listed.layers)) return "not as listed";
   if (order.isUrgent) return undefined;
   const layers = order.span.end - order.span.start;
@@ -179,6 +184,6 @@
   return report.usedTokenLayers < roomTokenLayers ? undefined : "in use";
 }
 
-function getPool(endpoint: Endpoint): string {
+function getPoolKey(endpoint: Endpoint): string {
   return `${endpoint.listed.service}\u0000${endpoint.listed.availabilityZone}`;
 }
--- a/packages/gateway/src/orders/LeaderElection.ts
+++ b/packages/gateway/src/orders/LeaderElection.ts
@@ -1,15 +1,17 @@
-/** Who among the instances gives orders, as the platform's store decides it. */
 import type { results } from "@shedtiller/common";
 import type { StoreError } from "../discovery/ChangeFeed.js";
 
-/** One election; a leader stays in office while it keeps campaigning. */
+/** Elects the instance that may send orders, as the platform's store decides; a leader stays leader while it keeps campaigning. */
 export abstract class LeaderElection {
-  /** Takes part, or stays in office; tells whether this instance leads for the next `termMs`. */
+  /**
+   * Campaigns for leadership, or renews it.
+   * @returns Whether this instance leads for the next `termMs`.
+   */
   abstract campaign(): Promise<results.Result<boolean, StoreError>>;
 
-  /** Gives up the office, so that another instance follows at once. */
+  /** Gives up leadership, so that another instance can take over at once. */
   abstract resign(): Promise<void>;
 
-  /** How long an instance leads after the start of a campaign that it won. */
+  /** How long an instance leads, counted from the start of the campaign that it won. */
   abstract readonly termMs: number;
 }
--- a/packages/gateway/src/orders/LeaderSeat.ts
+++ b/packages/gateway/src/orders/LeaderSeat.ts
@@ -1,25 +1,24 @@
-/** Keeps up the campaign, and tells whether this instance may give orders now. */
 import { utils } from "@shedtiller/common";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { LeaderElection } from "./LeaderElection.js";
 
-/** Campaigns in a term: one may be lost without losing the office. */
+/** Campaigns per leadership term, so that a single lost campaign does not end the leadership. */
 const campaignsPerTerm = 3;
-/** The holder stops acting this much before its term ends, by its own clock. */
-const safetyMs = 500;
+/** The leader stops acting this long before its term ends by its own clock. */
+const safetyMarginMs = 500;
 
-/** Choices of a seat. */
+/** Options of {@link Leadership}. */
 export interface LeaderSeatOptions {
-  /** Whether this instance campaigns though it does not lead. The one that leads goes on in any case. */
+  /** Whether this instance campaigns while it does not lead. A leader campaigns in any case. */
   readonly mayCampaign?: () => boolean;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: () => number;
 }
 
-/** The seat of one instance. */
+/** The leadership of this instance: campaigns regularly, and tells whether the instance may send orders now. */
 export class LeaderSeat {
   private _untilMs = Number.NEGATIVE_INFINITY;
-  private _isHeld = false;
+  private _wasLeader = false;
   /** Whether the store may count this instance among the candidates. */
   private _isMember = false;
   private readonly _nowMs: () => number;
@@ -32,7 +31,7 @@
     this._nowMs = _options.nowMs ?? utils.monotonicMs;
   }
 
-  /** Whether this instance leads now. To be asked just before each order. */
+  /** Returns whether this instance leads now. Checked immediately before each order. */
   isHeld(): boolean {
     return this._nowMs() < this._untilMs;
   }
@@ -52,8 +51,8 @@
   }
 
   /**
-   * Campaigns, or withdraws where this instance is no candidate any more: the store may give the office to any member of the
-   * group, and one that does not look would hold it unused for a whole term.
+   * Campaigns, or withdraws where this instance is no longer a candidate: the store may elect any member of the group, and one that does
+   * not campaign would hold the leadership unused for a whole term.
    */
   async campaignIfDue(): Promise<void> {
     if (this.isHeld() || this._options.mayCampaign?.() !== false) await this.campaign();
@@ -66,20 +65,22 @@
     await this._election.resign();
   }
 
-  /** Campaigns once. A term counts from before the call, since the store may have begun it any time after. */
+  /** Campaigns once. The term counts from before the call, since the store may have started it at any time after that. */
   async campaign(): Promise<void> {
     const startedAtMs = this._nowMs();
     this._isMember = true;
     const won = await this._election.campaign();
     if (won.ok) {
-      this._untilMs = won.val ? startedAtMs + this._election.termMs - safetyMs : Number.NEGATIVE_INFINITY;
+      this._untilMs = won.val
+        ? startedAtMs + this._election.termMs - safetyMarginMs
+        : Number.NEGATIVE_INFINITY;
     }
     this._noteChange();
   }
 
   private _noteChange(): void {
-    if (this._isHeld === this.isHeld()) return;
-    this._isHeld = this.isHeld();
-    this._log.info(this._isHeld ? "leader-began" : "leader-ended", { untilMs: Math.round(this._untilMs) });
+    if (this._wasLeader === this.isHeld()) return;
+    this._wasLeader = this.isHeld();
+    this._log.info(this._wasLeader ? "leader-began" : "leader-ended", { untilMs: Math.round(this._untilMs) });
   }
 }
--- a/packages/gateway/src/orders/LifeCheckedOrders.ts
+++ b/packages/gateway/src/orders/LifeCheckedOrders.ts
@@ -1,7 +1,3 @@
-/**
- * Orders and reports of engines whose processes may start again under the same id: a report of an earlier life is no report, and one of a
- * newer life is told to the table of endpoints before anybody draws conclusions from it.
- */
 import { results } from "@shedtiller/common";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { LayerSpan } from "../discovery/ListedEndpoint.js";
@@ -14,13 +10,16 @@
   type OrderTarget,
 } from "./EngineOrders.js";
 
-/** Wraps the platform's orders; one for an instance. */
+/**
+ * Wraps the platform's orders for engines whose processes may restart under the same id: rejects a report of an earlier life, and passes a
+ * newer life to the endpoint table before the report is used; one per instance.
+ */
 export class LifeCheckedOrders extends EngineOrders {
-  /** @param _tellPeers - Called once for each restart that a report showed first. */
+  /** @param _tellPeers - Called once for each restart that a report revealed first. */
   constructor(
     private readonly _orders: EngineOrders,
     private readonly _endpoints: EndpointTable,
-    private readonly _tellPeers: (endpointId: string, bornAtMs: number) => void,
+    private readonly _broadcastRestart: (endpointId: string, bornAtMs: number) => void,
   ) {
     super();
   }
@@ -35,11 +34,14 @@
     const { bornAtMs, layers } = report.val;
     const order = this._endpoints.noteStart(target.id, bornAtMs, layers);
     if (order === "earlier") return results.Err(new EarlierLifeError(target.address));
-    if (order === "newer" && bornAtMs !== undefined) this._tellPeers(target.id, bornAtMs);
+    if (order === "newer" && bornAtMs !== undefined) this._broadcastRestart(target.id, bornAtMs);
     return report;
   }
 
-  /** The count of orders that an order names is of the report just read: an order that meets another life begins with a count of 0. */
+  /**
+   * Forwards the order unchanged. The expected order count comes from the latest report, and a new life counts from 0, so that an order
+   * that reaches another life has no effect.
+   */
   override placeLayers(
     target: OrderTarget,
     span: LayerSpan,
--- a/packages/gateway/src/orders/LostEngines.ts
+++ b/packages/gateway/src/orders/LostEngineDetector.ts
@@ -1,31 +1,30 @@
-/**
- * Tells which engines are lost though the list still has them: their entries lapse only after several heartbeats, and a zone
- * whose chains are broken can't wait for that.
- */
 import { utils } from "@shedtiller/common";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { EngineOrders } from "./EngineOrders.js";
 
-/** Engines answer questions for their report at once; links take a few milliseconds. */
+/** Timeout of report requests: engines answer them at once, and links take a few milliseconds. */
 const reportTimeoutMs = 150;
-const askAgainMs = 100;
-/** An engine that is lost is asked this often whether it answers again. */
-const askLostMs = 500;
-/** One question may be lost on its way. */
-const failuresOfLost = 2;
-/** Where more of a zone than this share does not answer, the link to the zone is at fault and not its engines. */
-const mostLostShare = 0.5;
+const retryMs = 100;
+/** Interval at which a lost engine is probed. */
+const lostProbeIntervalMs = 500;
+/** Failed probes after which an engine counts as lost, since a single probe may be lost in transit. */
+const failuresUntilLost = 2;
+/** If more than this share of a zone's engines does not answer, the link to the zone has failed rather than its engines. */
+const maxLostShare = 0.5;
 
 interface Probe {
   failures: number;
   isUnderWay: boolean;
-  /** Monotonic time of the next question. */
+  /** Monotonic time of the next probe. */
   nextAtMs: number;
 }
 
-/** One for an instance; asks while the instance gives orders. */
-export class LostEngines {
+/**
+ * Detects engines that are lost although the list still contains them: entries expire only after several missed heartbeats, and a zone with
+ * broken chains can't wait for that. Probes engines while this instance sends orders; one per instance.
+ */
+export class LostEngineDetector {
   private readonly _probes = new Map<string, Probe>();
 
   /** @param _nowMs - Monotonic clock, replaced in tests. */
@@ -35,14 +34,14 @@
     private readonly _nowMs: () => number = utils.monotonicMs,
   ) {}
 
-  /** Asks those of a zone's engines that are under suspicion or were lost, and gives the ones that are not lost. */
-  sift(members: readonly Endpoint[]): Endpoint[] {
+  /** Probes the engines of a zone that are under suspicion or were lost, and returns the engines that are not lost. */
+  withoutLost(members: readonly Endpoint[]): Endpoint[] {
     const nowMs = this._nowMs();
     for (const member of members) {
       if (member.isSuspect(nowMs) || this._probes.has(member.id)) void this.check(member);
     }
     const kept = members.filter((member) => !this._isLost(member.id));
-    const isZoneReached = kept.length >= members.length * (1 - mostLostShare);
+    const isZoneReached = kept.length >= members.length * (1 - maxLostShare);
     return isZoneReached ? kept : [...members];
   }
 
@@ -51,27 +50,27 @@
   }
 
   private _isLost(id: string): boolean {
-    return (this._probes.get(id)?.failures ?? 0) >= failuresOfLost;
+    return (this._probes.get(id)?.failures ?? 0) >= failuresUntilLost;
   }
 
-  /** Asks an engine until it answers or counts as lost. */
+  /** Probes an engine until it answers or counts as lost. */
   async check(member: Endpoint): Promise<void> {
     const probe = this._probes.get(member.id) ?? { failures: 0, isUnderWay: false, nextAtMs: 0 };
     this._probes.set(member.id, probe);
     if (probe.isUnderWay || this._nowMs() < probe.nextAtMs) return;
     probe.isUnderWay = true;
-    while (!(await this._answers(member))) {
+    while (!(await this._probeOnce(member))) {
       probe.failures += 1;
-      if (probe.failures === failuresOfLost) this._note(member, "engine-lost");
-      if (probe.failures >= failuresOfLost) break;
-      await utils.sleep(askAgainMs);
+      if (probe.failures === failuresUntilLost) this._note(member, "engine-lost");
+      if (probe.failures >= failuresUntilLost) break;
+      await utils.sleep(retryMs);
     }
     probe.isUnderWay = false;
-    probe.nextAtMs = this._nowMs() + askLostMs;
+    probe.nextAtMs = this._nowMs() + lostProbeIntervalMs;
   }
 
-  /** Asks an engine once; what was held against it is forgotten if it answers. */
-  private async _answers(member: Endpoint): Promise<boolean> {
+  /** Probes an engine once; an answer resets its failures. */
+  private async _probeOnce(member: Endpoint): Promise<boolean> {
     const target = member.orderTarget;
     const report = await this._orders.getReport(target, reportTimeoutMs);
     if (report.err) return false;
--- a/packages/gateway/src/orders/planZoneOrders.ts
+++ b/packages/gateway/src/orders/planZoneOrders.ts
@@ -1,17 +1,16 @@
-/** Decides which orders bring the engines of a zone from what they hold to a better balance, without a break of service. */
 import * as placement from "@shedtiller/placement";
 import type { LayerSpan } from "../discovery/ListedEndpoint.js";
 
-/** An engine of the zone. */
+/** An engine of the zone that is planned. */
 export interface ZoneEngine {
   readonly engine: placement.CopyEngine;
-  /** Layers that it holds by the list; undefined where it holds none. */
+  /** Layers that the engine has loaded according to the list; undefined where it has none. */
   readonly listed: LayerSpan | undefined;
-  /** Layers that it was ordered to hold and does not list yet. */
+  /** Layers that the engine was ordered to load and that are not listed yet. */
   readonly ordered: LayerSpan | undefined;
-  /** Requests that pass it now, as far as this instance knows. */
+  /** Requests that pass through the engine now, as far as this instance knows. */
   readonly passing: number;
-  /** Whether it may get an order now. */
+  /** Whether the engine may receive an order now. */
   readonly isFree: boolean;
 }
 
@@ -19,28 +18,28 @@
 export interface ZoneOrder {
   readonly name: string;
   readonly span: LayerSpan;
-  /** Whether the zone serves nothing until it is carried out. */
+  /** Whether the zone serves nothing until the order has been executed. */
   readonly isUrgent: boolean;
 }
 
-/** Span of an engine that holds nothing. */
+/** Span of an engine without layers. */
 export const noLayers: LayerSpan = { start: 0, end: 0 };
 
-/** What an engine holds or will hold soon. */
+/** Returns the span that an engine has loaded or will have loaded soon. */
 export function getExpectedSpan(member: ZoneEngine): LayerSpan {
   return member.ordered ?? member.listed ?? noLayers;
 }
 
-/** Whether chains inside the zone run all layers now. */
+/** Returns whether chains inside the zone cover all layers now. */
 export function isZoneWhole(members: readonly ZoneEngine[], model: placement.CopyModel): boolean {
   const listed = members.flatMap((member) => member.listed ?? []);
   return placement.isCovered({ start: 0, end: model.layerCount }, listed);
 }
 
 /**
- * Plans orders towards `target` (in the order of `members`). Engines first take on what they will hold beside what they hold;
- * only when the others have loaded theirs do they give up the rest. Where the zone is not whole, nothing can pass anyway, and an
- * engine that cannot hold both is ordered straight to its target.
+ * Plans orders that move the engines of a zone towards `target` (in the order of `members`) without interrupting the service. Engines load
+ * their new layers beside the current ones first, and drop the rest only when the other engines have loaded theirs. Where the zone is not
+ * whole, no request can pass anyway, and an engine without capacity for both spans is ordered directly to its target.
  */
 export function planZoneOrders(
   members: readonly ZoneEngine[],
@@ -59,15 +58,16 @@
       span: { start: span.start, end: span.end },
       isUrgent: !isWhole,
     };
-    if (!isGivingUp(member, span)) return [order];
+    if (!isDroppingLayers(member, span)) return [order];
     const others = members.filter((other) => other !== member).flatMap((other) => other.listed ?? []);
     const isSafe =
-      !isWhole || (isSettled && getGivenUp(member, span).every((part) => placement.isCovered(part, others)));
+      !isWhole ||
+      (isSettled && getDroppedSpans(member, span).every((part) => placement.isCovered(part, others)));
     return isSafe ? [order] : [];
   });
 }
 
-/** The span that an engine is ordered next on its way to `wanted`; undefined where it holds that already. */
+/** Returns the next span for an engine on its way to `wanted`; undefined where the engine has that span already, or has to wait. */
 function getNextSpan(
   member: ZoneEngine,
   wanted: LayerSpan,
@@ -86,13 +86,13 @@
   return isWhole ? undefined : wanted;
 }
 
-/** Whether an engine gives up some of the layers that it lists, to hold `span`. */
-export function isGivingUp(member: ZoneEngine, span: LayerSpan): boolean {
-  return getGivenUp(member, span).length > 0;
+/** Returns whether an engine drops some of its listed layers in order to load `span`. */
+export function isDroppingLayers(member: ZoneEngine, span: LayerSpan): boolean {
+  return getDroppedSpans(member, span).length > 0;
 }
 
-/** The parts of what an engine holds that are not in `span`. */
-function getGivenUp(member: ZoneEngine, span: LayerSpan): LayerSpan[] {
+/** Returns the spans of an engine's listed layers that lie outside `span`. */
+function getDroppedSpans(member: ZoneEngine, span: LayerSpan): LayerSpan[] {
   const { listed } = member;
   if (listed === undefined) return [];
   const parts = [
--- a/packages/gateway/src/tests/orders/LostEnginesTests.ts
+++ b/packages/gateway/src/tests/orders/LostEngineDetectorTests.ts
@@ -1,7 +1,7 @@
 /** An engine under suspicion that does not answer is lost before its entry lapses; one that answers is not. */
 import test from "ava";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { LostEngines } from "../../orders/LostEngines.js";
+import { LostEngineDetector } from "../../orders/LostEngineDetector.js";
 import { createEngine } from "../createParts.js";
 import { FakeEngines } from "../FakeEngines.js";
 import { SilentSink } from "../SilentSink.js";
@@ -10,11 +10,11 @@
 
 function setUp() {
   const orders = new FakeEngines();
-  const lost = new LostEngines(orders, new DecisionLog(new SilentSink(), () => 0), () => nowMs);
+  const lost = new LostEngineDetector(orders, new DecisionLog(new SilentSink(), () => 0), () => nowMs);
   const members = ["a", "b", "c"].map((id, at) => createEngine(id, at, at + 1));
   const [first] = members;
   if (first === undefined) throw new Error("There are three members.");
-  const getKept = (): string[] => lost.sift(members).map((member) => member.id);
+  const getKept = (): string[] => lost.withoutLost(members).map((member) => member.id);
   return { orders, lost, members, first, getKept };
 }
 
