--- a/packages/crashes/src/tests/CrashExchangeTests.ts
+++ b/packages/crashes/src/tests/CrashExchangeTests.ts
@@ -1,4 +1,4 @@
-/** Word of a crash goes to the own zone and a few of each other one, and these pass on what was news. */
+/** Tests that crash reports go to all instances of the own zone and to a few of each other zone, which pass on what is new to them. */
 import test from "ava";
 import type { Member, NoticeHandler, PeerIdentity } from "@shedtiller/membership";
 import { CrashExchange } from "../CrashExchange.js";
@@ -23,67 +23,67 @@
 }
 
 function create() {
-  const told: string[] = [];
+  const recipients: string[] = [];
   const invalid: string[] = [];
   const handlers = new Map<string, NoticeHandler>();
   const linked: ((peer: PeerIdentity) => void)[] = [];
   const ledger = new CrashLedger(() => 1_000_000);
-  const exchange = new CrashExchange({
+  const broadcast = new CrashExchange({
     membership: {
       self,
       getLinked: () => peers.map(toMember),
       notifyAll: (_topic, _body, wants = () => true) => {
-        told.push(...peers.filter((peer) => wants(toMember(peer))).map((peer) => peer.name));
+        recipients.push(...peers.filter((peer) => wants(toMember(peer))).map((peer) => peer.name));
       },
       onLinked: (listener) => void linked.push(listener),
       onNotice: (topic, handler) => void handlers.set(topic, handler),
     },
     onInvalid: (_topic, from) => invalid.push(from.name),
-    take: (news) => ledger.take(news),
+    take: (reports) => ledger.take(reports),
     tellAll: () => ledger.tellAll(),
     random: () => 0,
   });
   const receive = (body: unknown, from: PeerIdentity | undefined): void => {
     for (const handler of handlers.values()) handler(body, from ?? self);
   };
-  return { exchange, ledger, told, invalid, receive, linked };
+  return { broadcast, ledger, recipients, invalid, receive, linked };
 }
 
-const news: CrashReportsMessage = {
+const reports: CrashReportsMessage = {
   ...nothingTold,
   crashes: [{ lifeId: "i-1", ageMs: 5, suspects: [["d", 1]] }],
 };
 
-test("what is found here goes to all of the own zone and to two of each other one", (t) => {
-  const { exchange, told } = create();
-  exchange.tell(news);
-  t.deepEqual(told, ["a2", "a3", "b1", "b2"]);
+test("reports of this instance go to all instances of its zone and to two of each other zone", (t) => {
+  const { broadcast, recipients } = create();
+  broadcast.tell(reports);
+  t.deepEqual(recipients, ["a2", "a3", "b1", "b2"]);
 });
 
-test("what another zone tells is passed on in the own zone once; what the own zone tells is not", (t) => {
-  const { told, receive } = create();
-  receive(news, peers[3]);
-  receive(news, peers[4]);
-  t.deepEqual(told, ["a2", "a3"]);
-  receive({ ...news, crashes: [{ lifeId: "i-2", ageMs: 5, suspects: [["d", 1]] }] }, peers[0]);
-  t.deepEqual(told, ["a2", "a3"]);
+test("reports from another zone are passed on in the own zone once; reports from the own zone are not", (t) => {
+  const { recipients, receive } = create();
+  receive(reports, peers[3]);
+  receive(reports, peers[4]);
+  t.deepEqual(recipients, ["a2", "a3"]);
+  receive({ ...reports, crashes: [{ lifeId: "i-2", ageMs: 5, suspects: [["d", 1]] }] }, peers[0]);
+  t.deepEqual(recipients, ["a2", "a3"]);
 });
 
-test("a link that comes to stand brings all that is known, and nothing where nothing is", (t) => {
-  const { ledger, told, linked } = create();
+test("a new link gets all reports, and no message where there are none", (t) => {
+  const { ledger, recipients, linked } = create();
   const link = (name: string): void => {
     for (const listener of linked) listener({ name, availabilityZone: name.slice(0, 1) });
   };
   link("b4");
-  t.deepEqual(told, []);
+  t.deepEqual(recipients, []);
   ledger.noteCrash("i-1", 999_000, new Map([["d", 1]]));
   link("b4");
-  t.deepEqual(told, ["b4"]);
+  t.deepEqual(recipients, ["b4"]);
 });
 
-test("a message that is not in its form changes nothing", (t) => {
+test("an invalid message changes nothing", (t) => {
   const { ledger, invalid, receive } = create();
-  for (const body of [null, {}, { ...news, crashes: [{ lifeId: 7 }] }, { ...news, holds: "none" }])
+  for (const body of [null, {}, { ...reports, crashes: [{ lifeId: 7 }] }, { ...reports, holds: "none" }])
     receive(body, peers[0]);
   t.is(invalid.length, 4);
   t.true(ledger.isEmpty);
--- a/packages/crashes/src/tests/CrashLedgerTests.ts
+++ b/packages/crashes/src/tests/CrashLedgerTests.ts
@@ -15,7 +15,7 @@
   return { clock, ledger, crash };
 }
 
-test("a request is held back after three crashes at its beginning in a row", (t) => {
+test("a request is quarantined after three consecutive crashes in its initial phase", (t) => {
   const { ledger, crash } = create();
   t.is(ledger.getStanding("a"), "unknown");
   crash("a", "b");
@@ -26,7 +26,7 @@
   t.is(ledger.getStanding("b"), "suspected");
 });
 
-test("a run that outlives its beginning clears its request of what was before", (t) => {
+test("a run that survives its initial phase clears its request of earlier crashes", (t) => {
   const { clock, ledger, crash } = create();
   crash("a");
   crash("a");
@@ -37,13 +37,13 @@
   t.is(ledger.getStanding("a"), "suspected");
 });
 
-test("word of one crash that comes from several instances counts once", (t) => {
+test("a crash that several instances report counts once", (t) => {
   const { clock, ledger } = create();
-  for (let told = 0; told < 5; told++) ledger.noteCrash("i-1", clock.nowMs, new Map([["a", 1]]));
+  for (let reports = 0; reports < 5; reports++) ledger.noteCrash("i-1", clock.nowMs, new Map([["a", 1]]));
   t.is(ledger.getWeight("a"), 1);
 });
 
-test("crashes beside others that the request had no part in weigh half", (t) => {
+test("a crash that coincides with others in which the request was not running counts half", (t) => {
   const { clock, ledger } = create();
   let crashed = 0;
   const crashGroup = (): void => {
@@ -52,12 +52,12 @@
       ledger.noteCrash(`i-${++crashed}`, clock.nowMs, new Map([[suspect, 1]]));
   };
   for (let group = 0; group < 3; group++) crashGroup();
-  t.is(ledger.getStanding("a"), "suspected", "three groups lost are no proof against what was there");
+  t.is(ledger.getStanding("a"), "suspected", "three groups of crashes are not enough evidence");
   for (let group = 0; group < 3; group++) crashGroup();
-  t.is(ledger.getStanding("a"), "held", "six in a row are");
+  t.is(ledger.getStanding("a"), "held", "six groups are enough");
 });
 
-test("a request that may only have waited at the endpoint is held after twice as many crashes", (t) => {
+test("a request that may merely have waited at the endpoint is quarantined after twice as many crashes", (t) => {
   const { clock, ledger } = create();
   for (let index = 1; index <= 5; index++) {
     clock.nowMs += 1_000;
@@ -69,7 +69,7 @@
   t.is(ledger.getStanding("a"), "held");
 });
 
-test("after its hold a request is due for a trial: a crash holds it back for longer, a run that lives lets it go", (t) => {
+test("a request is due for a trial after its quarantine: a crash quarantines it for longer, a surviving run releases it", (t) => {
   const { clock, ledger, crash } = create();
   for (let index = 0; index < 3; index++) crash("a");
   const firstMs = ledger.getHoldLeftMs("a");
@@ -83,22 +83,22 @@
   t.is(ledger.getStanding("a"), "unknown");
 });
 
-test("whoever is told all knows the same, and passes on nothing that it knew", (t) => {
+test("a ledger that merges all reports has the same state, and passes on only what was new", (t) => {
   const { clock, ledger, crash } = create();
   crash("a");
   crash("a");
   crash("a", "b");
   clock.nowMs += 500;
   const other = new CrashLedger(() => 77_000);
-  const news = other.take(ledger.tellAll());
-  t.is(news.crashes.length, 3);
+  const added = other.take(ledger.tellAll());
+  t.is(added.crashes.length, 3);
   t.is(other.getStanding("a"), "held");
   t.is(Math.round(other.getHoldLeftMs("a")), Math.round(ledger.getHoldLeftMs("a")));
   t.is(other.getStanding("b"), "suspected");
   t.deepEqual(other.take(ledger.tellAll()), nothingTold);
 });
 
-test("late word of crashes before a clearing does no harm", (t) => {
+test("late reports of crashes from before a clearing have no effect", (t) => {
   const { clock, ledger } = create();
   ledger.noteCrash("i-1", clock.nowMs, new Map([["a", 1]]));
   ledger.noteOutlived("a", clock.nowMs + 10);
@@ -112,21 +112,21 @@
   t.is(ledger.getStanding("a"), "unknown");
 });
 
-test("what is known is bounded, whatever callers send", (t) => {
+test("the size of the ledger is bounded, whatever callers send", (t) => {
   const { clock, ledger } = create();
   for (let index = 0; index < 2_000; index++) {
     clock.nowMs += 1_000;
     const digests = Array.from({ length: 200 }, (_, at) => [`${index}-${at}`, 0.5] as const);
     ledger.noteCrash(`i-${index}`, clock.nowMs, new Map([...digests, ["crashing", 1]]));
   }
-  const told = ledger.tellAll();
-  t.true(told.crashes.length <= 256);
-  t.true(told.crashes.every((crash) => crash.suspects.length <= maxSuspectsPerCrash));
+  const reports = ledger.tellAll();
+  t.true(reports.crashes.length <= 256);
+  t.true(reports.crashes.every((crash) => crash.suspects.length <= maxSuspectsPerCrash));
   t.is(ledger.getStanding("crashing"), "held", "the strongest evidence is kept");
 });
 
-// Guards against a crowd of crashes that a request makes itself, and that then speaks for it.
-test("a request that is at most crashes of a crowd is not taken for its victim", (t) => {
+// Guards against crashes that a request causes itself being taken for a common cause, which would count in favour of the request.
+test("a request that was running at most of the coinciding crashes counts as their cause", (t) => {
   const { clock, ledger } = create();
   const crashNow = (lifeId: string, digest: string): void =>
     void ledger.noteCrash(lifeId, clock.nowMs, new Map([[digest, 1]]));
--- a/packages/crashes/src/tests/digestRequestTests.ts
+++ b/packages/crashes/src/tests/digestRequestTests.ts
@@ -8,7 +8,7 @@
   body: Buffer.from('{"text":"one"}'),
 };
 
-test("requests are the same by method, path with query, account and body, and by nothing else", (t) => {
+test("requests are identical by method, path with query, account and body alone", (t) => {
   const digest = digestRequest(request);
   t.is(digestRequest({ ...request, body: Buffer.from('{"text":"one"}') }), digest);
   const others: readonly Partial<DigestedRequest>[] = [
@@ -25,7 +25,7 @@
   t.false(digests.has(digest));
 });
 
-test("what belongs to the path and what to the body is told apart", (t) => {
+test("the boundary between path and body affects the digest", (t) => {
   const one = digestRequest({ ...request, path: "/a", body: Buffer.from("b") });
   const other = digestRequest({ ...request, path: "/ab", body: Buffer.alloc(0) });
   t.not(one, other);
--- a/packages/crashes/src/tests/probeConnectionTests.ts
+++ b/packages/crashes/src/tests/probeConnectionTests.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { probeConnection } from "../probeConnection.js";
 
-const patienceMs = 60_000;
+const timeoutMs = 60_000;
 
 async function listen(): Promise<{ server: net.Server; address: string }> {
   const server = net.createServer((socket) => socket.on("error", () => undefined));
@@ -11,13 +11,13 @@
   return { server, address: `127.0.0.1:${port}` };
 }
 
-test("an address where something listens is open, and one where nothing does any more refuses", async (t) => {
+test("an address is open while a process listens, and refuses connections afterwards", async (t) => {
   const { server, address } = await listen();
-  t.is(await probeConnection(address, patienceMs), "open");
+  t.is(await probeConnection(address, timeoutMs), "open");
   await new Promise((resolve) => server.close(resolve));
-  t.is(await probeConnection(address, patienceMs), "refused");
+  t.is(await probeConnection(address, timeoutMs), "refused");
 });
 
-test("an address that can't be reached shows nothing", async (t) => {
-  t.is(await probeConnection("256.0.0.1:80", patienceMs), "nothing");
+test("an address that can't be reached gives no result", async (t) => {
+  t.is(await probeConnection("256.0.0.1:80", timeoutMs), "nothing");
 });
--- a/packages/gateway/src/tests/crashes/CrashWatchTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashWatchTests.ts
@@ -1,4 +1,4 @@
-/** What counts as a crash, and what clears a request. */
+/** Tests what counts as a crash, and what clears a request. */
 import test from "ava";
 import { initialPhaseMs, CrashWatch, type WatchedRun } from "../../crashes/CrashWatch.js";
 import { nothingTold, type CrashReportsMessage, digestRequest, type ProbeResult } from "@shedtiller/crashes";
@@ -12,10 +12,10 @@
 
 const ids = ["i-1", "i-2", "i-3", "i-4"];
 
-class Scene {
+class Fixture {
   readonly clock = new SimulatedClock();
   readonly endpoints = new EndpointTable(this.clock.nowMs);
-  readonly told: CrashReportsMessage[] = [];
+  readonly sent: CrashReportsMessage[] = [];
   probeResult: ProbeResult = "refused";
   probes = 0;
   trialRank = 0;
@@ -27,7 +27,7 @@
       this.probes += 1;
       return Promise.resolve(this.probeResult);
     },
-    tell: (news) => this.told.push(news),
+    tell: (news) => this.sent.push(news),
     onCrash: ({ id }) => this.crashed.push(id),
     getTrialRank: () => this.trialRank,
     nowMs: this.clock.nowMs,
@@ -58,50 +58,52 @@
     };
   }
 
-  /** A run ends well. */
-  complete(endpointId: string, request: typeof soundRequest): void {
+  /** Completes a run. */
+  complete(endpointId: string, request: typeof harmlessRequest): void {
     const run = this.createRun(endpointId, { request });
     this.watch.noteCompleted("streaming", request, run, this.get(endpointId));
   }
 
-  /** A run loses its connection at its beginning. */
+  /** Loses the connection of a run in its initial phase. */
   async lose(endpointId: string, changes: Partial<WatchedRun> = {}): Promise<void> {
     await this.watch.noteLost(this.createRun(endpointId, changes), this.get(endpointId));
   }
 }
 
-test("a connection that ends is no crash while the endpoint still takes connections", async (t) => {
-  const scene = new Scene();
-  scene.probeResult = "open";
-  for (const id of ids) await scene.lose(id);
-  t.true(scene.watch.isQuiet);
-  t.deepEqual(scene.told, []);
+test("a closed connection is no crash while the endpoint still accepts connections", async (t) => {
+  const fixture = new Fixture();
+  fixture.probeResult = "open";
+  for (const id of ids) await fixture.lose(id);
+  t.true(fixture.watch.isQuiet);
+  t.deepEqual(fixture.sent, []);
 });
 
-test("an endpoint that refuses connections has crashed: its runs at their beginning count, and peers are told", async (t) => {
-  const scene = new Scene();
-  await scene.lose("i-1");
-  t.is(scene.watch.ledger.getWeight("a"), 1);
-  t.deepEqual(scene.told, [{ ...nothingTold, crashes: [{ lifeId: "i-1", ageMs: 0, suspects: [["a", 1]] }] }]);
-  await scene.lose("i-2");
-  t.is(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
-  await scene.lose("i-3");
-  t.true((scene.watch.getHeldBackMs({ digest: "a" }) ?? 0) > 0);
-  t.is(scene.watch.getHeldBackMs({ digest: "b" }), undefined);
+test("an endpoint that refuses connections has crashed: its runs in their initial phase count, and the crash is broadcast", async (t) => {
+  const fixture = new Fixture();
+  await fixture.lose("i-1");
+  t.is(fixture.watch.ledger.getWeight("a"), 1);
+  t.deepEqual(fixture.sent, [
+    { ...nothingTold, crashes: [{ lifeId: "i-1", ageMs: 0, suspects: [["a", 1]] }] },
+  ]);
+  await fixture.lose("i-2");
+  t.is(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  await fixture.lose("i-3");
+  t.true((fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0) > 0);
+  t.is(fixture.watch.getHeldBackMs({ digest: "b" }), undefined);
 });
 
-test("runs that are lost together are told with one probe", async (t) => {
-  const scene = new Scene();
+test("runs that are lost together need one probe and are reported together", async (t) => {
+  const fixture = new Fixture();
   const digests = ["a", "b", "c"];
-  await Promise.all(digests.map((digest) => scene.lose("i-1", { request: { digest } })));
-  t.is(scene.probes, 1);
-  t.is(scene.told.length, 1);
+  await Promise.all(digests.map((digest) => fixture.lose("i-1", { request: { digest } })));
+  t.is(fixture.probes, 1);
+  t.is(fixture.sent.length, 1);
 });
 
-test("an endpoint that leaves as planned crashes nobody's request", async (t) => {
-  const draining = new Scene({ isDraining: true });
+test("an endpoint that stops as planned makes no request a suspect", async (t) => {
+  const draining = new Fixture({ isDraining: true });
   for (const id of ids) await draining.lose(id);
-  const gone = new Scene();
+  const gone = new Fixture();
   const endpoints = ids.map((id) => gone.get(id));
   gone.list({}, []);
   for (const endpoint of endpoints) await gone.watch.noteLost(gone.createRun(endpoint.id), endpoint);
@@ -109,171 +111,176 @@
   t.is(gone.watch.ledger.getStanding("a"), "unknown");
 });
 
-test("where nothing answers, the list decides: a crash if the entry goes, a cut if it stays", async (t) => {
-  const scene = new Scene();
-  scene.probeResult = "nothing";
-  await scene.lose("i-1");
-  await scene.lose("i-2");
-  t.is(scene.watch.ledger.getWeight("a"), 0);
-  scene.list({}, ["i-2", "i-3", "i-4"]);
-  t.is(scene.watch.ledger.getWeight("a"), 1);
-  await scene.clock.run(60_000);
-  t.is(scene.watch.ledger.getWeight("a"), 1);
+test("without an answer the list decides: a crash if the entry disappears, a network cut if it stays", async (t) => {
+  const fixture = new Fixture();
+  fixture.probeResult = "nothing";
+  await fixture.lose("i-1");
+  await fixture.lose("i-2");
+  t.is(fixture.watch.ledger.getWeight("a"), 0);
+  fixture.list({}, ["i-2", "i-3", "i-4"]);
+  t.is(fixture.watch.ledger.getWeight("a"), 1);
+  await fixture.clock.run(60_000);
+  t.is(fixture.watch.ledger.getWeight("a"), 1);
 });
 
-test("an endpoint that shows another start of its process has crashed", async (t) => {
-  const scene = new Scene({ bornAtMs: 1 });
-  scene.probeResult = "open";
-  const before = scene.get("i-1");
-  scene.endpoints.noteStart("i-1", 2, []);
-  await scene.watch.noteLost(scene.createRun("i-1"), before);
-  t.is(scene.watch.ledger.getWeight("a"), 1);
+test("an endpoint with a new start of its process has crashed", async (t) => {
+  const fixture = new Fixture({ bornAtMs: 1 });
+  fixture.probeResult = "open";
+  const before = fixture.get("i-1");
+  fixture.endpoints.noteStart("i-1", 2, []);
+  await fixture.watch.noteLost(fixture.createRun("i-1"), before);
+  t.is(fixture.watch.ledger.getWeight("a"), 1);
 });
 
-test("a run that had outlived its beginning is no suspect, and clears its request", async (t) => {
-  const scene = new Scene();
-  await scene.clock.run(10_000);
-  await scene.lose("i-1");
-  await scene.lose("i-2");
-  await scene.lose("i-3", { firstEventAtMs: scene.clock.nowMs() - initialPhaseMs });
-  t.is(scene.watch.ledger.getWeight("a"), 0);
-  t.is(scene.told.at(-1)?.clearings.length, 1);
+test("a run that survived its initial phase is no suspect, and clears its request", async (t) => {
+  const fixture = new Fixture();
+  await fixture.clock.run(10_000);
+  await fixture.lose("i-1");
+  await fixture.lose("i-2");
+  await fixture.lose("i-3", { firstEventAtMs: fixture.clock.nowMs() - initialPhaseMs });
+  t.is(fixture.watch.ledger.getWeight("a"), 0);
+  t.is(fixture.sent.at(-1)?.clearings.length, 1);
 });
 
-test("an equal request that has outlived its beginning here clears what peers tell", async (t) => {
-  const scene = new Scene();
-  await scene.clock.run(10_000);
-  scene.watch.begin(scene.createRun("i-4", { firstEventAtMs: scene.clock.nowMs() - 2 * initialPhaseMs }));
+test("an identical request that survived its initial phase here clears a suspect that peers report", async (t) => {
+  const fixture = new Fixture();
+  await fixture.clock.run(10_000);
+  fixture.watch.begin(
+    fixture.createRun("i-4", { firstEventAtMs: fixture.clock.nowMs() - 2 * initialPhaseMs }),
+  );
   const crashes = ["i-1", "i-2", "i-3"].map((lifeId) => ({
     lifeId,
     ageMs: 0,
     suspects: [["a", 1]] as [string, number][],
   }));
-  scene.watch.take({ ...nothingTold, crashes });
-  t.is(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
-  t.is(scene.told.at(-1)?.clearings[0]?.digest, "a");
+  fixture.watch.take({ ...nothingTold, crashes });
+  t.is(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.is(fixture.sent.at(-1)?.clearings[0]?.digest, "a");
 });
 
-test("a suspect has one run at its beginning at a time", async (t) => {
-  const scene = new Scene();
-  await scene.lose("i-1");
-  const run = scene.createRun("i-2");
-  scene.watch.begin(run);
+test("a suspect has one run in its initial phase at a time", async (t) => {
+  const fixture = new Fixture();
+  await fixture.lose("i-1");
+  const run = fixture.createRun("i-2");
+  fixture.watch.begin(run);
   let isOver = false;
-  void scene.watch.waitForTurn({ digest: "a" }).then(() => (isOver = true));
-  await scene.clock.run(100);
+  void fixture.watch.waitForTurn({ digest: "a" }).then(() => (isOver = true));
+  await fixture.clock.run(100);
   t.false(isOver);
-  scene.watch.end(run);
-  await scene.clock.run(200);
+  fixture.watch.end(run);
+  await fixture.clock.run(200);
   t.true(isOver);
 });
 
-test("suspects keep apart from each other, and nobody else from them", async (t) => {
-  const scene = new Scene();
+test("suspects avoid the endpoints of other suspects, and other requests don't", async (t) => {
+  const fixture = new Fixture();
   const b = { digest: "b" };
-  await Promise.all([scene.lose("i-1"), scene.lose("i-1", { request: b })]);
-  scene.watch.begin(scene.createRun("i-2"));
-  t.deepEqual(scene.watch.getShunned(b), ["i-2"]);
-  t.deepEqual(scene.watch.getShunned({ digest: "c" }), []);
+  await Promise.all([fixture.lose("i-1"), fixture.lose("i-1", { request: b })]);
+  fixture.watch.begin(fixture.createRun("i-2"));
+  t.deepEqual(fixture.watch.getShunned(b), ["i-2"]);
+  t.deepEqual(fixture.watch.getShunned({ digest: "c" }), []);
 });
 
-test("after the hold the instances take turns to try the request, one at a time, and each tells the others", async (t) => {
-  const scene = new Scene();
-  for (const id of ["i-1", "i-2", "i-3"]) await scene.lose(id);
-  const leftMs = scene.watch.getHeldBackMs({ digest: "a" }) ?? 0;
-  await scene.clock.run(scene.clock.nowMs() + leftMs);
-  scene.trialRank = 2;
-  t.not(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
-  await scene.clock.run(scene.clock.nowMs() + 600);
-  t.is(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
-  scene.watch.begin(scene.createRun("i-4"));
-  t.not(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
-  t.is(scene.told.at(-1)?.trials[0]?.digest, "a");
-  await scene.lose("i-4");
-  t.true((scene.watch.getHeldBackMs({ digest: "a" }) ?? 0) > leftMs);
+test("after the quarantine the instances try the request in turn, one at a time, and each reports its trial", async (t) => {
+  const fixture = new Fixture();
+  for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
+  const leftMs = fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0;
+  await fixture.clock.run(fixture.clock.nowMs() + leftMs);
+  fixture.trialRank = 2;
+  t.not(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  await fixture.clock.run(fixture.clock.nowMs() + 600);
+  t.is(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  fixture.watch.begin(fixture.createRun("i-4"));
+  t.not(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.is(fixture.sent.at(-1)?.trials[0]?.digest, "a");
+  await fixture.lose("i-4");
+  t.true((fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0) > leftMs);
 });
 
-test("a request that is tried elsewhere is not tried here meanwhile", async (t) => {
-  const scene = new Scene();
-  for (const id of ["i-1", "i-2", "i-3"]) await scene.lose(id);
-  await scene.clock.run(scene.clock.nowMs() + (scene.watch.getHeldBackMs({ digest: "a" }) ?? 0));
-  scene.watch.take({ ...nothingTold, trials: [{ digest: "a", ageMs: 0 }] });
-  t.not(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
+test("a request that another instance is trying is not tried here", async (t) => {
+  const fixture = new Fixture();
+  for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
+  await fixture.clock.run(fixture.clock.nowMs() + (fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0));
+  fixture.watch.take({ ...nothingTold, trials: [{ digest: "a", ageMs: 0 }] });
+  t.not(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
 });
 
 const asked = { method: "POST", path: "/a/x", accountName: "farm", body: Buffer.from("{}") };
-const soundRequest = { asked, digest: digestRequest(asked) };
+const harmlessRequest = { asked, digest: digestRequest(asked) };
 
-test("a request equal to one that ended well of late is not held for crashes that it was at", async (t) => {
-  const scene = new Scene();
-  await scene.clock.run(10_000);
-  scene.complete("i-4", soundRequest);
-  await scene.clock.run(12_000);
-  for (const id of ids) await scene.lose(id, { request: soundRequest });
-  t.is(scene.watch.getHeldBackMs(soundRequest), undefined);
-  t.is(scene.told[0]?.clearings[0]?.digest, soundRequest.digest, "told before the crash is counted");
+test("a request identical to a recently completed one is not quarantined for crashes that it was running at", async (t) => {
+  const fixture = new Fixture();
+  await fixture.clock.run(10_000);
+  fixture.complete("i-4", harmlessRequest);
+  await fixture.clock.run(12_000);
+  for (const id of ids) await fixture.lose(id, { request: harmlessRequest });
+  t.is(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
+  t.is(fixture.sent[0]?.clearings[0]?.digest, harmlessRequest.digest, "reported before the crash is counted");
 });
 
-test("an instance that is told of a crash knows its own sound requests", async (t) => {
-  const scene = new Scene();
-  await scene.clock.run(10_000);
-  scene.complete("i-4", soundRequest);
-  await scene.clock.run(12_000);
-  const suspects: [string, number][] = [[soundRequest.digest, 1]];
+test("an instance that receives a crash report clears the requests that it knows to be harmless", async (t) => {
+  const fixture = new Fixture();
+  await fixture.clock.run(10_000);
+  fixture.complete("i-4", harmlessRequest);
+  await fixture.clock.run(12_000);
+  const suspects: [string, number][] = [[harmlessRequest.digest, 1]];
   const crashes = ids.map((lifeId) => ({ lifeId, ageMs: 0, suspects }));
-  scene.watch.take({ ...nothingTold, crashes });
-  t.is(scene.watch.getHeldBackMs(soundRequest), undefined);
+  fixture.watch.take({ ...nothingTold, crashes });
+  t.is(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
 });
 
-test("requests that the same crashes speak against are tried one at a time, within seconds, and the sound ones are let go", async (t) => {
-  const scene = new Scene();
+test("suspects of the same crashes are tried one at a time within seconds, and the harmless ones are released", async (t) => {
+  const fixture = new Fixture();
   const digests = ["crashing", "sound 1", "sound 2"];
   for (const id of ["i-1", "i-2", "i-3"]) {
-    await Promise.all(digests.map((digest) => scene.lose(id, { request: { digest } })));
-    await scene.clock.run(scene.clock.nowMs() + 1_000);
+    await Promise.all(digests.map((digest) => fixture.lose(id, { request: { digest } })));
+    await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  const isHeld = (digest: string): boolean => scene.watch.getHeldBackMs({ digest }) !== undefined;
-  t.true(digests.every(isHeld));
-  await scene.clock.run(scene.clock.nowMs() + 3_000);
-  const run = scene.createRun("i-4", { request: { digest: "sound 1" } });
-  t.false(isHeld("sound 1"));
-  scene.watch.begin(run);
-  t.true(digests.every(isHeld), "two that are tried at once could crash together");
-  scene.watch.end(run);
-  scene.watch.noteOutlived(run.request);
-  t.false(isHeld("sound 1"));
-  t.false(isHeld("sound 2"));
-  await scene.lose("i-4", { request: { digest: "crashing" } });
-  t.true((scene.watch.getHeldBackMs({ digest: "crashing" }) ?? 0) > 60_000);
+  const isQuarantined = (digest: string): boolean => fixture.watch.getHeldBackMs({ digest }) !== undefined;
+  t.true(digests.every(isQuarantined));
+  await fixture.clock.run(fixture.clock.nowMs() + 3_000);
+  const run = fixture.createRun("i-4", { request: { digest: "sound 1" } });
+  t.false(isQuarantined("sound 1"));
+  fixture.watch.begin(run);
+  t.true(
+    digests.every(isQuarantined),
+    "two requests that are tried at once could crash an endpoint together",
+  );
+  fixture.watch.end(run);
+  fixture.watch.noteOutlived(run.request);
+  t.false(isQuarantined("sound 1"));
+  t.false(isQuarantined("sound 2"));
+  await fixture.lose("i-4", { request: { digest: "crashing" } });
+  t.true((fixture.watch.getHeldBackMs({ digest: "crashing" }) ?? 0) > 60_000);
 });
 
-test("a run that ends well right before its endpoint crashes is a suspect, and no proof that its request is sound", async (t) => {
-  const scene = new Scene();
+test("a run that completes right before its endpoint crashes is a suspect, and does not clear its request", async (t) => {
+  const fixture = new Fixture();
   for (const id of ["i-1", "i-2", "i-3"]) {
-    scene.complete(id, soundRequest);
-    await scene.lose(id, { request: { digest: "other" } });
-    await scene.clock.run(scene.clock.nowMs() + 1_000);
+    fixture.complete(id, harmlessRequest);
+    await fixture.lose(id, { request: { digest: "other" } });
+    await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  t.not(scene.watch.getHeldBackMs(soundRequest), undefined);
+  t.not(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
 });
 
-test("of a suspect whose run ended well it is asked whether its endpoint lives", async (t) => {
-  const scene = new Scene();
-  await scene.lose("i-1", { request: soundRequest });
+test("the endpoint of a completed run of a suspect is probed", async (t) => {
+  const fixture = new Fixture();
+  await fixture.lose("i-1", { request: harmlessRequest });
   for (const id of ["i-2", "i-3"]) {
-    scene.complete(id, soundRequest);
-    await scene.clock.run(scene.clock.nowMs() + 1_000);
+    fixture.complete(id, harmlessRequest);
+    await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  t.not(scene.watch.getHeldBackMs(soundRequest), undefined);
+  t.not(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
 });
 
-// Guards against a crashed endpoint that goes on counting as one of those that hold its layers, until the next request meets it.
-test("an endpoint that turns out to have crashed is told of at once, one that takes connections is not", async (t) => {
-  const scene = new Scene();
-  scene.probeResult = "open";
-  await scene.lose("i-1");
-  t.deepEqual(scene.crashed, []);
-  scene.probeResult = "refused";
-  await scene.lose("i-2");
-  t.deepEqual(scene.crashed, ["i-2"]);
+// Guards against a crashed endpoint that still counts as having its layers loaded until the next request reaches it.
+test("a crashed endpoint is reported to the listener at once, and an endpoint that accepts connections is not", async (t) => {
+  const fixture = new Fixture();
+  fixture.probeResult = "open";
+  await fixture.lose("i-1");
+  t.deepEqual(fixture.crashed, []);
+  fixture.probeResult = "refused";
+  await fixture.lose("i-2");
+  t.deepEqual(fixture.crashed, ["i-2"]);
 });
--- a/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
+++ b/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
@@ -8,84 +8,84 @@
 import { SilentSink } from "../SilentSink.js";
 
 class MemoryStore extends HeldRequestStore {
-  readonly holds = new Map<string, StoredHold>();
-  isAway = false;
+  readonly quarantines = new Map<string, StoredHold>();
+  isUnavailable = false;
   calls = 0;
 
   override read(): Promise<results.Result<StoredHold[], StoreError>> {
-    return this._answer([...this.holds.values()]);
+    return this._answer([...this.quarantines.values()]);
   }
-  override keep(hold: StoredHold): Promise<results.Result<void, StoreError>> {
-    if (!this.isAway) this.holds.set(hold.digest, hold);
+  override keep(quarantine: StoredHold): Promise<results.Result<void, StoreError>> {
+    if (!this.isUnavailable) this.quarantines.set(quarantine.digest, quarantine);
     return this._answer(undefined);
   }
   override drop(digest: string): Promise<results.Result<void, StoreError>> {
-    if (!this.isAway) this.holds.delete(digest);
+    if (!this.isUnavailable) this.quarantines.delete(digest);
     return this._answer(undefined);
   }
   private _answer<T>(value: T): Promise<results.Result<T, StoreError>> {
     this.calls += 1;
     const lost = results.Err(new errors.ConnectionLostError("store"));
-    return Promise.resolve(this.isAway ? lost : results.Ok(value));
+    return Promise.resolve(this.isUnavailable ? lost : results.Ok(value));
   }
 }
 
-function create(store: MemoryStore, held: readonly string[] = []) {
-  const taken: QuarantineMessage[] = [];
+function create(store: MemoryStore, quarantined: readonly string[] = []) {
+  const merged: QuarantineMessage[] = [];
   const released: string[] = [];
   const reader = { isReader: true };
-  const keeper = new QuarantineReconciler({
+  const reconciler = new QuarantineReconciler({
     store,
     log: new DecisionLog(new SilentSink(), () => 0),
     isReader: () => reader.isReader,
-    merge: (holds) => taken.push(...holds),
-    getQuarantinedFor: () => held,
+    merge: (quarantines) => merged.push(...quarantines),
+    getQuarantinedFor: () => quarantined,
     release: (digest) => released.push(digest),
   });
-  return { keeper, taken, released, reader };
+  return { reconciler, merged, released, reader };
 }
 
-const hold: QuarantineMessage = { digest: "a", ageMs: 0, leftMs: 20_000, times: 1 };
+const quarantine: QuarantineMessage = { digest: "a", ageMs: 0, leftMs: 20_000, times: 1 };
 
-test("a hold outlasts all instances, and is read once, by one of a zone", async (t) => {
+test("a quarantine outlasts all instances, and is read once, by one instance of a zone", async (t) => {
   const store = new MemoryStore();
-  create(store).keeper.persist("a", hold);
-  const { keeper, taken } = create(store);
-  await keeper.tick();
-  await keeper.tick();
+  create(store).reconciler.persist("a", quarantine);
+  const { reconciler, merged } = create(store);
+  await reconciler.tick();
+  await reconciler.tick();
   t.deepEqual(
-    taken.map(({ digest, times }) => [digest, times]),
+    merged.map(({ digest, times }) => [digest, times]),
     [["a", 1]],
   );
   t.is(store.calls, 2);
   const other = create(store);
   other.reader.isReader = false;
-  await other.keeper.tick();
+  await other.reconciler.tick();
   t.is(store.calls, 2);
 });
 
-test("a hold that the store does not take is written once it is back, and one that was cleared is dropped", async (t) => {
+test("a quarantine that the store rejects is written once the store is available, and a cleared one is removed", async (t) => {
   const store = new MemoryStore();
-  const { keeper } = create(store);
-  await keeper.tick();
-  store.isAway = true;
-  keeper.persist("a", hold);
+  const { reconciler } = create(store);
+  await reconciler.tick();
+  store.isUnavailable = true;
+  reconciler.persist("a", quarantine);
   await utils.yieldToEvents();
-  t.is(store.holds.size, 0);
-  store.isAway = false;
-  await keeper.tick();
-  t.deepEqual([...store.holds.keys()], ["a"]);
-  keeper.persist("a", undefined);
-  t.is(store.holds.size, 0);
+  t.is(store.quarantines.size, 0);
+  store.isUnavailable = false;
+  await reconciler.tick();
+  t.deepEqual([...store.quarantines.keys()], ["a"]);
+  reconciler.persist("a", undefined);
+  t.is(store.quarantines.size, 0);
 });
 
-test("what an operator has dropped from the store is let go, and nothing else", async (t) => {
+test("only requests whose quarantine an operator has removed from the store are released", async (t) => {
   const store = new MemoryStore();
-  const { keeper, released } = create(store, ["a", "b"]);
-  keeper.persist("a", hold);
-  keeper.persist("b", { ...hold, digest: "b" });
+  const { reconciler, released } = create(store, ["a", "b"]);
+  reconciler.persist("a", quarantine);
+  reconciler.persist("b", { ...quarantine, digest: "b" });
   await utils.yieldToEvents();
-  store.holds.delete("a");
-  await keeper.reconcile();
+  store.quarantines.delete("a");
+  await reconciler.reconcile();
   t.deepEqual(released, ["a"]);
 });
--- a/packages/gateway/src/tests/discovery/EndpointLimitsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointLimitsTests.ts
@@ -1,4 +1,4 @@
-/** Which of the limits that an endpoint names holds. */
+/** Tests which of the limits stated by an endpoint applies. */
 import test, { type ExecutionContext } from "ava";
 import type { Endpoint } from "../../discovery/Endpoint.js";
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
@@ -6,7 +6,7 @@
 import { createEngine } from "../createParts.js";
 import { KeptLines } from "../KeptLines.js";
 
-class Scene {
+class Fixture {
   nowMs = 1_000;
   readonly endpoint: Endpoint = createEngine("a", 0, 4);
   readonly lines = new KeptLines();
@@ -15,8 +15,8 @@
     nowMs: () => this.nowMs,
   });
 
-  /** An answer to a request that was sent `tookMs` ago. */
-  name(perSecond: number | undefined, tookMs = 10): number | undefined {
+  /** Applies the answer to a request that was sent `tookMs` ago, and returns the known limit. */
+  state(perSecond: number | undefined, tookMs = 10): number | undefined {
     this.nowMs += 20;
     const stated =
       perSecond === undefined ? ({ kind: "none" } as const) : ({ kind: "named", perSecond } as const);
@@ -25,14 +25,14 @@
   }
 }
 
-test("a limit holds from the answer that names it until one that names none", (t: ExecutionContext) => {
-  const scene = new Scene();
-  t.is(scene.name(undefined), undefined);
-  t.is(scene.name(4.2), 4.2);
-  t.is(scene.name(50), 50);
-  t.is(scene.name(2), 2);
-  t.is(scene.name(undefined), undefined);
-  t.deepEqual(scene.lines.events, [
+test("a limit applies from the answer that states it until an answer without a limit", (t: ExecutionContext) => {
+  const fixture = new Fixture();
+  t.is(fixture.state(undefined), undefined);
+  t.is(fixture.state(4.2), 4.2);
+  t.is(fixture.state(50), 50);
+  t.is(fixture.state(2), 2);
+  t.is(fixture.state(undefined), undefined);
+  t.deepEqual(fixture.lines.events, [
     "info endpoint-limit-began",
     "info endpoint-limit-changed",
     "info endpoint-limit-changed",
@@ -40,34 +40,34 @@
   ]);
 });
 
-test("an answer that was on its way before the newest one neither ends nor raises a limit", (t) => {
-  const scene = new Scene();
-  scene.name(2);
-  t.is(scene.name(undefined, 500), 2);
-  t.is(scene.name(50, 500), 2);
-  t.is(scene.name(1, 500), 1, "a lower one holds at once");
+test("an answer to an older request neither ends nor raises a limit", (t) => {
+  const fixture = new Fixture();
+  fixture.state(2);
+  t.is(fixture.state(undefined, 500), 2);
+  t.is(fixture.state(50, 500), 2);
+  t.is(fixture.state(1, 500), 1, "a lower limit applies at once");
 });
 
-test("an answer that was on its way before a limit ended does not begin it again", (t) => {
-  const scene = new Scene();
-  scene.name(2);
-  scene.name(undefined);
-  t.is(scene.name(2, 500), undefined);
-  t.is(scene.name(2), 2);
+test("an answer to a request from before the end of a limit does not restore the limit", (t) => {
+  const fixture = new Fixture();
+  fixture.state(2);
+  fixture.state(undefined);
+  t.is(fixture.state(2, 500), undefined);
+  t.is(fixture.state(2), 2);
 });
 
-test("a limit that can't be read is logged as an error and changes nothing", (t) => {
-  const scene = new Scene();
-  scene.name(2);
-  scene.limits.noteAnswer(scene.endpoint, { kind: "unreadable", text: "-1" }, scene.nowMs);
-  t.is(scene.endpoint.limit?.perSecond, 2);
-  t.is(scene.lines.events.at(-1), "error endpoint-limit-unreadable");
+test("a limit that can't be parsed is logged as an error and changes nothing", (t) => {
+  const fixture = new Fixture();
+  fixture.state(2);
+  fixture.limits.noteAnswer(fixture.endpoint, { kind: "unreadable", text: "-1" }, fixture.nowMs);
+  t.is(fixture.endpoint.limit?.perSecond, 2);
+  t.is(fixture.lines.events.at(-1), "error endpoint-limit-unreadable");
 });
 
-test("a report that names no limit ends none", (t) => {
-  const scene = new Scene();
-  scene.limits.noteReport(scene.endpoint, { kind: "named", perSecond: 3 }, scene.nowMs);
-  scene.nowMs += 20;
-  scene.limits.noteReport(scene.endpoint, { kind: "none" }, scene.nowMs);
-  t.is(scene.endpoint.limit?.perSecond, 3);
+test("a report without a limit does not end the limit", (t) => {
+  const fixture = new Fixture();
+  fixture.limits.noteReport(fixture.endpoint, { kind: "named", perSecond: 3 }, fixture.nowMs);
+  fixture.nowMs += 20;
+  fixture.limits.noteReport(fixture.endpoint, { kind: "none" }, fixture.nowMs);
+  t.is(fixture.endpoint.limit?.perSecond, 3);
 });
--- a/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
@@ -1,6 +1,6 @@
 /**
- * An endpoint may start again under its id: it then holds and knows nothing of before. What is still under way of its earlier life (late
- * entries, reports, peers' words, orders) changes nothing, in whatever order it arrives.
+ * Tests restarts of an endpoint under the same id: the new process has none of the layers and state of its previous life, and late entries,
+ * reports, peer messages and orders of that life change nothing, in whatever order they arrive.
  */
 import test from "ava";
 import { EndpointTable, type EndpointEvent } from "../../discovery/EndpointTable.js";
@@ -10,7 +10,7 @@
 import { FakeEngines } from "../FakeEngines.js";
 
 const layers = [{ start: 0, end: 4 }];
-/** Starts of the process, as Unix times; nothing compares them with a clock. */
+/** Starts of the process in Unix milliseconds; never compared with a clock. */
 const [first, second, third] = [1_000, 2_000, 3_000];
 
 function setUp(start: Partial<ListedEndpoint> = { bornAtMs: first }) {
@@ -24,7 +24,7 @@
   return { clock, table, events, list };
 }
 
-test("an endpoint that started again between two entries is another one, without load, suspicion or layers of before", (t) => {
+test("an endpoint that restarted between two entries is replaced, without the previous load, suspicion and layers", (t) => {
   const { clock, table, events, list } = setUp();
   const before = table.get("a");
   before?.addOwn(3, 300);
@@ -41,7 +41,7 @@
   t.deepEqual(events, ["added", "suspected", "restarted", "added"]);
 });
 
-test("an entry of the earlier life that comes late changes nothing, also after the newer one was dropped", (t) => {
+test("a late entry of the earlier life changes nothing, even after the newer entry was removed", (t) => {
   const { table, list } = setUp();
   list({ bornAtMs: second });
   list({ bornAtMs: first, layers });
@@ -53,13 +53,13 @@
   t.deepEqual(table.get("a")?.listed.layers, layers);
 });
 
-test("an entry without a start is not of an endpoint that tells its start", (t) => {
+test("an entry without a start does not apply to an endpoint that reports its start", (t) => {
   const { table, list } = setUp();
   list({ layers: [{ start: 2, end: 4 }] });
   t.deepEqual(table.get("a")?.listed.layers, layers);
 });
 
-test("a drain of the earlier life does not bind the next one", (t) => {
+test("the draining of the earlier life does not apply to the next one", (t) => {
   const { table, list } = setUp();
   list({ bornAtMs: first, isDraining: true });
   t.deepEqual(table.getUsable("engines"), []);
@@ -67,7 +67,7 @@
   t.is(table.getUsable("engines").length, 1);
 });
 
-test("twice in a row, told out of order: the newest start counts", (t) => {
+test("of two restarts that are reported out of order, the newest start counts", (t) => {
   const { table, list } = setUp();
   list({ bornAtMs: third });
   list({ bornAtMs: second, layers });
@@ -75,14 +75,14 @@
   t.deepEqual(table.get("a")?.listed.layers, []);
 });
 
-test("a whole list of before, as a peer may give it, takes nothing back", (t) => {
+test("an older complete list from a peer does not undo a restart", (t) => {
   const { table, list } = setUp();
   list({ bornAtMs: second });
   table.setAll(new Map([["a", createListed("a", { bornAtMs: first, layers })]]));
   t.deepEqual(table.get("a")?.listed.layers, []);
 });
 
-test("peers' words name the life that they are of", (t) => {
+test("messages of peers apply only to the life that they name", (t) => {
   const { table, list } = setUp();
   const lifeBefore = table.get("a")?.lifeId ?? "";
   list({ bornAtMs: second });
@@ -95,48 +95,48 @@
   t.is(table.get("a")?.getLoad().requests, 5);
 });
 
-test("endpoints that never tell a start have one life, under their id", (t) => {
+test("endpoints that never report a start have one life, identified by their id", (t) => {
   const { table, events, list } = setUp({});
   list({ layers: [] });
   t.is(table.get("a")?.lifeId, "a");
   t.deepEqual(events, ["added", "layers"]);
 });
 
-test("a report of a newer life is a restart, told to the peers once; one of an earlier life is no report", async (t) => {
+test("a report of a newer life is a restart that is broadcast once; a report of an earlier life is rejected", async (t) => {
   const { table, list } = setUp();
   const engines = new FakeEngines();
-  const told: [string, number][] = [];
-  const orders = new LifeCheckedOrders(engines, table, (id, bornAtMs) => told.push([id, bornAtMs]));
-  const ask = () => orders.getReport({ id: "a", address: "a:1" }, 100);
+  const broadcast: [string, number][] = [];
+  const orders = new LifeCheckedOrders(engines, table, (id, bornAtMs) => broadcast.push([id, bornAtMs]));
+  const getReport = () => orders.getReport({ id: "a", address: "a:1" }, 100);
   engines.reports.set("a", { bornAtMs: second, layers: [] });
-  t.true((await ask()).ok);
-  t.true((await ask()).ok);
-  t.deepEqual(told, [["a", second]]);
-  t.deepEqual(table.get("a")?.listed.layers, [], "before the list tells");
+  t.true((await getReport()).ok);
+  t.true((await getReport()).ok);
+  t.deepEqual(broadcast, [["a", second]]);
+  t.deepEqual(table.get("a")?.listed.layers, [], "before the list shows the restart");
   engines.reports.set("a", { bornAtMs: first, layers });
-  const late = await ask();
+  const late = await getReport();
   t.is(late.err ? late.val.code : "", "earlier_life");
   list({ bornAtMs: second, layers });
   t.deepEqual(table.get("a")?.listed.layers, layers);
 });
 
-test("what can't be read takes an endpoint out of use at once, and for good unless it writes again", (t) => {
+test("an unreadable entry takes an endpoint out of use at once, and permanently unless it is written again", (t) => {
   const { clock, table, list } = setUp();
   const unreadable = { key: "a", value: undefined, isUnreadable: true };
   table.apply([unreadable]);
   t.deepEqual(table.getUsable("engines"), []);
   clock.nowMs += 1_200;
   list({ bornAtMs: first, layers });
-  t.is(table.getUsable("engines").length, 1, "written again by itself");
+  t.is(table.getUsable("engines").length, 1, "the endpoint wrote its entry again");
   table.apply([unreadable]);
   clock.nowMs += 1_200;
   table.apply([unreadable]);
   clock.nowMs += 1_300;
   table.dropMissing();
-  t.is(table.get("a"), undefined, "more of the same gives no longer grace");
+  t.is(table.get("a"), undefined, "a second unreadable value does not extend the grace period");
 });
 
-test("an unreadable entry hides no other, and names nothing where nothing was", (t) => {
+test("an unreadable entry affects no other entry, and adds no unknown endpoint", (t) => {
   const { table } = setUp();
   table.apply([
     { key: "b", value: undefined, isUnreadable: true },
@@ -148,8 +148,8 @@
   );
 });
 
-// Guards against an entry, still written as ready or written anew, that takes back an endpoint's own word that it leaves.
-test("what an endpoint says of its leaving outlasts its entries, until it starts again", (t) => {
+// Guards against an entry that still says ready, or is written again, and thereby undoes the draining that the endpoint itself has stated.
+test("draining that an endpoint has stated itself outlasts its entries until a restart", (t) => {
   const { table, events, list } = setUp();
   const lifeId = table.get("a")?.lifeId ?? "";
   t.true(table.noteLeaving(lifeId));
@@ -162,12 +162,12 @@
   t.deepEqual(table.getLeavingLives(), [lifeId]);
   list({ bornAtMs: second });
   t.is(table.getUsable("engines").length, 1);
-  t.false(table.noteLeaving(lifeId), "a late word of the earlier life");
+  t.false(table.noteLeaving(lifeId), "a late statement of the earlier life");
   t.is(table.getUsable("engines").length, 1);
   t.deepEqual(events, ["added", "draining", "gone", "added", "restarted", "added"]);
 });
 
-test("an endpoint that leaves before its entry is known gets nothing once it is", (t) => {
+test("an endpoint that drains before its entry is known gets no work afterwards", (t) => {
   const { table } = setUp();
   t.true(table.noteLeaving("b"));
   table.apply([{ key: "b", value: createListed("b") }]);
--- a/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
@@ -1,4 +1,4 @@
-/** What is taken of what answers say of their endpoints. */
+/** Tests which statements of answers about their endpoints are applied. */
 import test from "ava";
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { EndpointStatements } from "../../discovery/EndpointStatements.js";
@@ -8,7 +8,7 @@
 import { createListed } from "../createParts.js";
 import { KeptLines } from "../KeptLines.js";
 
-class Scene {
+class Fixture {
   nowMs = 1_000;
   readonly lines = new KeptLines();
   readonly counted: string[] = [];
@@ -26,66 +26,66 @@
     this.endpoints.setAll(new Map([["a", createListed("a", { bornAtMs: 5 })]]));
   }
 
-  get restMs(): number {
+  get backoffMs(): number {
     return this.endpoints.get("a")?.rest.getLeftMs(this.nowMs) ?? 0;
   }
 
-  answer(status: number, said: Partial<EndpointStatement>): void {
+  answer(status: number, statement: Partial<EndpointStatement>): void {
     const endpoint = this.endpoints.get("a");
-    const answer = { status, stated: { ...noStatement, ...said }, sentAtMs: this.nowMs };
+    const answer = { status, stated: { ...noStatement, ...statement }, sentAtMs: this.nowMs };
     if (endpoint !== undefined) this.statements.noteAnswer(endpoint, answer);
   }
 
-  report(status: number, said: Partial<EndpointStatement>, lifeId: string): void {
+  report(status: number, statement: Partial<EndpointStatement>, lifeId: string): void {
     const target = { id: "a", address: "a:1", lifeId };
-    const answer = { status, stated: { ...noStatement, ...said }, sentAtMs: this.nowMs };
+    const answer = { status, stated: { ...noStatement, ...statement }, sentAtMs: this.nowMs };
     this.statements.noteOrderAnswer(target, answer);
   }
 }
 
 const threeSeconds = { comeBack: { kind: "named", afterMs: 3_000 } } as const;
 
-test("an endpoint that turns a request away and names a time rests, in one line; other answers name no rest", (t) => {
-  const scene = new Scene();
-  scene.answer(200, threeSeconds);
-  scene.answer(500, threeSeconds);
-  t.is(scene.restMs, 0);
-  for (const status of [503, 429, 503]) scene.answer(status, threeSeconds);
-  t.is(scene.restMs, 3_000);
-  t.deepEqual(scene.lines.events, ["info endpoint-rest-began"]);
-  t.deepEqual(scene.counted, ["rest", "rest", "rest"]);
-  scene.nowMs += 3_000;
-  scene.answer(200, {});
-  t.deepEqual(scene.lines.events, ["info endpoint-rest-began", "info endpoint-rest-ended"]);
+test("a rejection with a retry time starts a back-off with one log line; other answers start none", (t) => {
+  const fixture = new Fixture();
+  fixture.answer(200, threeSeconds);
+  fixture.answer(500, threeSeconds);
+  t.is(fixture.backoffMs, 0);
+  for (const status of [503, 429, 503]) fixture.answer(status, threeSeconds);
+  t.is(fixture.backoffMs, 3_000);
+  t.deepEqual(fixture.lines.events, ["info endpoint-rest-began"]);
+  t.deepEqual(fixture.counted, ["rest", "rest", "rest"]);
+  fixture.nowMs += 3_000;
+  fixture.answer(200, {});
+  t.deepEqual(fixture.lines.events, ["info endpoint-rest-began", "info endpoint-rest-ended"]);
 });
 
-test("a time that can't be meant is logged as an error and changes nothing, a very long one is bounded", (t) => {
-  const scene = new Scene();
-  scene.answer(503, { comeBack: { kind: "unreadable", text: "-1" } });
-  t.is(scene.restMs, 0);
-  t.deepEqual(scene.lines.events, ["error endpoint-rest-unreadable"]);
-  scene.answer(503, { comeBack: { kind: "named", afterMs: 80_000_000 } });
-  t.is(scene.restMs, 600_000);
+test("an invalid retry time is logged as an error and changes nothing; a very long one is capped", (t) => {
+  const fixture = new Fixture();
+  fixture.answer(503, { comeBack: { kind: "unreadable", text: "-1" } });
+  t.is(fixture.backoffMs, 0);
+  t.deepEqual(fixture.lines.events, ["error endpoint-rest-unreadable"]);
+  fixture.answer(503, { comeBack: { kind: "named", afterMs: 80_000_000 } });
+  t.is(fixture.backoffMs, 600_000);
 });
 
-test("reports and orders are answers, too, of the life that they went to", (t) => {
-  const scene = new Scene();
-  scene.report(503, threeSeconds, "a@4");
-  t.is(scene.restMs, 0);
-  scene.report(503, threeSeconds, "a@5");
-  t.is(scene.restMs, 3_000);
+test("statements of reports and orders apply to the life that was addressed", (t) => {
+  const fixture = new Fixture();
+  fixture.report(503, threeSeconds, "a@4");
+  t.is(fixture.backoffMs, 0);
+  fixture.report(503, threeSeconds, "a@5");
+  t.is(fixture.backoffMs, 3_000);
 });
 
-test("a new life of an endpoint is not at rest", (t) => {
-  const scene = new Scene();
-  scene.answer(503, threeSeconds);
-  scene.endpoints.noteStart("a", 6, []);
-  t.is(scene.restMs, 0);
+test("a new life of an endpoint has no back-off", (t) => {
+  const fixture = new Fixture();
+  fixture.answer(503, threeSeconds);
+  fixture.endpoints.noteStart("a", 6, []);
+  t.is(fixture.backoffMs, 0);
 });
 
-test("an unknown header is logged once by its name, and counted each time", (t) => {
-  const scene = new Scene();
-  for (let answer = 0; answer < 3; answer++) scene.answer(200, { unknownNames: ["server-mood"] });
-  t.deepEqual(scene.lines.events, ["warn endpoint-header-unknown"]);
-  t.is(scene.counted.length, 3);
+test("an unknown header is logged once per name, and counted each time", (t) => {
+  const fixture = new Fixture();
+  for (let answer = 0; answer < 3; answer++) fixture.answer(200, { unknownNames: ["server-mood"] });
+  t.deepEqual(fixture.lines.events, ["warn endpoint-header-unknown"]);
+  t.is(fixture.counted.length, 3);
 });
--- a/packages/gateway/src/tests/discovery/EndpointSuspicionsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointSuspicionsTests.ts
@@ -1,4 +1,4 @@
-/** What an instance saw itself is told to the peers; what an engine says of another one is checked first. */
+/** Tests that failures observed by this instance are broadcast, and that reports of engines about other engines are verified first. */
 import test from "ava";
 import { EndpointSuspicions } from "../../discovery/EndpointSuspicions.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
@@ -13,66 +13,66 @@
   const endpoints = new EndpointTable(() => nowMs);
   endpoints.setAll(new Map([["a", createListed("a", { layers: [{ start: 0, end: 4 }] })]]));
   const orders = new FakeEngines();
-  const told: string[] = [];
-  const suspicions = new EndpointSuspicions({
+  const sent: string[] = [];
+  const detector = new EndpointSuspicions({
     endpoints,
     orders,
     log: new DecisionLog(new SilentSink(), () => 0),
-    tellPeers: (id) => told.push(id),
-    tellLayers: (id, layers) => told.push(`${id} holds ${JSON.stringify(layers)}`),
+    tellPeers: (id) => sent.push(id),
+    tellLayers: (id, layers) => sent.push(`${id} holds ${JSON.stringify(layers)}`),
     count: () => undefined,
     nowMs: () => nowMs,
   });
   const isSuspect = (): boolean => endpoints.get("a")?.isSuspect(nowMs) === true;
-  return { endpoints, orders, told, suspicions, isSuspect };
+  return { endpoints, orders, sent, detector, isSuspect };
 }
 
-test("an endpoint that did not answer is suspected here and at the peers", (t) => {
-  const { suspicions, told, isSuspect } = setUp();
-  suspicions.noteSilent("a", "not reached");
+test("an endpoint that did not answer is suspected here and by the peers", (t) => {
+  const { detector, sent, isSuspect } = setUp();
+  detector.noteSilent("a", "not reached");
   t.true(isSuspect());
-  t.deepEqual(told, ["a"]);
+  t.deepEqual(sent, ["a"]);
 });
 
-test("an engine that was named by another one and answers is left alone for a moment only", async (t) => {
-  const { suspicions, told, isSuspect, endpoints } = setUp();
-  const checked = suspicions.noteNamed("a", "stalled chain");
+test("an engine that another one reported, but that answers, is avoided only for a moment", async (t) => {
+  const { detector, sent, isSuspect, endpoints } = setUp();
+  const checked = detector.noteNamed("a", "stalled chain");
   t.true(isSuspect(), "until it has answered");
   await checked;
   t.false(isSuspect());
   t.is(endpoints.get("a")?.suspicions, 0);
   t.true((endpoints.get("a")?.refusedUntilMs ?? 0) > nowMs);
-  t.deepEqual(told, []);
+  t.deepEqual(sent, []);
 });
 
-test("an engine that was named and does not answer is suspected by all", async (t) => {
-  const { suspicions, told, isSuspect, orders } = setUp();
+test("an engine that another one reported and that does not answer is suspected by all instances", async (t) => {
+  const { detector, sent, isSuspect, orders } = setUp();
   orders.silent.add("a");
-  await suspicions.noteNamed("a", "stalled chain");
+  await detector.noteNamed("a", "stalled chain");
   t.true(isSuspect());
-  t.deepEqual(told, ["a"]);
+  t.deepEqual(sent, ["a"]);
 });
 
-test("an engine that does not hold what the list says is asked once, and what it holds is known to all at once", async (t) => {
-  const { suspicions, told, endpoints, orders, isSuspect } = setUp();
+test("an engine without the listed layers is queried once, and its actual layers are broadcast at once", async (t) => {
+  const { detector, sent, endpoints, orders, isSuspect } = setUp();
   orders.reports.set("a", { layers: [] });
-  await Promise.all([suspicions.noteNotHeld("a"), suspicions.noteNotHeld("a"), suspicions.noteNotHeld("a")]);
+  await Promise.all([detector.noteNotHeld("a"), detector.noteNotHeld("a"), detector.noteNotHeld("a")]);
   t.deepEqual(endpoints.get("a")?.listed.layers, []);
-  t.deepEqual(told, ["a holds []"]);
+  t.deepEqual(sent, ["a holds []"]);
   t.false(isSuspect());
-  // The list tells again what holds, when it does.
+  // A later entry of the list overrides the queried layers.
   endpoints.apply([{ key: "a", value: createListed("a", { layers: [{ start: 2, end: 4 }] }) }]);
   t.deepEqual(endpoints.get("a")?.listed.layers, [{ start: 2, end: 4 }]);
 });
 
-test("an engine whose report agrees with the list is left alone for a moment; one that gives none is suspected", async (t) => {
-  const { suspicions, told, endpoints, orders, isSuspect } = setUp();
+test("an engine whose report agrees with the list is avoided for a moment; an engine without a report is suspected", async (t) => {
+  const { detector, sent, endpoints, orders, isSuspect } = setUp();
   orders.reports.set("a", { layers: [{ start: 0, end: 4 }] });
-  await suspicions.noteNotHeld("a");
+  await detector.noteNotHeld("a");
   t.true((endpoints.get("a")?.refusedUntilMs ?? 0) > nowMs);
-  t.deepEqual(told, []);
+  t.deepEqual(sent, []);
   orders.silent.add("a");
-  await suspicions.noteNotHeld("a");
+  await detector.noteNotHeld("a");
   t.true(isSuspect());
-  t.deepEqual(told, ["a"]);
+  t.deepEqual(sent, ["a"]);
 });
--- a/packages/gateway/src/tests/discovery/EndpointTableTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointTableTests.ts
@@ -1,4 +1,4 @@
-/** Endpoints that drain or are gone get nothing new; those that the store only lost for a moment stay. */
+/** Tests that endpoints that drain or are gone get no new work, and that endpoints stay known while the store briefly loses them. */
 import test from "ava";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
@@ -14,14 +14,14 @@
   return { clock, table, set, getUsable };
 }
 
-test("a dropped entry is gone at once", (t) => {
+test("an endpoint whose entry was removed is gone at once", (t) => {
   const { table, getUsable } = setUp(["a", "b"]);
   table.apply([{ key: "a", value: undefined }]);
   t.deepEqual(getUsable(), ["b"]);
   t.is(table.get("a"), undefined);
 });
 
-test("a draining endpoint stays known but gets nothing new, also if a later record forgets the drain", (t) => {
+test("a draining endpoint stays known but gets no new work, even if a later entry does not say so", (t) => {
   const { table, getUsable } = setUp(["a"]);
   table.apply([{ key: "a", value: createListed("a", { isDraining: true }) }]);
   table.apply([{ key: "a", value: createListed("a") }]);
@@ -29,12 +29,12 @@
   t.truthy(table.get("a"));
 });
 
-test("entries that lapsed while the store was away come back within the grace, or are gone", (t) => {
+test("entries that expired while the store was unavailable reappear within the grace period, or are gone", (t) => {
   const { clock, table, set, getUsable } = setUp(["a", "b"]);
   table.noteStoreReturned();
   set([]);
-  t.deepEqual(getUsable(), [], "nothing new meanwhile");
-  t.truthy(table.get("a"), "but not forgotten");
+  t.deepEqual(getUsable(), [], "no new work in the meantime");
+  t.truthy(table.get("a"), "still known");
   clock.nowMs += 1_000;
   table.apply([{ key: "a", value: createListed("a") }]);
   clock.nowMs += 1_500;
@@ -43,10 +43,10 @@
   t.is(table.get("b"), undefined);
 });
 
-test("suspicion ends with a heartbeat that is newer than the evidence", (t) => {
+test("a suspicion ends with a heartbeat that is newer than the evidence", (t) => {
   const { clock, table } = setUp(["a"]);
   t.true(table.suspect("a"));
-  t.false(table.suspect("a"), "the same evidence is told once");
+  t.false(table.suspect("a"), "the same evidence is reported once");
   table.apply([{ key: "a", value: createListed("a") }]);
   t.true(table.get("a")?.isSuspect(clock.nowMs), "a heartbeat from before the evidence proves nothing");
   clock.nowMs += 1_200;
@@ -54,7 +54,7 @@
   t.false(table.get("a")?.isSuspect(clock.nowMs));
 });
 
-test("suspicion of an endpoint that stays silent doubles", (t) => {
+test("suspicions of a silent endpoint double in duration", (t) => {
   const { clock, table } = setUp(["a"]);
   table.suspect("a");
   clock.nowMs += 3_000;
@@ -64,7 +64,7 @@
   t.true(table.get("a")?.isSuspect(clock.nowMs));
 });
 
-test("a suspicion after a calm time begins anew", (t) => {
+test("a suspicion after a long time without any has the initial duration", (t) => {
   const { clock, table } = setUp(["a"]);
   for (let count = 0; count < 4; count++) {
     table.suspect("a");
@@ -76,7 +76,7 @@
   t.false(table.get("a")?.isSuspect(clock.nowMs));
 });
 
-test("a process that has just started takes its peers to be like itself, until one tells or the time is over", (t) => {
+test("a process that has just started assumes its own load for its peers until one reports its load or the assumption ends", (t) => {
   const createTable = (): EndpointTable => {
     const table = new EndpointTable(() => 0);
     table.setAll(new Map([["e1", createListed("e1")]]));
@@ -84,10 +84,10 @@
     table.assumePeers(3);
     return table;
   };
-  const told = createTable();
-  t.deepEqual(told.get("e1")?.getLoad(), { requests: 8, tokenLayers: 200 });
-  told.setPeerLoads("collected", new Map([["e1", { requests: 1, tokenLayers: 10 }]]));
-  t.deepEqual(told.get("e1")?.getLoad(), { requests: 3, tokenLayers: 60 });
+  const reported = createTable();
+  t.deepEqual(reported.get("e1")?.getLoad(), { requests: 8, tokenLayers: 200 });
+  reported.setPeerLoads("collected", new Map([["e1", { requests: 1, tokenLayers: 10 }]]));
+  t.deepEqual(reported.get("e1")?.getLoad(), { requests: 3, tokenLayers: 60 });
   const alone = createTable();
   alone.endAssumption();
   // The registry of instances is read again later.
--- a/packages/gateway/src/tests/discovery/FailureGuardTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureGuardTests.ts
@@ -1,61 +1,64 @@
-/** An endpoint that resets each request is left alone for longer and longer; a loss of all connections at once is nobody's fault. */
+/**
+ * Tests that an endpoint that resets every request is avoided for longer and longer, and that the loss of all connections at once counts as
+ * one failure.
+ */
 import test from "ava";
 import { FailureGuard } from "../../discovery/FailureGuard.js";
 
-/** Sends a request whenever the endpoint is not avoided; each is reset at once. Gives how many were. */
-function play(guard: FailureGuard, durationMs: number): number {
+/** Sends a request whenever the circuit is closed, each of which is reset at once, and returns the number of requests. */
+function countResets(breaker: FailureGuard, durationMs: number): number {
   let resets = 0;
   for (let nowMs = 0; nowMs < durationMs; nowMs += 5) {
-    if (guard.isAvoided(nowMs)) continue;
-    guard.noteFailed(nowMs, nowMs + 1);
+    if (breaker.isAvoided(nowMs)) continue;
+    breaker.noteFailed(nowMs, nowMs + 1);
     resets += 1;
   }
   return resets;
 }
 
-test("an endpoint that resets everything for 6.6 s gets five requests of an instance, not all", (t) => {
-  t.is(play(new FailureGuard(), 6_600), 5);
+test("an endpoint that resets every request for 6.6 s gets five requests from an instance", (t) => {
+  t.is(countResets(new FailureGuard(), 6_600), 5);
 });
 
-test("requests that were lost together count as one, and the endpoint is used again at once", (t) => {
-  const guard = new FailureGuard();
-  for (let request = 0; request < 20; request++) guard.noteFailed(request, 100 + request);
-  t.true(guard.isAvoided(140));
-  t.false(guard.isAvoided(150));
+test("requests that fail together count as one failure, and the endpoint is soon used again", (t) => {
+  const breaker = new FailureGuard();
+  for (let request = 0; request < 20; request++) breaker.noteFailed(request, 100 + request);
+  t.true(breaker.isAvoided(140));
+  t.false(breaker.isAvoided(150));
 });
 
-test("an answer between two resets makes the second a first one again", (t) => {
-  const guard = new FailureGuard();
-  guard.noteFailed(0, 1);
-  guard.noteAnswered();
-  guard.noteFailed(100, 101);
-  t.false(guard.isAvoided(160));
-  guard.noteFailed(200, 201);
-  t.true(guard.isAvoided(600));
+test("after an answer the next reset counts as a first failure", (t) => {
+  const breaker = new FailureGuard();
+  breaker.noteFailed(0, 1);
+  breaker.noteAnswered();
+  breaker.noteFailed(100, 101);
+  t.false(breaker.isAvoided(160));
+  breaker.noteFailed(200, 201);
+  t.true(breaker.isAvoided(600));
 });
 
-// Guards against an endpoint that fails at once getting all that comes as soon as it is tried again.
-test("after a failure one request goes first, and more after each answer", (t) => {
-  const guard = new FailureGuard();
-  guard.noteFailed(0, 1);
+// Guards against sending all requests to an endpoint that fails right away as soon as it is tried again.
+test("after a failure one request is sent first, and more after each answer", (t) => {
+  const breaker = new FailureGuard();
+  breaker.noteFailed(0, 1);
   const sendAll = (nowMs: number): number => {
     let sent = 0;
-    for (; sent < 100 && !guard.isOnProbation(nowMs); sent++) guard.noteSent(nowMs);
+    for (; sent < 100 && !breaker.isOnProbation(nowMs); sent++) breaker.noteSent(nowMs);
     return sent;
   };
   t.is(sendAll(60), 1);
-  guard.noteAnswered(60);
+  breaker.noteAnswered(60);
   t.is(sendAll(70), 2);
-  guard.noteFailed(70, 72);
+  breaker.noteFailed(70, 72);
   t.is(sendAll(200), 1, "failed again");
 });
 
-test("a request without a second chance goes there only once it was answered, or nobody has tried it for a while", (t) => {
-  const guard = new FailureGuard();
-  t.false(guard.isUnproven(0));
-  guard.noteFailed(0, 1);
-  t.true(guard.isUnproven(1_000));
-  t.false(guard.isUnproven(6_000));
-  guard.noteAnswered(2_000);
-  t.false(guard.isUnproven(2_000));
+test("a request that can't be retried is sent only after an answer, or after a while without requests", (t) => {
+  const breaker = new FailureGuard();
+  t.false(breaker.isUnproven(0));
+  breaker.noteFailed(0, 1);
+  t.true(breaker.isUnproven(1_000));
+  t.false(breaker.isUnproven(6_000));
+  breaker.noteAnswered(2_000);
+  t.false(breaker.isUnproven(2_000));
 });
--- a/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
+++ b/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
@@ -1,4 +1,4 @@
-/** A follower reads on where it stopped, and begins anew where the history has a gap. */
+/** Tests that a follower resumes at its offset, and takes a new snapshot where the history has a gap. */
 import test from "ava";
 import { errors, results, utils } from "@shedtiller/common";
 import { ChangeFeed, type FeedPage, type FeedSnapshot, type StoreError } from "../../discovery/ChangeFeed.js";
@@ -6,9 +6,9 @@
 
 type Page = results.Result<FeedPage<string>, StoreError>;
 
-/** Answers from a script; ends the follower with the last one. */
+/** Returns the given pages, and stops the follower with the last one. */
 class ScriptedFeed extends ChangeFeed<string> {
-  readonly asked: string[] = [];
+  readonly reads: string[] = [];
 
   constructor(
     private readonly _pages: Page[],
@@ -18,56 +18,56 @@
   }
 
   override getSnapshot(): Promise<results.Result<FeedSnapshot<string>, StoreError>> {
-    this.asked.push("snapshot");
+    this.reads.push("snapshot");
     return Promise.resolve(results.Ok({ values: new Map([["k", "v"]]), nextOffset: 10 }));
   }
 
   override getChanges(offset: number): Promise<Page> {
-    this.asked.push(`from ${offset}`);
+    this.reads.push(`from ${offset}`);
     const page = this._pages.shift();
     if (this._pages.length === 0) this._stop.abort();
     return Promise.resolve(page ?? results.Err(new errors.ConnectionLostError("store")));
   }
 }
 
-async function follow(pages: Page[]): Promise<{ asked: string[]; heard: string[] }> {
+async function follow(pages: Page[]): Promise<{ reads: string[]; events: string[] }> {
   const stop = new AbortController();
   const feed = new ScriptedFeed(pages, stop);
-  const heard: string[] = [];
+  const events: string[] = [];
   const listener = {
-    onSnapshot: () => heard.push("snapshot"),
-    onChanges: (changes: readonly unknown[]) => heard.push(`${changes.length} changes`),
-    onLost: () => heard.push("lost"),
-    onRegained: () => heard.push("regained"),
+    onSnapshot: () => events.push("snapshot"),
+    onChanges: (changes: readonly unknown[]) => events.push(`${changes.length} changes`),
+    onLost: () => events.push("lost"),
+    onRegained: () => events.push("regained"),
   };
   await new FeedFollower(feed, listener, { waitMs: 0, retryMs: 0, gatherMs: 0 }).run(stop.signal);
-  return { asked: feed.asked, heard };
+  return { reads: feed.reads, events };
 }
 
 const change = { key: "k", value: "w" };
 
-test("the store's return is told before what it says", async (t) => {
+test("the listener is notified of the store's recovery before it receives changes", async (t) => {
   const lost: Page = results.Err(new errors.ConnectionLostError("store"));
-  const { asked, heard } = await follow([
+  const { reads, events } = await follow([
     lost,
     lost,
     results.Ok({ changes: [change], nextOffset: 11, isCompacted: false }),
   ]);
-  t.deepEqual(heard, ["snapshot", "lost", "regained", "1 changes"]);
-  t.deepEqual(asked, ["snapshot", "from 10", "from 10", "from 10"]);
+  t.deepEqual(events, ["snapshot", "lost", "regained", "1 changes"]);
+  t.deepEqual(reads, ["snapshot", "from 10", "from 10", "from 10"]);
 });
 
 test("a gap in the history leads to a snapshot", async (t) => {
-  const { asked, heard } = await follow([
+  const { reads, events } = await follow([
     results.Ok({ changes: [], nextOffset: 10, isCompacted: true }),
     results.Ok({ changes: [change], nextOffset: 11, isCompacted: false }),
   ]);
-  t.deepEqual(heard, ["snapshot", "snapshot", "1 changes"]);
-  t.deepEqual(asked, ["snapshot", "from 10", "snapshot", "from 10"]);
+  t.deepEqual(events, ["snapshot", "snapshot", "1 changes"]);
+  t.deepEqual(reads, ["snapshot", "from 10", "snapshot", "from 10"]);
 });
 
-/** Pauses between reads that all fail. */
-async function getPauses(isStandIn: boolean): Promise<number[]> {
+/** Returns the pauses between reads that all fail. */
+async function getPauses(isFallbackReader: boolean): Promise<number[]> {
   const stop = new AbortController();
   const pauses: number[] = [];
   const lost: Page = results.Err(new errors.ConnectionLostError("store"));
@@ -82,20 +82,20 @@
     retryMs: 250,
     pause: async (durationMs) => void pauses.push(durationMs),
   });
-  follower.setReader(true, isStandIn);
+  follower.setReader(true, isFallbackReader);
   await follower.run(stop.signal);
-  // The first pause is that of the snapshot.
+  // The first pause follows the snapshot.
   return pauses.slice(1);
 }
 
-test("a follower that reads for others tries again all the time, and one that stands in less and less often", async (t) => {
+test("a follower that reads for others retries at a fixed interval, and a fallback reader backs off", async (t) => {
   t.deepEqual(await getPauses(false), [250, 250, 250, 250, 250]);
   t.deepEqual(await getPauses(true), [250, 500, 1_000, 2_000, 2_000]);
 });
 
-/** Answers reads when the test says so. */
-class HeldFeed extends ChangeFeed<string> {
-  private readonly _asked: utils.Deferred<Page>[] = [];
+/** A feed whose reads the test answers explicitly. */
+class ManualFeed extends ChangeFeed<string> {
+  private readonly _pendingReads: utils.Deferred<Page>[] = [];
 
   override getSnapshot(): Promise<results.Result<FeedSnapshot<string>, StoreError>> {
     return Promise.resolve(results.Ok({ values: new Map(), nextOffset: 10 }));
@@ -103,26 +103,26 @@
 
   override getChanges(): Promise<Page> {
     const page = new utils.Deferred<Page>();
-    this._asked.push(page);
+    this._pendingReads.push(page);
     return page.promise;
   }
 
-  /** Answers the oldest read; the follower has gone on once this resolves. */
+  /** Answers the oldest read; resolves once the follower has continued. */
   async answer(nextOffset: number): Promise<void> {
-    const isAsked = (): boolean => this._asked.length > 0;
-    await utils.waitUntil(isAsked, patienceMs);
-    this._asked.shift()?.resolve(results.Ok({ changes: [change], nextOffset, isCompacted: false }));
+    const isReading = (): boolean => this._pendingReads.length > 0;
+    await utils.waitUntil(isReading, timeoutMs);
+    this._pendingReads.shift()?.resolve(results.Ok({ changes: [change], nextOffset, isCompacted: false }));
     await utils.yieldToEvents();
   }
 }
 
-const patienceMs = 60_000;
+const timeoutMs = 60_000;
 
-/** A follower that peers tell, after its first snapshot. */
-async function followTold(
+/** Starts a follower that gets its pages from peers after the first snapshot. */
+async function followPeer(
   stop: AbortController,
-): Promise<{ feed: HeldFeed; follower: FeedFollower<string> }> {
-  const feed = new HeldFeed();
+): Promise<{ feed: ManualFeed; follower: FeedFollower<string> }> {
+  const feed = new ManualFeed();
   const listener = {
     onSnapshot: () => undefined,
     onChanges: () => undefined,
@@ -133,13 +133,13 @@
   const follower = new FeedFollower(feed, listener, options);
   follower.setReader(false);
   void follower.run(stop.signal);
-  await utils.waitUntil(() => follower.nextOffset === 10, patienceMs);
+  await utils.waitUntil(() => follower.nextOffset === 10, timeoutMs);
   return { feed, follower };
 }
 
-test("a read that ends after a told page is taken where it holds more", async (t) => {
+test("a read that ends after a peer's page is applied where it contains more changes", async (t) => {
   const stop = new AbortController();
-  const { feed, follower } = await followTold(stop);
+  const { feed, follower } = await followPeer(stop);
   follower.takeTold({ fromOffset: 11, nextOffset: 12, changes: undefined }, 0);
   await utils.yieldToEvents();
   follower.takeTold({ fromOffset: 10, nextOffset: 11, changes: [change] }, 0);
@@ -150,9 +150,9 @@
   stop.abort();
 });
 
-test("what is known to exist is read until it has come", async (t) => {
+test("changes that are known to exist are read until they have arrived", async (t) => {
   const stop = new AbortController();
-  const { feed, follower } = await followTold(stop);
+  const { feed, follower } = await followPeer(stop);
   follower.takeTold({ fromOffset: 11, nextOffset: 13, changes: undefined }, 0);
   await feed.answer(11);
   t.is(follower.nextOffset, 11);
@@ -161,9 +161,9 @@
   stop.abort();
 });
 
-test("what came from elsewhere is not read again, and the next told page joins on", async (t) => {
+test("changes from another source are not read again, and the next page of a peer continues after them", async (t) => {
   const stop = new AbortController();
-  const { follower } = await followTold(stop);
+  const { follower } = await followPeer(stop);
   follower.takeAhead(12);
   follower.takeTold({ fromOffset: 12, nextOffset: 13, changes: [change] }, 0);
   t.is(follower.nextOffset, 13);
--- a/packages/gateway/src/tests/orders/LeaderSeatTests.ts
+++ b/packages/gateway/src/tests/orders/LeaderSeatTests.ts
@@ -1,4 +1,4 @@
-/** An instance gives orders only within a term that it surely has. */
+/** Tests that an instance sends orders only within a term that it is certain to have. */
 import test from "ava";
 import { errors, results } from "@shedtiller/common";
 import type { StoreError } from "../../discovery/ChangeFeed.js";
@@ -25,58 +25,58 @@
   const clock = { nowMs: 0 };
   const candidacy = { mayCampaign: true };
   const election = new ScriptedElection();
-  const seat = new LeaderSeat(election, new DecisionLog(new SilentSink(), () => clock.nowMs), {
+  const leadership = new LeaderSeat(election, new DecisionLog(new SilentSink(), () => clock.nowMs), {
     nowMs: () => clock.nowMs,
     mayCampaign: () => candidacy.mayCampaign,
   });
-  return { clock, candidacy, election, seat };
+  return { clock, candidacy, election, leadership };
 }
 
-test("a term ends before the store may give it to another, also when the holder stood still", async (t) => {
-  const { clock, seat } = setUp();
-  t.false(seat.isHeld());
-  await seat.campaign();
-  t.true(seat.isHeld());
+test("a term ends before the store may elect another instance, even if the leader was suspended", async (t) => {
+  const { clock, leadership } = setUp();
+  t.false(leadership.isHeld());
+  await leadership.campaign();
+  t.true(leadership.isHeld());
   clock.nowMs = 2_499;
-  t.true(seat.isHeld());
+  t.true(leadership.isHeld());
   clock.nowMs = 2_500;
-  t.false(seat.isHeld());
+  t.false(leadership.isHeld());
 });
 
-test("a campaign without an answer neither prolongs nor ends the term", async (t) => {
-  const { clock, election, seat } = setUp();
-  await seat.campaign();
+test("a campaign without an answer neither extends nor ends the term", async (t) => {
+  const { clock, election, leadership } = setUp();
+  await leadership.campaign();
   election.answer = results.Err(new errors.ConnectionLostError("store"));
   clock.nowMs = 1_000;
-  await seat.campaign();
-  t.true(seat.isHeld());
+  await leadership.campaign();
+  t.true(leadership.isHeld());
   clock.nowMs = 2_500;
-  t.false(seat.isHeld());
+  t.false(leadership.isHeld());
 });
 
-test("an instance that is told that another leads stops at once", async (t) => {
-  const { election, seat } = setUp();
-  await seat.campaign();
+test("an instance that learns of another leader stops at once", async (t) => {
+  const { election, leadership } = setUp();
+  await leadership.campaign();
   election.answer = results.Ok(false);
-  await seat.campaign();
-  t.false(seat.isHeld());
+  await leadership.campaign();
+  t.false(leadership.isHeld());
 });
 
-test("an instance that is no candidate any more withdraws once, so that it can't be given an office that it does not take", async (t) => {
-  const { candidacy, election, seat } = setUp();
+test("an instance that is no longer a candidate withdraws once, so that it can't be elected without acting as leader", async (t) => {
+  const { candidacy, election, leadership } = setUp();
   election.answer = results.Ok(false);
-  await seat.campaignIfDue();
+  await leadership.campaignIfDue();
   candidacy.mayCampaign = false;
-  await seat.campaignIfDue();
-  await seat.campaignIfDue();
+  await leadership.campaignIfDue();
+  await leadership.campaignIfDue();
   t.is(election.resigned, 1);
 });
 
-test("an instance that leads stays in office though it is no candidate any more", async (t) => {
-  const { candidacy, election, seat } = setUp();
-  await seat.campaignIfDue();
+test("a leader keeps its leadership when it is no longer a candidate", async (t) => {
+  const { candidacy, election, leadership } = setUp();
+  await leadership.campaignIfDue();
   candidacy.mayCampaign = false;
-  await seat.campaignIfDue();
-  t.true(seat.isHeld());
+  await leadership.campaignIfDue();
+  t.true(leadership.isHeld());
   t.is(election.resigned, 0);
 });
--- a/packages/gateway/src/tests/orders/LostEngineDetectorTests.ts
+++ b/packages/gateway/src/tests/orders/LostEngineDetectorTests.ts
@@ -1,4 +1,4 @@
-/** An engine under suspicion that does not answer is lost before its entry lapses; one that answers is not. */
+/** Tests that a suspected engine without an answer counts as lost before its entry expires, and that an engine that answers does not. */
 import test from "ava";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { LostEngineDetector } from "../../orders/LostEngineDetector.js";
@@ -10,31 +10,31 @@
 
 function setUp() {
   const orders = new FakeEngines();
-  const lost = new LostEngineDetector(orders, new DecisionLog(new SilentSink(), () => 0), () => nowMs);
+  const detector = new LostEngineDetector(orders, new DecisionLog(new SilentSink(), () => 0), () => nowMs);
   const members = ["a", "b", "c"].map((id, at) => createEngine(id, at, at + 1));
   const [first] = members;
   if (first === undefined) throw new Error("There are three members.");
-  const getKept = (): string[] => lost.withoutLost(members).map((member) => member.id);
-  return { orders, lost, members, first, getKept };
+  const getRemaining = (): string[] => detector.withoutLost(members).map((member) => member.id);
+  return { orders, detector, members, first, getRemaining };
 }
 
-test("an engine that answers no question is lost though the list has it", async (t) => {
-  const { orders, lost, first, getKept } = setUp();
+test("an engine that answers no probe is lost although it is listed", async (t) => {
+  const { orders, detector, first, getRemaining } = setUp();
   orders.silent.add("a");
-  await lost.check(first);
-  t.deepEqual(getKept(), ["b", "c"]);
+  await detector.check(first);
+  t.deepEqual(getRemaining(), ["b", "c"]);
 });
 
-test("an engine that answers is not lost, whatever it is suspected of", async (t) => {
-  const { lost, first, getKept } = setUp();
+test("a suspected engine that answers is not lost", async (t) => {
+  const { detector, first, getRemaining } = setUp();
   first.suspectUntilMs = nowMs + 1;
-  await lost.check(first);
-  t.deepEqual(getKept(), ["a", "b", "c"]);
+  await detector.check(first);
+  t.deepEqual(getRemaining(), ["a", "b", "c"]);
 });
 
-test("where most of a zone does not answer, the link is at fault", async (t) => {
-  const { orders, lost, members, getKept } = setUp();
+test("where most engines of a zone don't answer, the link is at fault and no engine is lost", async (t) => {
+  const { orders, detector, members, getRemaining } = setUp();
   for (const id of ["a", "b"]) orders.silent.add(id);
-  await Promise.all(members.map((member) => lost.check(member)));
-  t.deepEqual(getKept(), ["a", "b", "c"]);
+  await Promise.all(members.map((member) => detector.check(member)));
+  t.deepEqual(getRemaining(), ["a", "b", "c"]);
 });
--- a/packages/gateway/src/tests/orders/ZonePlannerTests.ts
+++ b/packages/gateway/src/tests/orders/ZonePlannerTests.ts
@@ -1,4 +1,4 @@
-/** When a zone gets orders: at once for gaps and empty engines, and for a better balance only when it is calm. */
+/** Tests when a zone gets orders: at once for gaps and empty engines, and for a better balance only once its engines are stable. */
 import test from "ava";
 import type { ZoneEngine } from "../../orders/planZoneOrders.js";
 import { ZonePlanner } from "../../orders/ZonePlanner.js";
@@ -16,21 +16,21 @@
   return { clock, plan };
 }
 
-test("a zone whose engines hold nothing gets whole copies", async (t) => {
+test("a zone with empty engines only gets whole copies", async (t) => {
   const { plan } = setUp();
   const ordered = await plan([createMember("a", 0, 0), createMember("b", 0, 0)]);
   t.is(ordered.split(",").length, 2);
 });
 
-test("a gap is closed at once, by its neighbours, and by no more than it takes", async (t) => {
+test("a gap is closed at once by the neighbours, with no more loads than necessary", async (t) => {
   const { plan } = setUp();
   const members = [createMember("a", 0, 2), createMember("c", 4, 6), createMember("d", 6, 8)];
   t.is(await plan(members), "a=0-3,c=3-6");
 });
 
-test("a gap that nobody can grow over starts the zone anew, once the lost engine does not come back", async (t) => {
+test("a gap that no engine can extend over rearranges the zone if the lost engine does not return", async (t) => {
   const { clock, plan } = setUp();
-  // Neither has room for more beside what it holds, but the other one could hold both parts of it.
+  // Neither engine has capacity for more layers beside its own, but the second one could load all layers.
   const members = [createMember("a", 0, 4, 42), { ...createMember("b", 0, 4, 120), passing: 9 }];
   t.is(await plan(members), "");
   clock.nowMs += 3_900;
@@ -39,13 +39,13 @@
   t.regex(await plan(members), /[ab]=\d-\d/);
 });
 
-test("an empty engine gets work at once, and nobody else is disturbed", async (t) => {
+test("an empty engine gets layers at once, and the other engines keep theirs", async (t) => {
   const { plan } = setUp();
   const members = [createMember("a", 0, 4, 100), createMember("b", 4, 8, 100), createMember("c", 0, 0)];
   t.regex(await plan(members), /^c=\d-\d$/);
 });
 
-test("a zone that is whole is balanced only once it has been calm, and for a large gain", async (t) => {
+test("a whole zone is rebalanced only once it is stable, and for a large gain", async (t) => {
   const { clock, plan } = setUp();
   const uneven = [createMember("a", 0, 5), createMember("b", 5, 8)];
   t.is(await plan(uneven), "");
@@ -57,18 +57,18 @@
   t.is(await plan(even), "");
 });
 
-test("a zone that a repair left with little room is balanced without waiting for calm", async (t) => {
+test("a zone with little capacity after a repair is rebalanced without waiting for stability", async (t) => {
   const { plan } = setUp();
   t.regex(await plan([createMember("a", 0, 7), createMember("b", 7, 8)]), /^b=\d-8$/);
 });
 
-test("where neighbours can't grow, an engine whose layers others hold too takes the gap", async (t) => {
+test("where neighbours can't extend their spans, an engine whose layers others have loaded, too, closes the gap", async (t) => {
   const { plan } = setUp();
   const members = [createMember("a", 0, 3, 45), createMember("b", 5, 8, 45), createMember("c", 5, 8, 60)];
   t.regex(await plan(members), /^c=3-\d$/);
 });
 
-test("a gap is closed by as few loads as it takes, though a large fast engine could hold more than the gap", async (t) => {
+test("a gap is closed with as few loads as possible, although a large fast engine could load more layers", async (t) => {
   const { plan } = setUp();
   const slow = createMember("c", 5, 8, 70);
   const members = [
@@ -80,14 +80,14 @@
   t.regex(await plan(members), /^[cd]=3-[58]$/, "two new layers, not up to five");
 });
 
-test("an engine that requests pass does not leave its layers for a gap, though others hold them too", async (t) => {
+test("an engine that requests pass through does not drop its layers for a gap, although others have loaded them, too", async (t) => {
   const { plan } = setUp();
   const used = { ...createMember("a", 0, 3, 150), passing: 9 };
   const orders = await plan([used, createMember("b", 0, 3, 150), createMember("c", 5, 8, 150)]);
   t.regex(orders, /^b=[03]-5$/);
 });
 
-test("an empty engine closes a gap that another one was ordered to, which gives layers up first", async (t) => {
+test("an empty engine closes a gap instead of an engine that has to drop layers first", async (t) => {
   const { plan } = setUp();
   const waiting = { ...createMember("b", 0, 4), ordered: { start: 4, end: 8 }, isFree: false };
   const members = [createMember("a", 0, 4), waiting, createMember("c", 0, 0)];
@@ -96,8 +96,8 @@
   t.is(await plan([createMember("a", 0, 4), growing, createMember("c", 0, 0)]), "");
 });
 
-// Guards against a broken zone that waits for calm, though the engine that can close its gap has no requests any more.
-test("a gap is closed as soon as what passed the engine that can close it has ended", async (t) => {
+// Guards against a broken zone that waits for stability although no request passes through the engine that can close its gap any more.
+test("a gap is closed as soon as the requests through the engine that can close it have ended", async (t) => {
   const { plan } = setUp();
   const members = (passing: number): ZoneEngine[] => [
     createMember("a", 0, 3, 45),
--- a/packages/gateway/src/tests/orders/planZoneOrdersTests.ts
+++ b/packages/gateway/src/tests/orders/planZoneOrdersTests.ts
@@ -1,11 +1,11 @@
-/** Layers are given up only once others hold them; a zone that is broken anyway goes straight to its target. */
+/** Tests that layers are dropped only once other engines have loaded them, and that a broken zone is ordered directly to its target. */
 import test from "ava";
 import type { LayerSpan } from "../../discovery/ListedEndpoint.js";
 import { isZoneWhole, planZoneOrders, type ZoneEngine } from "../../orders/planZoneOrders.js";
 import * as zoneParts from "./zoneParts.js";
 
 const model = zoneParts.smallModel;
-/** Holds five layers with room for a request. */
+/** Memory for five layers with capacity for a request. */
 const memoryMb = 60;
 
 function span(start: number, end: number): LayerSpan {
@@ -16,7 +16,7 @@
   return zoneParts.createMember(name, listed, memoryMb, changes);
 }
 
-test("a boundary that shifts is loaded on the one side before the other gives it up", (t) => {
+test("a boundary shifts by a load on one side before the other side drops its layers", (t) => {
   const target = [span(0, 5), span(5, 8)];
   const before = [createMember("a", span(0, 4)), createMember("b", span(4, 8))];
   t.is(zoneParts.describeOrders(planZoneOrders(before, target, model)), "a=0-5");
@@ -35,7 +35,7 @@
   t.is(zoneParts.describeOrders(planZoneOrders(loaded, target, model)), "b=5-8");
 });
 
-test("nothing is given up while any engine of the zone still loads", (t) => {
+test("no layers are dropped while any engine of the zone is still loading", (t) => {
   const members = [
     createMember("a", span(0, 5)),
     createMember("b", span(4, 8)),
@@ -44,7 +44,7 @@
   t.is(zoneParts.describeOrders(planZoneOrders(members, [span(0, 5), span(5, 8), span(0, 3)], model)), "");
 });
 
-test("engines that slide hold both spans in between", (t) => {
+test("engines that shift their span have both spans loaded in between", (t) => {
   const members = [
     createMember("a", span(0, 2)),
     createMember("b", span(2, 5)),
@@ -54,7 +54,7 @@
   t.is(zoneParts.describeOrders(planZoneOrders(members, target, model)), "a=0-3,b=2-6");
 });
 
-test("in a zone that is whole an engine that can't hold both spans stays as it is", (t) => {
+test("in a whole zone an engine without capacity for both spans is left unchanged", (t) => {
   const members = [
     createMember("a", span(0, 4)),
     createMember("b", span(0, 4)),
@@ -64,13 +64,13 @@
   t.is(zoneParts.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4), span(4, 8)], model)), "");
 });
 
-test("in a zone that is broken it goes straight to its target", (t) => {
+test("in a broken zone such an engine is ordered directly to its target", (t) => {
   const members = [createMember("a", span(0, 4)), createMember("b", span(0, 4))];
   t.false(isZoneWhole(members, model));
   t.is(zoneParts.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4)], model)), "a=4-8");
 });
 
-test("an engine that was just ordered or just failed gets no order", (t) => {
+test("an engine with a recent order or failure gets no order", (t) => {
   const members = [createMember("a", span(0, 4), { isFree: false })];
   t.is(zoneParts.describeOrders(planZoneOrders(members, [span(0, 5)], model)), "");
 });
--- a/packages/gateway/src/tests/orders/zoneParts.ts
+++ b/packages/gateway/src/tests/orders/zoneParts.ts
@@ -1,9 +1,9 @@
-/** Engines of a small zone, for the tests of its planning. */
+/** Engines of a small zone, for the tests of zone planning. */
 import type * as placement from "@shedtiller/placement";
 import type { LayerSpan } from "../../discovery/ListedEndpoint.js";
 import type { ZoneEngine, ZoneOrder } from "../../orders/planZoneOrders.js";
 
-/** Eight layers of 10 MB; a request of 10 tokens takes 1 MB a layer. */
+/** Eight layers of 10 MB; a request of 10 tokens takes 1 MB per layer. */
 export const smallModel: placement.CopyModel = {
   layerCount: 8,
   layerMb: 10,
@@ -15,7 +15,7 @@
   hopMs: 0.25,
 };
 
-/** Creates an engine that lists a span, or nothing where the span is empty. */
+/** Creates an engine with a listed span, or without layers where the span is empty. */
 export function createMember(
   name: string,
   { start, end }: LayerSpan,
@@ -32,7 +32,7 @@
   };
 }
 
-/** Orders as `name=start-end`, by commas. */
+/** Formats orders as `name=start-end`, separated by commas. */
 export function describeOrders(orders: readonly ZoneOrder[]): string {
   return orders.map(({ name, span: { start, end } }) => `${name}=${start}-${end}`).join(",");
 }
--- a/packages/routing/src/tests/EndpointRestTests.ts
+++ b/packages/routing/src/tests/EndpointRestTests.ts
@@ -1,64 +1,64 @@
-/** How long an endpoint rests, and what goes to it first after that. */
+/** Tests how long a back-off lasts, and how many requests are sent after it. */
 import test from "ava";
 import { EndpointRest } from "../EndpointRest.js";
 
-test("a rest ends with the latest time that was named, whatever is named or answered meanwhile", (t) => {
-  const rest = new EndpointRest();
-  t.true(rest.note(3_000, 0));
-  t.false(rest.note(1_000, 10));
-  rest.noteAnswered(5);
-  t.is(rest.getLeftMs(2_000), 1_000);
-  t.false(rest.note(5_000, 2_000));
-  t.false(rest.mayBegin(4_999));
-  t.true(rest.mayBegin(5_000));
+test("a back-off ends at the latest requested time, whatever is requested or answered in the meantime", (t) => {
+  const backoff = new EndpointRest();
+  t.true(backoff.note(3_000, 0));
+  t.false(backoff.note(1_000, 10));
+  backoff.noteAnswered(5);
+  t.is(backoff.getLeftMs(2_000), 1_000);
+  t.false(backoff.note(5_000, 2_000));
+  t.false(backoff.mayBegin(4_999));
+  t.true(backoff.mayBegin(5_000));
 });
 
-// Guards against all that waited for the end of a rest reaching the endpoint at once.
-test("after a rest one request goes first, and twice as many after each answer", (t) => {
-  const rest = new EndpointRest();
-  rest.note(1_000, 0);
+// Guards against all waiting requests reaching the endpoint at once at the end of its back-off.
+test("after a back-off one request is sent first, and twice as many after each answer", (t) => {
+  const backoff = new EndpointRest();
+  backoff.note(1_000, 0);
   const sendAll = (nowMs: number): number => {
     let sent = 0;
-    for (; sent < 100 && rest.mayBegin(nowMs); sent++) rest.noteSent(nowMs);
+    for (; sent < 100 && backoff.mayBegin(nowMs); sent++) backoff.noteSent(nowMs);
     return sent;
   };
   t.is(sendAll(1_000), 1);
-  rest.noteAnswered(1_000);
+  backoff.noteAnswered(1_000);
   t.is(sendAll(1_010), 2);
-  rest.noteAnswered(1_010);
-  rest.noteAnswered(1_010);
+  backoff.noteAnswered(1_010);
+  backoff.noteAnswered(1_010);
   t.is(sendAll(1_020), 8);
-  t.true(rest.isUnproven(1_020));
-  for (let answer = 0; answer < 2; answer++) rest.noteAnswered(1_020);
-  t.false(rest.isUnproven(1_020));
+  t.true(backoff.isUnproven(1_020));
+  for (let answer = 0; answer < 2; answer++) backoff.noteAnswered(1_020);
+  t.false(backoff.isUnproven(1_020));
   t.is(sendAll(1_030), 100);
 });
 
-test("a request without an answer holds the next one up for a second only, and one that was not sent not at all", (t) => {
-  const rest = new EndpointRest();
-  rest.note(1_000, 0);
-  rest.noteSent(1_000);
-  t.false(rest.mayBegin(1_999));
-  t.true(rest.mayBegin(2_000));
-  rest.noteSent(2_000);
-  rest.noteNotSent();
-  rest.noteNotSent();
-  t.true(rest.mayBegin(2_001));
+test("a request without an answer delays the next one by a second only, and a request that was not sent does not", (t) => {
+  const backoff = new EndpointRest();
+  backoff.note(1_000, 0);
+  backoff.noteSent(1_000);
+  t.false(backoff.mayBegin(1_999));
+  t.true(backoff.mayBegin(2_000));
+  backoff.noteSent(2_000);
+  backoff.noteNotSent();
+  backoff.noteNotSent();
+  t.true(backoff.mayBegin(2_001));
 });
 
-test("an answer to a request from before the rest tells nothing of the return", (t) => {
-  const rest = new EndpointRest();
-  rest.note(1_000, 0);
-  rest.noteSent(1_000);
-  rest.noteAnswered(-10);
-  t.false(rest.mayBegin(1_010));
+test("an answer to a request from before the back-off does not advance the slow start", (t) => {
+  const backoff = new EndpointRest();
+  backoff.note(1_000, 0);
+  backoff.noteSent(1_000);
+  backoff.noteAnswered(-10);
+  t.false(backoff.mayBegin(1_010));
 });
 
-test("the end of a rest is told once", (t) => {
-  const rest = new EndpointRest();
-  t.is(rest.takeEndedMs(0), undefined);
-  rest.note(3_000, 500);
-  t.is(rest.takeEndedMs(2_999), undefined);
-  t.is(rest.takeEndedMs(3_000), 2_500);
-  t.is(rest.takeEndedMs(3_001), undefined);
+test("the end of a back-off is reported once", (t) => {
+  const backoff = new EndpointRest();
+  t.is(backoff.takeEndedMs(0), undefined);
+  backoff.note(3_000, 500);
+  t.is(backoff.takeEndedMs(2_999), undefined);
+  t.is(backoff.takeEndedMs(3_000), 2_500);
+  t.is(backoff.takeEndedMs(3_001), undefined);
 });
--- a/packages/routing/src/tests/routingTests.ts
+++ b/packages/routing/src/tests/routingTests.ts
@@ -46,7 +46,7 @@
 
 const options = { layerCount: 32, availabilityZone: "z" };
 
-test("every chooser covers the layers in order, and gives nothing where they can't be covered", (t) => {
+test("every chooser covers the layers in order, and returns undefined where they can't be covered", (t) => {
   const reports = [
     createReport("a", [0, 16]),
     createReport("b", [16, 32]),
@@ -71,7 +71,7 @@
   }
 });
 
-test("expected time prefers the near, the idle and the quick", (t) => {
+test("ExpectedTimeChooser prefers near, idle and fast engines", (t) => {
   const chooser = new ExpectedTimeChooser(new utils.RandomSource(1));
   const choose = (reports: EngineReport[], zones = {}): string | undefined =>
     chooser.choose(createDirectory(reports, zones).getEngines("m", "1"), options)?.[0]?.entry.name;
@@ -80,7 +80,7 @@
   t.is(choose([createReport("slow", [0, 32], { stepMs: 9 }), createReport("quick", [0, 32])]), "quick");
 });
 
-test("in a rush, before any report shows it, instances that choose alike spread over the engines by their speed", (t) => {
+test("under a sudden load that no report shows yet, instances spread their streams over the engines by speed", (t) => {
   const reports = [
     createReport("a", [0, 32]),
     createReport("b", [0, 32]),
@@ -96,7 +96,7 @@
   t.true(a >= 4 && b >= 4 && slow >= 1 && slow <= 3, `${a} ${b} ${slow}`);
 });
 
-test("a leaving endpoint gets no new work from the first evidence on, whatever the list says", (t) => {
+test("a draining endpoint gets no new work from the first evidence on, whatever the list says", (t) => {
   const directory = createDirectory([createReport("a", [0, 32])]);
   directory.setReport(createReport("a", [0, 32], { state: "leaving" }), true);
   t.is(directory.getEngines("m", "1").length, 0);
@@ -105,24 +105,24 @@
   t.is(directory.getEngines("m", "1").length, 0);
 });
 
-test("an endpoint that failed three times in a row is left out for a while, but never more than half of them", (t) => {
+test("an endpoint is ejected for a while after three consecutive failures, but never more than half of the endpoints", (t) => {
   let nowMs = 0;
-  const guard = new OutlierEjection(() => nowMs);
-  for (let count = 0; count < 3; count++) guard.recordFailure("a");
+  const ejection = new OutlierEjection(() => nowMs);
+  for (let count = 0; count < 3; count++) ejection.recordFailure("a");
   t.deepEqual(
-    guard.withoutEjected(["a", "b", "c"], (name) => name),
+    ejection.withoutEjected(["a", "b", "c"], (name) => name),
     ["b", "c"],
   );
-  for (const name of ["b", "c"]) for (let count = 0; count < 3; count++) guard.recordFailure(name);
+  for (const name of ["b", "c"]) for (let count = 0; count < 3; count++) ejection.recordFailure(name);
   t.deepEqual(
-    guard.withoutEjected(["a", "b", "c"], (name) => name),
+    ejection.withoutEjected(["a", "b", "c"], (name) => name),
     ["a", "b", "c"],
   );
   nowMs = 3_000;
-  t.false(guard.isEjected("a"));
+  t.false(ejection.isEjected("a"));
 });
 
-test("ejection never takes the last engine of a range of layers", (t) => {
+test("the last engine of a layer range is never ejected", (t) => {
   const directory = createDirectory([
     createReport("a", [0, 16]),
     createReport("b", [16, 32]),
@@ -140,7 +140,7 @@
   );
 });
 
-test("retries are held to a share of the requests", (t) => {
+test("retries are limited to a share of the requests", (t) => {
   const budget = new RetryBudget(0.2, 10);
   const takeAll = (): number => {
     let taken = 0;
