--- a/packages/crashes/src/getTrialRank.ts
+++ b/packages/crashes/src/getTrialRank.ts
@@ -5,7 +5,7 @@
  * where some are cut off, and each request has an order of its own.
  */
 export function getTrialRank(digest: string, ownName: string, names: readonly string[]): number {
-  const getPlace = (name: string): number => utils.hash32(`${digest}\u0000${name}`);
-  const own = getPlace(ownName);
-  return names.filter((name) => getPlace(name) < own).length;
+  const getHash = (name: string): number => utils.hash32(`${digest}\u0000${name}`);
+  const own = getHash(ownName);
+  return names.filter((name) => getHash(name) < own).length;
 }
--- a/packages/gateway/src/discovery/ChangeFeed.ts
+++ b/packages/gateway/src/discovery/ChangeFeed.ts
@@ -4,9 +4,7 @@
 export interface Change<T> {
   readonly key: string;
   readonly value: T | undefined;
-  /**
-   * Whether the new value under the key cannot be parsed: the previous value was overwritten, but the key was not removed.
-   */
+  /** Whether the new value under the key cannot be parsed: the previous value was overwritten, but the key was not removed. */
   readonly isUnreadable?: boolean | undefined;
 }
 
@@ -16,16 +14,14 @@
   readonly nextOffset: number;
 }
 
-/**
- * Changes since an offset. Where `isCompacted` is set, some of them are no longer stored and the reader has to take a new snapshot.
- */
+/** Changes since an offset. Where `isCompacted` is set, some of them are no longer stored and the reader has to take a new snapshot. */
 export interface FeedPage<T> {
   readonly changes: readonly Change<T>[];
   readonly nextOffset: number;
   readonly isCompacted: boolean;
 }
 
-/** An error of a read of the store, which either did not answer or rejected the call. */
+/** Errors of calls to the store, which either did not answer or rejected the call. */
 export type StoreError =
   | errors.NotReachedError
   | errors.ConnectionLostError
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -19,9 +19,7 @@
  */
 const observedCapacityMs = 2_000;
 
-/**
- * Separates the endpoint id from the start time of the process. Ids of the platform consist of letters, digits and dashes.
- */
+/** Separates the endpoint id from the start time of the process. Ids of the platform consist of letters, digits and dashes. */
 export const lifeSeparator = "@";
 
 /** The number of other instances that are assumed to put the same load on endpoints as this instance. */
@@ -68,9 +66,7 @@
     return this.listed.id;
   }
 
-  /**
-   * Identifies one life of the endpoint's process. Reports of peers on an earlier life must not be applied to the current one.
-   */
+  /** Identifies one life of the endpoint's process. Reports of peers on an earlier life must not be applied to the current one. */
   get lifeId(): string {
     const { id, bornAtMs } = this.listed;
     return bornAtMs === undefined ? id : `${id}${lifeSeparator}${bornAtMs}`;
@@ -124,17 +120,13 @@
     return isLower;
   }
 
-  /**
-   * Returns the load at which the endpoint recently rejected a request for lack of capacity; infinite where it has not rejected any.
-   */
+  /** Returns the load at which the endpoint recently rejected a request for lack of capacity; infinite where it has not rejected any. */
   getSeenFullTokenLayers(nowMs: number): number {
     const seen = this._observedCapacity;
     return seen === undefined || nowMs >= seen.untilMs ? Number.POSITIVE_INFINITY : seen.tokenLayers;
   }
 
-  /**
-   * Returns whether a request may be sent to the endpoint, within its stated limit and outside its requested back-off.
-   */
+  /** Returns whether a request may be sent to the endpoint, within its stated limit and outside its requested back-off. */
   hasPermit(nowMs: number): boolean {
     if (!this.rest.mayBegin(nowMs)) return false;
     return this.limit?.perSecond === undefined || this.permits.getCount(nowMs) > 0;
@@ -151,7 +143,7 @@
     return new SendPermit(this, expiresAtMs);
   }
 
-  /** Returns a permit with which no request was sent. */
+  /** Puts back a permit with which no request was sent. */
   takeBack(expiresAtMs: number | undefined): void {
     if (expiresAtMs !== undefined) this.permits.giveBack(expiresAtMs);
     this.rest.noteNotSent();
--- a/packages/gateway/src/discovery/EndpointLimits.ts
+++ b/packages/gateway/src/discovery/EndpointLimits.ts
@@ -22,9 +22,7 @@
 
 export type LimitListener = (endpoint: Endpoint) => void;
 
-/**
- * Keeps the request rate limits that endpoints state with their answers, and decides which of several statements applies.
- */
+/** Keeps the request rate limits that endpoints state with their answers, and decides which of several statements applies. */
 export class EndpointLimits {
   private readonly _nowMs: () => number;
   private readonly _listeners: LimitListener[] = [];
@@ -61,9 +59,7 @@
     return isNewer;
   }
 
-  /**
-   * Applies the limit that a report states. Reports need not state a limit, so that a report without one does not end a limit.
-   */
+  /** Applies the limit that a report states. Reports need not state a limit, so that a report without one does not end a limit. */
   noteReport(endpoint: Endpoint, stated: StatedLimit | undefined, sentAtMs: number): void {
     if (stated !== undefined && stated.kind !== "none") this.noteAnswer(endpoint, stated, sentAtMs);
   }
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -45,9 +45,7 @@
 export class EndpointTable {
   private readonly _endpoints = new Map<string, Endpoint>();
   private readonly _listeners: EndpointListener[] = [];
-  /**
-   * Endpoints that are missing from the list, and the monotonic time at which they are dropped unless they reappear.
-   */
+  /** Endpoints that are missing from the list, and the monotonic time at which they are dropped unless they reappear. */
   private readonly _missing = new Map<string, number>();
   /** The latest known start of each endpoint id in Unix milliseconds; the least recently updated id comes first. */
   private readonly _newestStarts = new Map<string, number>();
@@ -209,9 +207,7 @@
     this._assumedPeers.count = 0;
   }
 
-  /**
-   * Sets the load of a peer on all endpoints, keyed by the ids of their lives; endpoints without an entry have no load of this peer.
-   */
+  /** Sets the load of a peer on all endpoints, keyed by the ids of their lives; endpoints without an entry have no load of this peer. */
   setPeerLoads(peer: string, loads: ReadonlyMap<string, EndpointLoad>): void {
     this.endAssumption();
     for (const endpoint of this._endpoints.values()) endpoint.setPeerLoad(peer, loads.get(endpoint.lifeId));
@@ -237,9 +233,7 @@
     if (JSON.stringify(listed.layers) !== JSON.stringify(before.layers)) this._notify(known, "layers");
   }
 
-  /**
-   * Endpoints that report their start do so always; a report without a start is therefore not about the current life.
-   */
+  /** Endpoints that report their start do so always; a report without a start is therefore not about the current life. */
   private _compareLives(id: string, bornAtMs: number | undefined): LifeOrder {
     const newest = this._newestStarts.get(id);
     if (newest === undefined) {
@@ -272,9 +266,7 @@
     this._notify(endpoint, "added");
   }
 
-  /**
-   * Marks an endpoint whose entry was removed as missing. An entry that cannot be parsed may be written again within the grace period.
-   */
+  /** Marks an endpoint whose entry was removed as missing. An entry that cannot be parsed may be written again within the grace period. */
   private _removeListed({ key, isUnreadable }: Change<ListedEndpoint>): void {
     const endpoint = this._endpoints.get(key);
     if (endpoint === undefined) return;
--- a/packages/gateway/src/discovery/FailureGuard.ts
+++ b/packages/gateway/src/discovery/FailureGuard.ts
@@ -6,11 +6,8 @@
 const secondOpenMs = 500;
 /** Maximum open time: endpoints that fail this way work again after a few seconds, and are tried at this interval. */
 const maxOpenMs = 4_000;
-/**
- * A request that cannot be retried goes to an endpoint whose last request failed only after no other request has been sent there for this
- * long.
- */
-const minIdleMs = 5_000;
+/** How long after the open time an endpoint that has not answered since its last failure gets no requests that cannot be retried. */
+const unprovenMs = 5_000;
 
 /**
  * Circuit breaker for one endpoint, based on the requests of this instance. Distinguishes an endpoint that fails every request right away
@@ -53,22 +50,18 @@
     this._slowStart.noteNotSent();
   }
 
-  /**
-   * Returns whether the circuit is open, so that this instance sends no new requests to the endpoint unless no other is available.
-   */
+  /** Returns whether the circuit is open, so that this instance sends no new requests to the endpoint unless no other is available. */
   isAvoided(nowMs: number): boolean {
     return nowMs < this._openUntilMs;
   }
 
-  /**
-   * Returns whether the circuit is open, or the slow start after its opening admits no further request until one is answered.
-   */
+  /** Returns whether the circuit is open, or the slow start after its opening admits no further request until one is answered. */
   isOnProbation(nowMs: number): boolean {
     return this.isAvoided(nowMs) || this._slowStart.isFull(nowMs);
   }
 
   /** Returns whether the last request failed. A request that cannot be retried should then go to another endpoint. */
   isUnproven(nowMs: number): boolean {
-    return this._failures > 0 && nowMs < this._openUntilMs + minIdleMs;
+    return this._failures > 0 && nowMs < this._openUntilMs + unprovenMs;
   }
 }
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -62,9 +62,7 @@
   private _isLost = false;
   private _isReader = true;
   private _isFallbackReader = false;
-  /**
-   * Whether the next read returns without long polling, because the freshness of the set is unknown or changes are known to be missing.
-   */
+  /** Whether the next read returns without long polling, because the freshness of the set is unknown or changes are known to be missing. */
   private _isNextReadImmediate = true;
   /** Monotonic time since which changes have been known to exist that have not been read. */
   private _behindSinceMs: number | undefined;
@@ -119,9 +117,7 @@
     if (isReader) this._wakeUp.resolve();
   }
 
-  /**
-   * Applies a page that a peer has read. A page that does not continue at the known offset causes a read of the store.
-   */
+  /** Applies a page that a peer has read. A page that does not continue at the known offset causes a read of the store. */
   takeTold(page: PeerPage<T>, freshAtMs: number): void {
     if (this._offset === undefined || page.nextOffset < this._offset) return;
     const isKnown = page.nextOffset === this._offset;
@@ -157,9 +153,7 @@
     }
   }
 
-  /**
-   * Returns whether peers provide all changes, so that this follower neither reads for others nor has changes to catch up on.
-   */
+  /** Returns whether peers provide all changes, so that this follower neither reads for others nor has changes to catch up on. */
   private _isIdle(): boolean {
     return this._offset !== undefined && !this._isReader && this._behindSinceMs === undefined;
   }
@@ -239,9 +233,7 @@
     this._wakeUp.resolve();
   }
 
-  /**
-   * Notifies the listener that the store has recovered, since a peer has read it after a long gap or after a failed read.
-   */
+  /** Notifies the listener that the store has recovered, since a peer has read it after a long gap or after a failed read. */
   private _noteFreshnessGap(freshAtMs: number): void {
     if (freshAtMs - this._freshAtMs > unavailableAfterMs || this._isLost) this._listener.onRegained();
     this._isLost = false;
--- a/packages/gateway/src/discovery/LocalPermits.ts
+++ b/packages/gateway/src/discovery/LocalPermits.ts
@@ -42,7 +42,7 @@
     return expiresAtMs;
   }
 
-  /** Returns a permit that was not used after all. */
+  /** Puts back a permit that was not used after all. */
   giveBack(expiresAtMs: number): void {
     this.add(1, expiresAtMs);
     this._used -= 1;
@@ -56,7 +56,7 @@
   /** Returns the usage since the last call, and starts counting anew. */
   takeAccount(nowMs: number): PermitAccount {
     this._dropExpired(nowMs);
-    // A permit that was reported as used and returned afterwards is not reported again.
+    // A permit that was reported as used and returned afterwards is deducted from the next usage.
     const account = {
       used: Math.max(0, this._used),
       returned: this._returned,
--- a/packages/gateway/src/discovery/SendPermit.ts
+++ b/packages/gateway/src/discovery/SendPermit.ts
@@ -16,7 +16,7 @@
     private readonly _expiresAtMs: number | undefined,
   ) {}
 
-  /** Returns the permit, since nothing was written to the endpoint. */
+  /** Puts back the permit, since nothing was written to the endpoint. */
   giveBack(): void {
     if (!this._isGivenBack) this._source.takeBack(this._expiresAtMs);
     this._isGivenBack = true;
--- a/packages/gateway/src/orders/LayerKeeper.ts
+++ b/packages/gateway/src/orders/LayerKeeper.ts
@@ -57,7 +57,7 @@
     _structure.endpoints.onChanged((endpoint, event) => {
       if (event === "added") this._addedAtMs.set(getPoolKey(endpoint), utils.monotonicMs());
       // Orders to the previous life are void, whether or not they were answered.
-      if (event === "gone" || event === "restarted") this._forget(endpoint.id);
+      if (event === "gone" || event === "restarted") this._removeEngine(endpoint.id);
       if (event === "suspected" && this._isManaged(endpoint)) void this._lostEngines.check(endpoint);
       if (event === "layers" && this._isListedAsOrdered(endpoint)) this._pending.delete(endpoint.id);
     });
@@ -138,19 +138,20 @@
     this._retryAtMs.set(name, utils.monotonicMs() + retryMs);
     const target = endpoint.orderTarget;
     const report = await this._structure.orders.getReport(target, reportTimeoutMs);
-    if (report.err) return this._note(endpoint, span, report.val.code);
-    if (this._structure.endpoints.get(name) !== endpoint) return this._note(endpoint, span, "started again");
+    if (report.err) return this._logOutcome(endpoint, span, report.val.code);
+    if (this._structure.endpoints.get(name) !== endpoint)
+      return this._logOutcome(endpoint, span, "started again");
     const postponeReason = getPostponeReason(order, report.val, endpoint, profile);
-    if (postponeReason !== undefined) return this._note(endpoint, span, postponeReason);
+    if (postponeReason !== undefined) return this._logOutcome(endpoint, span, postponeReason);
     if (!this._structure.mayOrder(endpoint.listed.availabilityZone)) return;
     const placed = await this._structure.orders.placeLayers(target, span, report.val.orderCount);
-    this._note(endpoint, span, placed.ok ? "accepted" : placed.val.code);
+    this._logOutcome(endpoint, span, placed.ok ? "accepted" : placed.val.code);
     if (placed.err) return;
     const loadMs = (profile.loadMs * (span.end - span.start)) / profile.layerCount;
     this._pending.set(name, { span, dueAtMs: utils.monotonicMs() + loadMs + overdueMs });
   }
 
-  private _note(endpoint: Endpoint, span: LayerSpan, outcome: string): void {
+  private _logOutcome(endpoint: Endpoint, span: LayerSpan, outcome: string): void {
     this._structure.log.info("layers-ordered", {
       endpointId: endpoint.id,
       address: endpoint.listed.address,
@@ -160,10 +161,10 @@
     });
   }
 
-  private _forget(id: string): void {
+  private _removeEngine(id: string): void {
     this._pending.delete(id);
     this._retryAtMs.delete(id);
-    this._lostEngines.forget(id);
+    this._lostEngines.removeProbe(id);
   }
 }
 
--- a/packages/gateway/src/orders/LostEngineDetector.ts
+++ b/packages/gateway/src/orders/LostEngineDetector.ts
@@ -45,7 +45,7 @@
     return isZoneReached ? kept : [...members];
   }
 
-  forget(id: string): void {
+  removeProbe(id: string): void {
     this._probes.delete(id);
   }
 
@@ -61,7 +61,7 @@
     probe.isUnderWay = true;
     while (!(await this._probeOnce(member))) {
       probe.failures += 1;
-      if (probe.failures === failuresUntilLost) this._note(member, "engine-lost");
+      if (probe.failures === failuresUntilLost) this._logWarning(member, "engine-lost");
       if (probe.failures >= failuresUntilLost) break;
       await utils.sleep(retryMs);
     }
@@ -74,12 +74,12 @@
     const target = member.orderTarget;
     const report = await this._orders.getReport(target, reportTimeoutMs);
     if (report.err) return false;
-    if (this._isLost(member.id)) this._note(member, "engine-answers-again");
-    this.forget(member.id);
+    if (this._isLost(member.id)) this._logWarning(member, "engine-answers-again");
+    this.removeProbe(member.id);
     return true;
   }
 
-  private _note(member: Endpoint, message: string): void {
+  private _logWarning(member: Endpoint, message: string): void {
     this._log.warn(message, { endpointId: member.id, address: member.listed.address });
   }
 }
--- a/packages/routing/src/EndpointRest.ts
+++ b/packages/routing/src/EndpointRest.ts
@@ -4,8 +4,8 @@
 export const turnedAwayStatuses: readonly number[] = [429, 503];
 /** Maximum back-off: an endpoint that is unavailable for longer stops or restarts, and a longer time is more likely a mistake. */
 export const longestRestMs = 600_000;
-/** A request that cannot be retried goes to an endpoint in slow start only after no other request has been sent there for this long. */
-const minIdleMs = 5_000;
+/** How long after the back-off an endpoint in slow start gets no requests that cannot be retried. */
+const unprovenMs = 5_000;
 
 /**
  * The back-off that one life of an endpoint has requested from this instance, followed by a slow start. Not shared with other instances,
@@ -22,9 +22,9 @@
     return this._untilMs;
   }
 
-  /** Returns whether few requests have been sent since the last back-off. After a while without requests any request may be sent. */
+  /** Returns whether the slow start is not over yet. If it takes too long for lack of requests, any request may be sent. */
   isUnproven(nowMs: number): boolean {
-    return !this._slowStart.isOver && nowMs < this._untilMs + minIdleMs;
+    return !this._slowStart.isOver && nowMs < this._untilMs + unprovenMs;
   }
 
   /**
