--- a/packages/gateway/src/orders/EngineOrders.ts
+++ b/packages/gateway/src/orders/EngineOrders.ts
@@ -37,7 +37,7 @@
   }
 }
 
-/** A report comes from a process that has ended since, or that never was the process of this engine. */
+/** The report of an engine comes from a process that has ended since, or that never was the process of this engine. */
 export class EarlierLifeError extends errors.ShedtillerError {
   readonly code = "earlier_life";
 
