--- a/packages/gateway/src/crashes/CrashWatch.ts
+++ b/packages/gateway/src/crashes/CrashWatch.ts
@@ -188,9 +188,9 @@
   getHeldBackMs(request: { readonly digest: string }): number | undefined {
     if (this.isQuiet) return undefined;
     const { digest } = request;
-    const standing = this.ledger.getStanding(digest);
-    if (standing === "held") return this._countRejection(this.ledger.getHoldLeftMs(digest));
-    if (standing !== "due-for-trial" || this._isOwnTurn(digest)) return undefined;
+    const status = this.ledger.getStanding(digest);
+    if (status === "held") return this._countRejection(this.ledger.getHoldLeftMs(digest));
+    if (status !== "due-for-trial" || this._isOwnTurn(digest)) return undefined;
     return this._countRejection(trialElsewhereMs);
   }
 
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -24,8 +24,8 @@
 /** A zone is rearranged once its engines have kept their layers for this long, since a lost engine often returns. */
 const stableMs = 2_000;
 /**
- * A zone that can't be repaired is rearranged after this time. A lost engine is often back earlier (after 3 to 5 s on the users' days), and
- * a rearrangement waits for all requests that pass through the zone's engines.
+ * A zone that can't be repaired is rearranged after this time. A lost engine is often back earlier (after 3 to 5 s in the recorded
+ * scenarios), and a rearrangement waits for all requests that pass through the zone's engines.
  */
 const rearrangeAfterMs = 4_000;
 /** Number of typical requests that have to fit at each engine while engines of a serving zone change their layers. */
