--- a/packages/crashes/src/CompletedRequests.ts
+++ b/packages/crashes/src/CompletedRequests.ts
@@ -1,4 +1,4 @@
-import { digestRequest, type DigestedRequest } from "./digestRequest.js";
+import { digestRequest, type RequestIdentity } from "./digestRequest.js";
 
 /** Number of requests kept of each kind; a request that many callers send is among them. */
 const maxPerKind = 48;
@@ -6,7 +6,7 @@
 const maxBodyBytes = 8 * 1024;
 
 interface CompletedRequest {
-  readonly asked: DigestedRequest;
+  readonly asked: RequestIdentity;
   readonly atMs: number;
   digest?: string;
 }
@@ -19,7 +19,7 @@
   private readonly _byKind = new Map<string, CompletedRequest[]>();
 
   /** @param kind - Requests of one kind don't displace those of another. */
-  add(kind: string, asked: DigestedRequest, atMs: number): void {
+  add(kind: string, asked: RequestIdentity, atMs: number): void {
     if (asked.body.length > maxBodyBytes) return;
     const kept = this._byKind.get(kind) ?? [];
     this._byKind.set(kind, kept);
--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -32,7 +32,7 @@
 /** Duration of a quarantine after a trial that crashed an endpoint again. */
 const laterQuarantineMs = 600_000;
 /** Time after which callers may retry a request that another instance is trying. */
-export const trialElsewhereMs = 5_000;
+export const trialElsewhereRetryAfterMs = 5_000;
 /** A trial without a result, for example where the request found no capacity, keeps other instances from trying for this long. */
 const trialTimeoutMs = 3_000;
 /**
@@ -86,12 +86,12 @@
   }
 
   /** Number of requests that are quarantined now. */
-  get heldCount(): number {
+  get quarantinedCount(): number {
     const nowMs = this._nowMs();
     return [...this._quarantines.values()].filter((quarantine) => nowMs < quarantine.untilMs).length;
   }
 
-  onHold(listener: QuarantineListener): void {
+  onQuarantineChanged(listener: QuarantineListener): void {
     this._listeners.push(listener);
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** Returns the remaining time of a quarantine; 0 where there is none. */
-  getHoldLeftMs(digest: string): number {
+  getQuarantineLeftMs(digest: string): number {
     return Math.max(0, (this._quarantines.get(digest)?.untilMs ?? 0) - this._nowMs());
   }
 
@@ -205,7 +205,7 @@
    * Records that a run of a request survived its initial phase.
    * @returns The clearing, if there was evidence against the request.
    */
-  noteOutlived(digest: string, atMs: number): ClearingMessage | undefined {
+  noteSurvived(digest: string, atMs: number): ClearingMessage | undefined {
     const isNews = this._quarantines.has(digest) || this._hasSuspect(digest);
     return isNews ? this.noteHarmless(digest, atMs) : undefined;
   }
@@ -222,7 +222,7 @@
 
   /** Releases a request on behalf of an operator. */
   release(digest: string): ClearingMessage | undefined {
-    return this.noteOutlived(digest, this._nowMs());
+    return this.noteSurvived(digest, this._nowMs());
   }
 
   /** Applies a quarantine that a peer or the store reports. */
@@ -241,7 +241,7 @@
   }
 
   /** Returns all crash reports of the ledger, for an instance that has none yet. */
-  tellAll(): CrashReportsMessage {
+  getAllReports(): CrashReportsMessage {
     this._removeExpired();
     return {
       crashes: [...this._crashes].map(([lifeId, { atMs, suspects }]) => ({
@@ -256,7 +256,7 @@
   }
 
   /** Merges crash reports from a peer, and returns the parts that were new. */
-  take(reports: CrashReportsMessage): CrashReportsMessage {
+  mergeReports(reports: CrashReportsMessage): CrashReportsMessage {
     const nowMs = this._nowMs();
     // Quarantines come before crashes, so that the crashes that led to a known quarantine do not start another one.
     return {
--- a/packages/crashes/src/CrashExchange.ts
+++ b/packages/crashes/src/CrashReportBroadcast.ts
@@ -1,11 +1,11 @@
-import { NewsExchange, type NewsExchangeStructure } from "@shedtiller/membership";
+import { PeerBroadcast, type PeerBroadcastStructure } from "@shedtiller/membership";
 import { hasCrashReports, crashReportsMessageSchema, type CrashReportsMessage } from "./crashMessages.js";
 
 const crashTopic = "crashes";
 
 /** Dependencies of {@link CrashReportBroadcast}. */
-export interface CrashExchangeStructure extends Pick<
-  NewsExchangeStructure<CrashReportsMessage>,
+export interface CrashReportBroadcastStructure extends Pick<
+  PeerBroadcastStructure<CrashReportsMessage>,
   "membership" | "onInvalid" | "random"
 > {
   /** Merges crash reports from a peer, and returns the parts that were new. */
@@ -15,22 +15,22 @@
 }
 
 /** Exchanges crash reports with the other instances; one per instance. */
-export class CrashExchange {
-  private readonly _broadcast: NewsExchange<CrashReportsMessage>;
+export class CrashReportBroadcast {
+  private readonly _broadcast: PeerBroadcast<CrashReportsMessage>;
 
-  constructor(structure: CrashExchangeStructure) {
-    this._broadcast = new NewsExchange({
+  constructor(structure: CrashReportBroadcastStructure) {
+    this._broadcast = new PeerBroadcast({
       ...structure,
       topic: crashTopic,
       schema: crashReportsMessageSchema,
-      take: (reports) => toUndefinedIfEmpty(structure.take(reports)),
-      tellAll: () => toUndefinedIfEmpty(structure.tellAll()),
+      applyUpdate: (reports) => toUndefinedIfEmpty(structure.take(reports)),
+      getFullState: () => toUndefinedIfEmpty(structure.tellAll()),
     });
   }
 
   /** Broadcasts crash reports of this instance. */
-  tell(reports: CrashReportsMessage): void {
-    this._broadcast.tell(reports);
+  broadcast(reports: CrashReportsMessage): void {
+    this._broadcast.broadcast(reports);
   }
 }
 
--- a/packages/crashes/src/crashMessages.ts
+++ b/packages/crashes/src/crashMessages.ts
@@ -47,7 +47,7 @@
 export type CrashReportsMessage = zod.infer<typeof crashReportsMessageSchema>;
 
 /** An empty message. */
-export const nothingTold: CrashReportsMessage = { crashes: [], clearings: [], holds: [], trials: [] };
+export const noCrashReports: CrashReportsMessage = { crashes: [], clearings: [], holds: [], trials: [] };
 
 /** Returns whether a message contains any report. */
 export function hasCrashReports({ crashes, clearings, holds, trials }: CrashReportsMessage): boolean {
--- a/packages/crashes/src/digestRequest.ts
+++ b/packages/crashes/src/digestRequest.ts
@@ -1,7 +1,7 @@
 import * as crypto from "node:crypto";
 
 /** The properties that make two requests identical to the endpoints that run them. */
-export interface DigestedRequest {
+export interface RequestIdentity {
   readonly method: string;
   /** Path with query. */
   readonly path: string;
@@ -17,7 +17,7 @@
  * Returns the digest of a request, by which an identical request is recognised under another id and at another instance. Host and route are
  * left out: endpoints see neither route nor service, and a caller that uses another name of the same service sends the same request.
  */
-export function digestRequest({ method, path, accountName, body }: DigestedRequest): string {
+export function digestRequest({ method, path, accountName, body }: RequestIdentity): string {
   const hash = crypto.createHash("sha256");
   hash.update(JSON.stringify([method, path, accountName ?? null]));
   hash.update(body);
--- a/packages/crashes/src/tests/CrashLedgerTests.ts
+++ b/packages/crashes/src/tests/CrashLedgerTests.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { CrashLedger } from "../CrashLedger.js";
-import { maxSuspectsPerCrash, nothingTold } from "../crashMessages.js";
+import { maxSuspectsPerCrash, noCrashReports } from "../crashMessages.js";
 
 function create() {
   const clock = { nowMs: 1_000_000 };
@@ -30,7 +30,7 @@
   const { clock, ledger, crash } = create();
   crash("a");
   crash("a");
-  t.truthy(ledger.noteOutlived("a", clock.nowMs));
+  t.truthy(ledger.noteSurvived("a", clock.nowMs));
   t.is(ledger.getStanding("a"), "unknown");
   crash("a");
   crash("a");
@@ -72,14 +72,14 @@
 test("a request is due for a trial after its quarantine: a crash quarantines it for longer, a surviving run releases it", (t) => {
   const { clock, ledger, crash } = create();
   for (let index = 0; index < 3; index++) crash("a");
-  const firstMs = ledger.getHoldLeftMs("a");
+  const firstMs = ledger.getQuarantineLeftMs("a");
   clock.nowMs += firstMs;
   t.is(ledger.getStanding("a"), "due-for-trial");
   crash("a");
   t.is(ledger.getStanding("a"), "held");
-  t.true(ledger.getHoldLeftMs("a") > 10 * firstMs);
-  clock.nowMs += ledger.getHoldLeftMs("a");
-  ledger.noteOutlived("a", clock.nowMs);
+  t.true(ledger.getQuarantineLeftMs("a") > 10 * firstMs);
+  clock.nowMs += ledger.getQuarantineLeftMs("a");
+  ledger.noteSurvived("a", clock.nowMs);
   t.is(ledger.getStanding("a"), "unknown");
 });
 
@@ -90,25 +90,25 @@
   crash("a", "b");
   clock.nowMs += 500;
   const other = new CrashLedger(() => 77_000);
-  const added = other.take(ledger.tellAll());
+  const added = other.mergeReports(ledger.getAllReports());
   t.is(added.crashes.length, 3);
   t.is(other.getStanding("a"), "held");
-  t.is(Math.round(other.getHoldLeftMs("a")), Math.round(ledger.getHoldLeftMs("a")));
+  t.is(Math.round(other.getQuarantineLeftMs("a")), Math.round(ledger.getQuarantineLeftMs("a")));
   t.is(other.getStanding("b"), "suspected");
-  t.deepEqual(other.take(ledger.tellAll()), nothingTold);
+  t.deepEqual(other.mergeReports(ledger.getAllReports()), noCrashReports);
 });
 
 test("late reports of crashes from before a clearing have no effect", (t) => {
   const { clock, ledger } = create();
   ledger.noteCrash("i-1", clock.nowMs, new Map([["a", 1]]));
-  ledger.noteOutlived("a", clock.nowMs + 10);
+  ledger.noteSurvived("a", clock.nowMs + 10);
   clock.nowMs += 2_000;
   const late = ["i-2", "i-3", "i-4"].map((lifeId) => ({
     lifeId,
     ageMs: 2_100,
     suspects: [["a", 1]] as [string, number][],
   }));
-  ledger.take({ ...nothingTold, crashes: late });
+  ledger.mergeReports({ ...noCrashReports, crashes: late });
   t.is(ledger.getStanding("a"), "unknown");
 });
 
@@ -119,7 +119,7 @@
     const digests = Array.from({ length: 200 }, (_, at) => [`${index}-${at}`, 0.5] as const);
     ledger.noteCrash(`i-${index}`, clock.nowMs, new Map([...digests, ["crashing", 1]]));
   }
-  const reports = ledger.tellAll();
+  const reports = ledger.getAllReports();
   t.true(reports.crashes.length <= 256);
   t.true(reports.crashes.every((crash) => crash.suspects.length <= maxSuspectsPerCrash));
   t.is(ledger.getStanding("crashing"), "held", "the strongest evidence is kept");
--- a/packages/crashes/src/tests/CrashExchangeTests.ts
+++ b/packages/crashes/src/tests/CrashReportBroadcastTests.ts
@@ -1,9 +1,9 @@
 /** Tests that crash reports go to all instances of the own zone and to a few of each other zone, which pass on what is new to them. */
 import test from "ava";
 import type { Member, NoticeHandler, PeerIdentity } from "@shedtiller/membership";
-import { CrashExchange } from "../CrashExchange.js";
+import { CrashReportBroadcast } from "../CrashReportBroadcast.js";
 import { CrashLedger } from "../CrashLedger.js";
-import { nothingTold, type CrashReportsMessage } from "../crashMessages.js";
+import { noCrashReports, type CrashReportsMessage } from "../crashMessages.js";
 
 const self = { name: "a1", availabilityZone: "a" };
 const peers: readonly PeerIdentity[] = ["a2", "a3", "b1", "b2", "b3", "b4"].map((name) => ({
@@ -28,7 +28,7 @@
   const handlers = new Map<string, NoticeHandler>();
   const linked: ((peer: PeerIdentity) => void)[] = [];
   const ledger = new CrashLedger(() => 1_000_000);
-  const broadcast = new CrashExchange({
+  const broadcast = new CrashReportBroadcast({
     membership: {
       self,
       getLinked: () => peers.map(toMember),
@@ -39,8 +39,8 @@
       onNotice: (topic, handler) => void handlers.set(topic, handler),
     },
     onInvalid: (_topic, from) => invalid.push(from.name),
-    take: (reports) => ledger.take(reports),
-    tellAll: () => ledger.tellAll(),
+    take: (reports) => ledger.mergeReports(reports),
+    tellAll: () => ledger.getAllReports(),
     random: () => 0,
   });
   const receive = (body: unknown, from: PeerIdentity | undefined): void => {
@@ -50,13 +50,13 @@
 }
 
 const reports: CrashReportsMessage = {
-  ...nothingTold,
+  ...noCrashReports,
   crashes: [{ lifeId: "i-1", ageMs: 5, suspects: [["d", 1]] }],
 };
 
 test("reports of this instance go to all instances of its zone and to two of each other zone", (t) => {
   const { broadcast, recipients } = create();
-  broadcast.tell(reports);
+  broadcast.broadcast(reports);
   t.deepEqual(recipients, ["a2", "a3", "b1", "b2"]);
 });
 
--- a/packages/gateway/src/crashes/CrashWatch.ts
+++ b/packages/gateway/src/crashes/CrashDetector.ts
@@ -3,11 +3,11 @@
   CompletedRequests,
   CrashLedger,
   quarantineWeight,
-  trialElsewhereMs,
-  nothingTold,
+  trialElsewhereRetryAfterMs,
+  noCrashReports,
   type CrashReportsMessage,
   type QuarantineMessage,
-  type DigestedRequest,
+  type RequestIdentity,
   type ProbeResult,
 } from "@shedtiller/crashes";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -37,7 +37,7 @@
 const turnPollIntervalMs = 10;
 
 /** A run of a request that is in flight. */
-export interface WatchedRun {
+export interface TrackedRun {
   readonly request: { readonly digest: string };
   /** The endpoint that the run was sent to. */
   readonly endpointId: string;
@@ -56,14 +56,14 @@
   readonly log: DecisionLog;
   readonly probe: (address: string, timeoutMs: number) => Promise<ProbeResult>;
   /** Broadcasts crash reports to the peers. */
-  readonly tell: (reports: CrashReportsMessage) => void;
+  readonly broadcast: (reports: CrashReportsMessage) => void;
   /** Returns how many other instances may try a request before this one once its quarantine has ended. */
   readonly getTrialRank: (digest: string) => number;
   readonly count?: (what: "crash" | "held-back") => void;
   /** Called for each endpoint that has turned out to have crashed. */
   readonly onCrash?: ((endpoint: Endpoint) => void) | undefined;
   /** Stores a quarantine so that it outlasts a restart of all instances; undefined removes it. */
-  readonly keep?: (digest: string, quarantine: QuarantineMessage | undefined) => void;
+  readonly persist?: (digest: string, quarantine: QuarantineMessage | undefined) => void;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: () => number;
   /** Waits, replaced in tests. */
@@ -72,7 +72,7 @@
 
 interface IdentifiedRequest {
   readonly digest: string;
-  readonly asked: DigestedRequest;
+  readonly identity: RequestIdentity;
 }
 
 /** A run that completed, until its endpoint has been seen alive afterwards. */
@@ -96,9 +96,9 @@
  * Detects requests that crash endpoints, and quarantines them. A run whose connection is lost before the end of its initial phase makes its
  * request a suspect if the endpoint turns out to have crashed. One per instance.
  */
-export class CrashWatch {
+export class CrashDetector {
   readonly ledger: CrashLedger;
-  private readonly _runs = new Set<WatchedRun>();
+  private readonly _runs = new Set<TrackedRun>();
   private readonly _investigations = new Map<string, Investigation>();
   /** Lives of endpoints whose crash this instance detected. */
   private readonly _detectedHere = new Set<string>();
@@ -111,7 +111,7 @@
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
     this._pause = _structure.pause ?? utils.sleep;
     this.ledger = new CrashLedger(this._nowMs);
-    this.ledger.onHold((digest, quarantine) => this._noteQuarantine(digest, quarantine));
+    this.ledger.onQuarantineChanged((digest, quarantine) => this._noteQuarantine(digest, quarantine));
     _structure.endpoints.onChanged((endpoint, event) => {
       if (event === "gone" || event === "restarted") this._endLife(endpoint);
     });
@@ -123,29 +123,29 @@
   }
 
   /** Records that a run is being sent. */
-  begin(run: WatchedRun): void {
+  begin(run: TrackedRun): void {
     this._runs.add(run);
     if (this.isQuiet || this.ledger.getStanding(run.request.digest) !== "due-for-trial") return;
     const trial = this.ledger.noteTrial({ digest: run.request.digest, ageMs: 0 });
-    if (trial !== undefined) this._structure.tell({ ...nothingTold, trials: [trial] });
+    if (trial !== undefined) this._structure.broadcast({ ...noCrashReports, trials: [trial] });
   }
 
   /** Records that a run is over. */
-  end(run: WatchedRun): void {
+  end(run: TrackedRun): void {
     this._runs.delete(run);
   }
 
   /** Releases a request on behalf of an operator, here and at all peers. */
   release(digest: string): void {
     const cleared = this.ledger.release(digest);
-    if (cleared !== undefined) this._structure.tell({ ...nothingTold, clearings: [cleared] });
+    if (cleared !== undefined) this._structure.broadcast({ ...noCrashReports, clearings: [cleared] });
   }
 
   /**
    * Records that an endpoint completed a run. A run that survived its initial phase clears its request at once. A shorter run may end just
    * before its endpoint crashes, and clears its request only if the endpoint is still alive after the length of an initial phase.
    */
-  noteCompleted(kind: string, request: IdentifiedRequest, run: WatchedRun, endpoint: Endpoint): void {
+  noteCompleted(kind: string, request: IdentifiedRequest, run: TrackedRun, endpoint: Endpoint): void {
     const completed: CompletedRun = { kind, request, endpoint, endedAtMs: this._nowMs() };
     if (this._hasSurvived(run)) return this._noteHarmless(completed);
     this._completedRuns.add(completed);
@@ -153,23 +153,23 @@
   }
 
   /** Records that a run of a request survived its initial phase. */
-  noteOutlived(request: { readonly digest: string }): void {
+  noteSurvived(request: { readonly digest: string }): void {
     if (this.isQuiet) return;
     const { digest } = request;
     for (const investigation of this._investigations.values()) investigation.suspects.delete(digest);
     const wasQuarantined = this.ledger.getQuarantineCount(digest) > 0;
-    const cleared = this.ledger.noteOutlived(digest, this._nowMs());
+    const cleared = this.ledger.noteSurvived(digest, this._nowMs());
     if (cleared === undefined) return;
-    this._structure.tell({ ...nothingTold, clearings: [cleared] });
-    if (wasQuarantined) this._structure.keep?.(digest, undefined);
+    this._structure.broadcast({ ...noCrashReports, clearings: [cleared] });
+    if (wasQuarantined) this._structure.persist?.(digest, undefined);
   }
 
   /**
    * Records that an endpoint closed the connection of a run; resolves once it is known whether the endpoint crashed.
    * @param endpoint - The endpoint that closed the connection, which may be another one of the chain than the first.
    */
-  async noteLost(run: WatchedRun, endpoint: Endpoint): Promise<void> {
-    if (this._hasSurvived(run)) return this.noteOutlived(run.request);
+  async noteLost(run: TrackedRun, endpoint: Endpoint): Promise<void> {
+    if (this._hasSurvived(run)) return this.noteSurvived(run.request);
     // An endpoint that stops as planned closes its remaining connections.
     const listed = this._structure.endpoints.get(endpoint.id);
     if (listed === undefined || endpoint.listed.isDraining) return;
@@ -185,13 +185,13 @@
    * Checks whether a request is quarantined; called right before each send.
    * @returns The time after which the request may be sent again, or undefined where it may be sent now.
    */
-  getHeldBackMs(request: { readonly digest: string }): number | undefined {
+  getQuarantineMs(request: { readonly digest: string }): number | undefined {
     if (this.isQuiet) return undefined;
     const { digest } = request;
     const status = this.ledger.getStanding(digest);
-    if (status === "held") return this._countRejection(this.ledger.getHoldLeftMs(digest));
+    if (status === "held") return this._countRejection(this.ledger.getQuarantineLeftMs(digest));
     if (status !== "due-for-trial" || this._isOwnTurn(digest)) return undefined;
-    return this._countRejection(trialElsewhereMs);
+    return this._countRejection(trialElsewhereRetryAfterMs);
   }
 
   /** Returns the risk of a request right before it is sent. */
@@ -214,7 +214,7 @@
   /**
    * Returns the endpoints at which other suspects are in their initial phase, since a crash there could not be attributed to one of them.
    */
-  getShunned(request: { readonly digest: string }): string[] {
+  getAvoidedEndpointIds(request: { readonly digest: string }): string[] {
     if (this.isQuiet || this._getWeight(request.digest) === 0) return [];
     return [...this._runs].flatMap((run) => {
       const isOther = run.request.digest !== request.digest && !this._hasSurvived(run);
@@ -225,7 +225,7 @@
   /** Merges crash reports from a peer, and returns the parts that were new. */
   take(reports: CrashReportsMessage): CrashReportsMessage {
     this._clearCompleted(reports.crashes.flatMap(({ suspects }) => suspects.map(([digest]) => digest)));
-    const added = this.ledger.take(reports);
+    const added = this.ledger.mergeReports(reports);
     for (const { lifeId } of reports.crashes) this._countCompleted(lifeId);
     for (const { suspects } of added.crashes) this._clearByOwnRuns(suspects.map(([digest]) => digest));
     return added;
@@ -258,7 +258,7 @@
     return weight;
   }
 
-  private _hasSurvived({ firstEventAtMs }: WatchedRun): boolean {
+  private _hasSurvived({ firstEventAtMs }: TrackedRun): boolean {
     return firstEventAtMs !== undefined && this._nowMs() - firstEventAtMs >= initialPhaseMs;
   }
 
@@ -302,8 +302,8 @@
   }
 
   private _noteHarmless({ kind, request, endedAtMs }: CompletedRun): void {
-    this._completed.add(kind, request.asked, endedAtMs);
-    this.noteOutlived(request);
+    this._completed.add(kind, request.identity, endedAtMs);
+    this.noteSurvived(request);
   }
 
   /** Returns the requests whose runs completed at an endpoint right before the endpoint crashed. */
@@ -317,7 +317,7 @@
     const suspects = new Map(this._getCompletedAt(lifeId).map((digest) => [digest, 1]));
     if (suspects.size === 0) return;
     const crash = this.ledger.noteCrash(lifeId, this._nowMs(), suspects);
-    if (crash !== undefined) this._structure.tell({ ...nothingTold, crashes: [crash] });
+    if (crash !== undefined) this._structure.broadcast({ ...noCrashReports, crashes: [crash] });
   }
 
   private _close(investigation: Investigation, isCrashed: boolean): void {
@@ -343,12 +343,12 @@
         against: this.ledger.getWeight(digest),
       });
     }
-    this._structure.tell({ ...nothingTold, crashes: [crash] });
+    this._structure.broadcast({ ...noCrashReports, crashes: [crash] });
     this._clearByOwnRuns([...suspects.keys()]);
   }
 
   private _noteQuarantine(digest: string, quarantine: QuarantineMessage | undefined): void {
-    const { log, keep } = this._structure;
+    const { log, persist: keep } = this._structure;
     if (quarantine === undefined) return log.info("request-released", { digest });
     log.warn("request-held", { digest, times: quarantine.times, leftMs: Math.round(quarantine.leftMs) });
     // Only one instance stores the quarantine: the one that detected the latest crash.
@@ -359,7 +359,7 @@
   /** Clears suspects that are identical to a request whose run at this instance has survived its initial phase. */
   private _clearByOwnRuns(digests: readonly string[]): void {
     for (const run of this._runs) {
-      if (this._hasSurvived(run) && digests.includes(run.request.digest)) this.noteOutlived(run.request);
+      if (this._hasSurvived(run) && digests.includes(run.request.digest)) this.noteSurvived(run.request);
     }
   }
 
@@ -368,7 +368,7 @@
     if (digests.length === 0) return;
     const found = this._completed.find(new Set(digests));
     const clearings = [...found].flatMap(([digest, atMs]) => this.ledger.noteHarmless(digest, atMs) ?? []);
-    if (clearings.length > 0) this._structure.tell({ ...nothingTold, clearings });
+    if (clearings.length > 0) this._structure.broadcast({ ...noCrashReports, clearings });
   }
 
   private _isOwnTurn(digest: string): boolean {
--- a/packages/gateway/src/crashes/QuarantineReconciler.ts
+++ b/packages/gateway/src/crashes/QuarantineReconciler.ts
@@ -1,7 +1,7 @@
 import { utils } from "@shedtiller/common";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { crashRetentionMs, type QuarantineMessage } from "@shedtiller/crashes";
-import type { HeldRequestStore, StoredHold } from "./HeldRequestStore.js";
+import type { QuarantineStore, StoredQuarantine } from "./QuarantineStore.js";
 
 /** Interval of the ticks: reads the store soon after a start, and is long enough not to burden a store that is unavailable. */
 const tickMs = 500;
@@ -12,7 +12,7 @@
 
 /** Dependencies of {@link QuarantineReconciler}. */
 export interface QuarantineReconcilerStructure {
-  readonly store: HeldRequestStore;
+  readonly store: QuarantineStore;
   readonly log: DecisionLog;
   /** Whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
@@ -30,7 +30,7 @@
  */
 export class QuarantineReconciler {
   /** Pending writes by digest; undefined removes the quarantine from the store. */
-  private readonly _pendingWrites = new Map<string, StoredHold | undefined>();
+  private readonly _pendingWrites = new Map<string, StoredQuarantine | undefined>();
   private _hasRead = false;
   /** Whether the next read releases the requests that the store no longer contains. */
   private _mustReconcile = false;
@@ -78,7 +78,7 @@
     const { store, log } = this._structure;
     for (const [digest, quarantine] of [...this._pendingWrites]) {
       this._pendingWrites.delete(digest);
-      const done = await (quarantine === undefined ? store.drop(digest) : store.keep(quarantine));
+      const done = await (quarantine === undefined ? store.remove(digest) : store.add(quarantine));
       if (done.ok) continue;
       log.warn("hold-not-kept", { digest, cause: done.val.message });
       if (!this._pendingWrites.has(digest)) this._pendingWrites.set(digest, quarantine);
--- a/packages/gateway/src/crashes/CrashGuard.ts
+++ b/packages/gateway/src/crashes/RequestQuarantine.ts
@@ -1,25 +1,25 @@
 import type { EndpointTable } from "../discovery/EndpointTable.js";
-import { notePeerMessageInvalid } from "../peers/notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "../peers/logInvalidPeerMessage.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import {
-  CrashExchange,
+  CrashReportBroadcast,
   getTrialRank,
-  nothingTold,
-  type CrashExchangeStructure,
+  noCrashReports,
+  type CrashReportBroadcastStructure,
   type QuarantineMessage,
 } from "@shedtiller/crashes";
-import { CrashWatch, type CrashWatchStructure } from "./CrashWatch.js";
-import type { HeldRequestStore } from "./HeldRequestStore.js";
+import { CrashDetector, type CrashWatchStructure } from "./CrashDetector.js";
+import type { QuarantineStore } from "./QuarantineStore.js";
 import { QuarantineReconciler } from "./QuarantineReconciler.js";
 
 /** Dependencies of {@link CrashQuarantine}. */
-export interface CrashGuardStructure extends Pick<
+export interface RequestQuarantineStructure extends Pick<
   CrashWatchStructure,
   "probe" | "count" | "onCrash" | "nowMs" | "pause"
 > {
-  readonly membership: CrashExchangeStructure["membership"];
+  readonly membership: CrashReportBroadcastStructure["membership"];
   readonly endpoints: EndpointTable;
-  readonly store: HeldRequestStore;
+  readonly store: QuarantineStore;
   readonly log: DecisionLog;
   /** Whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
@@ -31,32 +31,32 @@
  * Connects the parts that quarantine requests which crash endpoints: detection, reports to the peers, and the store in which quarantines
  * outlast a restart of all instances. One per instance.
  */
-export class CrashGuard {
-  readonly watch: CrashWatch;
-  private readonly _exchange: CrashExchange;
+export class RequestQuarantine {
+  readonly detector: CrashDetector;
+  private readonly _exchange: CrashReportBroadcast;
   private readonly _reconciler: QuarantineReconciler;
 
-  constructor(private readonly _structure: CrashGuardStructure) {
+  constructor(private readonly _structure: RequestQuarantineStructure) {
     const { membership, log, store, isReader } = _structure;
-    this.watch = new CrashWatch({
+    this.detector = new CrashDetector({
       ..._structure,
-      tell: (added) => this._exchange.tell(added),
+      broadcast: (added) => this._exchange.broadcast(added),
       getTrialRank: (digest) => getTrialRank(digest, membership.self.name, _structure.getInstanceNames()),
-      keep: (digest, quarantine) => this._reconciler.persist(digest, quarantine),
+      persist: (digest, quarantine) => this._reconciler.persist(digest, quarantine),
     });
-    this._exchange = new CrashExchange({
+    this._exchange = new CrashReportBroadcast({
       membership,
-      onInvalid: (topic, from) => notePeerMessageInvalid(log, topic, from),
-      take: (reports) => this.watch.take(reports),
-      tellAll: () => this.watch.ledger.tellAll(),
+      onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
+      take: (reports) => this.detector.take(reports),
+      tellAll: () => this.detector.ledger.getAllReports(),
     });
     this._reconciler = new QuarantineReconciler({
       store,
       log,
       isReader,
       merge: (holds) => this._mergeStored(holds),
-      getQuarantinedFor: (durationMs) => this.watch.ledger.getQuarantinedFor(durationMs),
-      release: (digest) => this.watch.release(digest),
+      getQuarantinedFor: (durationMs) => this.detector.ledger.getQuarantinedFor(durationMs),
+      release: (digest) => this.detector.release(digest),
     });
   }
 
@@ -65,12 +65,12 @@
   }
 
   /** Releases requests whose quarantine an operator has removed from the store; resolves once the store was read or could not be read. */
-  compareWithStore(): Promise<void> {
+  reconcileWithStore(): Promise<void> {
     return this._reconciler.reconcile();
   }
 
   private _mergeStored(holds: readonly QuarantineMessage[]): void {
-    const added = this.watch.take({ ...nothingTold, holds: [...holds] });
-    if (added.holds.length > 0) this._exchange.tell(added);
+    const added = this.detector.take({ ...noCrashReports, holds: [...holds] });
+    if (added.holds.length > 0) this._exchange.broadcast(added);
   }
 }
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -1,4 +1,4 @@
-import { EndpointRest } from "@shedtiller/routing";
+import { EndpointBackoff } from "@shedtiller/routing";
 import { LocalPermits } from "./LocalPermits.js";
 import { SendPermit } from "./SendPermit.js";
 import type { KnownLimit } from "./EndpointLimits.js";
@@ -43,7 +43,7 @@
    */
   refusedUntilMs = 0;
   /** Stops requests to the endpoint after requests of this instance failed right away. */
-  readonly failures = new FailureGuard();
+  readonly circuitBreaker = new FailureGuard();
   /** Consecutive suspicions without a heartbeat between them. */
   suspicions = 0;
   private _observedCapacity: { readonly tokenLayers: number; readonly untilMs: number } | undefined;
@@ -53,7 +53,7 @@
   limit: KnownLimit | undefined;
   readonly permits = new LocalPermits();
   /** The back-off that the endpoint requested from this instance. */
-  readonly rest = new EndpointRest();
+  readonly backoff = new EndpointBackoff();
   private _own: EndpointLoad = noLoad;
   private readonly _peerLoads = new Map<string, EndpointLoad>();
 
@@ -77,7 +77,7 @@
     return { id: this.id, address: this.listed.address, lifeId: this.lifeId };
   }
 
-  get own(): EndpointLoad {
+  get ownLoad(): EndpointLoad {
     return this._own;
   }
 
@@ -128,7 +128,7 @@
 
   /** Returns whether a request may be sent to the endpoint, within its stated limit and outside its requested back-off. */
   hasPermit(nowMs: number): boolean {
-    if (!this.rest.mayBegin(nowMs)) return false;
+    if (!this.backoff.maySend(nowMs)) return false;
     return this.limit?.perSecond === undefined || this.permits.getCount(nowMs) > 0;
   }
 
@@ -138,22 +138,22 @@
     const isLimited = this.limit?.perSecond !== undefined;
     const expiresAtMs = isLimited ? this.permits.tryTake(nowMs) : undefined;
     if (!isLimited) this.permits.noteUnlimitedSend(nowMs);
-    this.rest.noteSent(nowMs);
-    this.failures.noteSent(nowMs);
+    this.backoff.noteSent(nowMs);
+    this.circuitBreaker.noteSent(nowMs);
     return new SendPermit(this, expiresAtMs);
   }
 
   /** Puts back a permit with which no request was sent. */
   takeBack(expiresAtMs: number | undefined): void {
     if (expiresAtMs !== undefined) this.permits.giveBack(expiresAtMs);
-    this.rest.noteNotSent();
-    this.failures.noteNotSent();
+    this.backoff.noteNotSent();
+    this.circuitBreaker.noteNotSent();
   }
 
   /** Records that the endpoint answered a request that it had accepted. */
   noteAnswered(sentAtMs: number): void {
-    this.failures.noteAnswered(sentAtMs);
-    this.rest.noteAnswered(sentAtMs);
+    this.circuitBreaker.noteAnswered(sentAtMs);
+    this.backoff.noteAnswered(sentAtMs);
   }
 
   /**
@@ -161,7 +161,7 @@
    * to another endpoint.
    */
   isUnproven(nowMs: number): boolean {
-    return this.failures.isUnproven(nowMs) || this.rest.isUnproven(nowMs);
+    return this.circuitBreaker.isUnproven(nowMs) || this.backoff.isUnproven(nowMs);
   }
 
   isSuspect(nowMs: number): boolean {
--- a/packages/gateway/src/discovery/EndpointLimits.ts
+++ b/packages/gateway/src/discovery/EndpointLimits.ts
@@ -53,7 +53,7 @@
    * Applies the limit that a peer reported.
    * @returns Whether the limit changed.
    */
-  takeTold(endpoint: Endpoint, reported: KnownLimit): boolean {
+  applyPeerLimit(endpoint: Endpoint, reported: KnownLimit): boolean {
     const isNewer = this._isNewer(endpoint.limit, reported.perSecond, reported.atMs);
     if (isNewer) this._set(endpoint, reported, "peer");
     return isNewer;
--- a/packages/gateway/src/discovery/EndpointStatements.ts
+++ b/packages/gateway/src/discovery/EndpointStatements.ts
@@ -1,5 +1,5 @@
 import { utils } from "@shedtiller/common";
-import { longestRestMs, turnedAwayStatuses } from "@shedtiller/routing";
+import { maxBackoffMs, backoffStatuses } from "@shedtiller/routing";
 import type { StatedAnswer } from "../http/EndpointStatement.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { OrderTarget } from "../orders/EngineOrders.js";
@@ -38,7 +38,7 @@
   }
 
   /** Calls `listener` when an answer is the first to state that an endpoint is draining. */
-  onLeaving(listener: (lifeId: string) => void): void {
+  onDraining(listener: (lifeId: string) => void): void {
     this._drainingListeners.push(listener);
   }
 
@@ -60,13 +60,13 @@
   }
 
   private _noteOtherStatements(endpoint: Endpoint, answer: StatedAnswer): void {
-    if (turnedAwayStatuses.includes(answer.status)) this._noteRetryAfter(endpoint, answer);
-    if (answer.stated.isLeaving) this._noteDraining(endpoint);
-    for (const name of answer.stated.unknownNames) this._noteUnknownHeader(endpoint, name);
+    if (backoffStatuses.includes(answer.status)) this._noteRetryAfter(endpoint, answer);
+    if (answer.stated.isDraining) this._noteDraining(endpoint);
+    for (const name of answer.stated.unknownHeaderNames) this._noteUnknownHeader(endpoint, name);
   }
 
   private _noteRetryAfter(endpoint: Endpoint, { status, stated }: StatedAnswer): void {
-    const { comeBack } = stated;
+    const { retryAfter: comeBack } = stated;
     if (comeBack.kind === "none") return;
     if (comeBack.kind === "unreadable") {
       this._count("unreadable", endpoint);
@@ -75,8 +75,8 @@
     }
     this._count("rest", endpoint);
     const nowMs = this._nowMs();
-    const restMs = Math.min(comeBack.afterMs, longestRestMs);
-    if (!endpoint.rest.note(nowMs + restMs, nowMs)) return;
+    const restMs = Math.min(comeBack.afterMs, maxBackoffMs);
+    if (!endpoint.backoff.extendTo(nowMs + restMs, nowMs)) return;
     this._structure.log.info("endpoint-rest-began", {
       ...describe(endpoint),
       status,
@@ -86,7 +86,7 @@
   }
 
   private _noteBackoffEnded(endpoint: Endpoint): void {
-    const restMs = endpoint.rest.takeEndedMs(this._nowMs());
+    const restMs = endpoint.backoff.takeEndedMs(this._nowMs());
     if (restMs !== undefined)
       this._structure.log.info("endpoint-rest-ended", { ...describe(endpoint), restMs });
   }
@@ -97,7 +97,7 @@
    */
   private _noteDraining(endpoint: Endpoint): void {
     this._count("leaving", endpoint);
-    if (!this._structure.endpoints.noteLeaving(endpoint.lifeId)) return;
+    if (!this._structure.endpoints.noteDraining(endpoint.lifeId)) return;
     this._structure.log.info("endpoint-leaves", { ...describe(endpoint), source: "answer" });
     for (const listener of this._drainingListeners) listener(endpoint.lifeId);
   }
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -141,7 +141,7 @@
    * draining.
    * @returns Whether this was not known yet.
    */
-  noteLeaving(lifeId: string): boolean {
+  noteDraining(lifeId: string): boolean {
     if (this._drainingLives.has(lifeId)) return false;
     this._drainingLives.add(lifeId);
     const [oldest] = this._drainingLives;
@@ -155,7 +155,7 @@
   }
 
   /** Returns the lives of listed endpoints that have stated that they are draining. */
-  getLeavingLives(): string[] {
+  getDrainingLives(): string[] {
     return this.getAll().flatMap(({ lifeId }) => (this._drainingLives.has(lifeId) ? [lifeId] : []));
   }
 
--- a/packages/gateway/src/discovery/EndpointWatch.ts
+++ b/packages/gateway/src/discovery/EndpointWatch.ts
@@ -57,9 +57,9 @@
    * Applies a list that was complete at `freshAtMs` according to a peer, if that is newer than the known list.
    * @param list - Undefined where the list is the one that this instance had when it sent the request.
    */
-  takeList(list: readonly ListedEndpoint[] | undefined, nextOffset: number, freshAtMs: number): void {
+  applyPeerList(list: readonly ListedEndpoint[] | undefined, nextOffset: number, freshAtMs: number): void {
     if (list === undefined) {
-      this.follower.takeTold({ fromOffset: nextOffset, nextOffset, changes: [] }, freshAtMs);
+      this.follower.applyPeerPage({ fromOffset: nextOffset, nextOffset, changes: [] }, freshAtMs);
       return;
     }
     const values = new Map(list.map((listed) => [listed.id, listed]));
--- a/packages/gateway/src/discovery/EndpointSuspicions.ts
+++ b/packages/gateway/src/discovery/FailureDetector.ts
@@ -16,14 +16,14 @@
 /** How long an engine gets no new work while its layers are being queried, and after a query without a result. */
 const layersBackoffMs = 300;
 
-/** Dependencies of {@link EndpointSuspicions}. */
+/** Dependencies of {@link FailureDetector}. */
 export interface EndpointSuspicionsStructure {
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
-  readonly tellPeers: (endpointId: string) => void;
+  readonly broadcastSuspicion: (endpointId: string) => void;
   /** Reports to the peers which layers an engine has loaded, where the list says otherwise. */
-  readonly tellLayers: (endpointId: string, layers: readonly LayerSpan[]) => void;
+  readonly broadcastLayers: (endpointId: string, layers: readonly LayerSpan[]) => void;
   /** Counts a suspicion by its cause. */
   readonly count: (cause: string) => void;
   /** Monotonic clock, replaced in tests. */
@@ -34,7 +34,7 @@
  * Failure detector for endpoints: broadcasts a suspicion to the peers if this instance has observed the failure itself, and verifies the
  * reports of other engines with the endpoint first.
  */
-export class EndpointSuspicions {
+export class FailureDetector {
   private readonly _nowMs: () => number;
   /** Endpoints whose layers are being queried. */
   private readonly _queried = new Set<Endpoint>();
@@ -45,12 +45,12 @@
 
   /** Records that an endpoint did not answer this instance. */
   noteSilent(endpointId: string, reason: string): void {
-    if (this._suspect(endpointId, reason)) this._structure.tellPeers(endpointId);
+    if (this._suspect(endpointId, reason)) this._structure.broadcastSuspicion(endpointId);
   }
 
   /** Records that another engine reported this engine as faulty; resolves once the engine has been queried. */
   async noteNamed(endpointId: string, reason: string): Promise<void> {
-    const { endpoints, orders, tellPeers, log } = this._structure;
+    const { endpoints, orders, broadcastSuspicion: tellPeers, log } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || !this._suspect(endpointId, reason)) return;
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
@@ -67,7 +67,7 @@
    * served in time.
    */
   async noteNotHeld(endpointId: string): Promise<void> {
-    const { endpoints, orders, log, tellLayers } = this._structure;
+    const { endpoints, orders, log, broadcastLayers: tellLayers } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || this._queried.has(endpoint)) return;
     this._queried.add(endpoint);
--- a/packages/gateway/src/discovery/FailureGuard.ts
+++ b/packages/gateway/src/discovery/FailureGuard.ts
@@ -51,13 +51,13 @@
   }
 
   /** Returns whether the circuit is open, so that this instance sends no new requests to the endpoint unless no other is available. */
-  isAvoided(nowMs: number): boolean {
+  isOpen(nowMs: number): boolean {
     return nowMs < this._openUntilMs;
   }
 
   /** Returns whether the circuit is open, or the slow start after its opening admits no further request until one is answered. */
-  isOnProbation(nowMs: number): boolean {
-    return this.isAvoided(nowMs) || this._slowStart.isFull(nowMs);
+  isBlocked(nowMs: number): boolean {
+    return this.isOpen(nowMs) || this._slowStart.isFull(nowMs);
   }
 
   /** Returns whether the last request failed. A request that cannot be retried should then go to another endpoint. */
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -86,7 +86,7 @@
   }
 
   /** Returns the time since the set was last known to be current. */
-  getProofAgeMs(): number {
+  getFreshnessAgeMs(): number {
     return this._nowMs() - this._freshAtMs;
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** Whether this follower reads the store only because it has received no page from a peer for too long. */
-  get isStandIn(): boolean {
+  get isFallbackReader(): boolean {
     return this._isReader && this._isFallbackReader;
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Applies a page that a peer has read. A page that does not continue at the known offset causes a read of the store. */
-  takeTold(page: PeerPage<T>, freshAtMs: number): void {
+  applyPeerPage(page: PeerPage<T>, freshAtMs: number): void {
     if (this._offset === undefined || page.nextOffset < this._offset) return;
     const isKnown = page.nextOffset === this._offset;
     this._knownEndOffset = Math.max(this._knownEndOffset, page.nextOffset);
@@ -140,7 +140,7 @@
    * Advances to an offset whose preceding changes were obtained from another source. The set does not become fresher by that, since newer
    * changes may exist.
    */
-  takeAhead(nextOffset: number): void {
+  advanceTo(nextOffset: number): void {
     if (this._offset !== undefined && nextOffset > this._offset) this._advanceTo(nextOffset);
   }
 
--- a/packages/gateway/src/orders/LayerKeeper.ts
+++ b/packages/gateway/src/orders/LayerReconciler.ts
@@ -1,7 +1,7 @@
 import { utils } from "@shedtiller/common";
 import * as placement from "@shedtiller/placement";
 import { toCopyEngine, toCopyModel } from "../chains/engineModel.js";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { EngineProfile, Service } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
@@ -33,7 +33,7 @@
 
 /** Dependencies of {@link LayerReconciler}. */
 export interface LayerKeeperStructure {
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
@@ -45,7 +45,7 @@
  * Keeps whole copies of the models loaded in each zone, by sending the orders that the planner of a zone finds due. Acts only while this
  * instance may send orders; one per instance.
  */
-export class LayerKeeper {
+export class LayerReconciler {
   private readonly _pending = new Map<string, PendingOrder>();
   private readonly _retryAtMs = new Map<string, number>();
   private readonly _planners = new Map<string, ZonePlanner>();
@@ -81,7 +81,7 @@
   }
 
   private async _tick(): Promise<void> {
-    const services = this._structure.keeper.table?.configuration.services ?? [];
+    const services = this._structure.activeConfiguration.table?.configuration.services ?? [];
     for (const service of services) {
       if (service.engine !== undefined) await this._reconcileService(service, service.engine);
     }
@@ -181,7 +181,7 @@
   if (order.isUrgent) return undefined;
   const layers = order.span.end - order.span.start;
   const engine = toCopyEngine(endpoint, profile);
-  const roomTokenLayers = placement.getTokensBeside(engine, layers, toCopyModel(profile)) * layers;
+  const roomTokenLayers = placement.getKvTokenCapacity(engine, layers, toCopyModel(profile)) * layers;
   return report.usedTokenLayers < roomTokenLayers ? undefined : "in use";
 }
 
--- a/packages/gateway/src/orders/LeaderSeat.ts
+++ b/packages/gateway/src/orders/Leadership.ts
@@ -16,7 +16,7 @@
 }
 
 /** The leadership of this instance: campaigns regularly, and tells whether the instance may send orders now. */
-export class LeaderSeat {
+export class Leadership {
   private _untilMs = Number.NEGATIVE_INFINITY;
   private _wasLeader = false;
   /** Whether the store may count this instance among the candidates. */
@@ -32,7 +32,7 @@
   }
 
   /** Returns whether this instance leads now. Checked immediately before each order. */
-  isHeld(): boolean {
+  isLeader(): boolean {
     return this._nowMs() < this._untilMs;
   }
 
@@ -46,7 +46,7 @@
         this._log.error("campaign-failed", { cause: String(error) });
       },
     );
-    if (this.isHeld()) await this._election.resign();
+    if (this.isLeader()) await this._election.resign();
     this._untilMs = Number.NEGATIVE_INFINITY;
   }
 
@@ -55,7 +55,7 @@
    * not campaign would hold the leadership unused for a whole term.
    */
   async campaignIfDue(): Promise<void> {
-    if (this.isHeld() || this._options.mayCampaign?.() !== false) await this.campaign();
+    if (this.isLeader() || this._options.mayCampaign?.() !== false) await this.campaign();
     else if (this._isMember) await this._withdraw();
     this._noteChange();
   }
@@ -79,8 +79,8 @@
   }
 
   private _noteChange(): void {
-    if (this._wasLeader === this.isHeld()) return;
-    this._wasLeader = this.isHeld();
+    if (this._wasLeader === this.isLeader()) return;
+    this._wasLeader = this.isLeader();
     this._log.info(this._wasLeader ? "leader-began" : "leader-ended", { untilMs: Math.round(this._untilMs) });
   }
 }
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -124,7 +124,7 @@
     const isSettled = engines.every((engine) => engine.ordered === undefined);
     if (!isSettled) return undefined;
     const leastTokensBeside = changeOverRequests * model.tokensPerRequest;
-    const better = await search(spans, model, { leastTokensBeside });
+    const better = await search(spans, model, { minKvTokens: leastTokensBeside });
     const leastGain = isStable ? minGain : minUrgentGain;
     return better.cost <= better.costBefore - leastGain ? better.spans : undefined;
   }
@@ -149,8 +149,8 @@
       for (const leavable of [undefined, unused]) {
         const leastTokensBeside = requests * model.tokensPerRequest;
         const options = { leastTokensBeside, leavable, mostLoads, isGrowthOnly: true, longestShift: 1 };
-        const repaired = await search(spans, model, options, (running) => running.isWhole);
-        if (repaired.isWhole) return repaired.spans;
+        const repaired = await search(spans, model, options, (running) => running.isComplete);
+        if (repaired.isComplete) return repaired.spans;
       }
     }
   }
@@ -192,7 +192,7 @@
     ),
   );
   if (!certain.some(isEmpty) || isWhole(certain, model)) return undefined;
-  return (await search(certain, model, { isFillOnly: true }, (running) => running.isWhole)).spans;
+  return (await search(certain, model, { isFillOnly: true }, (running) => running.isComplete)).spans;
 }
 
 /** Gives layers to empty engines, and leaves the others unchanged. */
@@ -203,7 +203,7 @@
 
 /** Returns whether every layer has capacity for a request. */
 function isWhole(spans: Spans, model: placement.CopyModel): boolean {
-  return new placement.ZoneArrangement(spans, model).isWhole;
+  return new placement.ZoneArrangement(spans, model).isComplete;
 }
 
 function isEmpty(span: placement.BalancedSpan): boolean {
--- a/packages/gateway/src/tests/crashes/CrashWatchTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -1,12 +1,17 @@
 /** Tests what counts as a crash, and what clears a request. */
 import test from "ava";
-import { initialPhaseMs, CrashWatch, type WatchedRun } from "../../crashes/CrashWatch.js";
-import { nothingTold, type CrashReportsMessage, digestRequest, type ProbeResult } from "@shedtiller/crashes";
+import { initialPhaseMs, CrashDetector, type TrackedRun } from "../../crashes/CrashDetector.js";
+import {
+  noCrashReports,
+  type CrashReportsMessage,
+  digestRequest,
+  type ProbeResult,
+} from "@shedtiller/crashes";
 import type { Endpoint } from "../../discovery/Endpoint.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { SimulatedClock } from "../patterns/SimulatedClock.js";
 
@@ -20,14 +25,14 @@
   probes = 0;
   trialRank = 0;
   readonly crashed: string[] = [];
-  readonly watch = new CrashWatch({
+  readonly watch = new CrashDetector({
     endpoints: this.endpoints,
     log: new DecisionLog(new SilentSink(), this.clock.nowMs),
     probe: () => {
       this.probes += 1;
       return Promise.resolve(this.probeResult);
     },
-    tell: (news) => this.sent.push(news),
+    broadcast: (news) => this.sent.push(news),
     onCrash: ({ id }) => this.crashed.push(id),
     getTrialRank: () => this.trialRank,
     nowMs: this.clock.nowMs,
@@ -48,7 +53,7 @@
     return endpoint;
   }
 
-  createRun(endpointId: string, changes: Partial<WatchedRun> = {}): WatchedRun {
+  createRun(endpointId: string, changes: Partial<TrackedRun> = {}): TrackedRun {
     return {
       request: { digest: "a" },
       endpointId,
@@ -65,7 +70,7 @@
   }
 
   /** Loses the connection of a run in its initial phase. */
-  async lose(endpointId: string, changes: Partial<WatchedRun> = {}): Promise<void> {
+  async lose(endpointId: string, changes: Partial<TrackedRun> = {}): Promise<void> {
     await this.watch.noteLost(this.createRun(endpointId, changes), this.get(endpointId));
   }
 }
@@ -83,13 +88,13 @@
   await fixture.lose("i-1");
   t.is(fixture.watch.ledger.getWeight("a"), 1);
   t.deepEqual(fixture.sent, [
-    { ...nothingTold, crashes: [{ lifeId: "i-1", ageMs: 0, suspects: [["a", 1]] }] },
+    { ...noCrashReports, crashes: [{ lifeId: "i-1", ageMs: 0, suspects: [["a", 1]] }] },
   ]);
   await fixture.lose("i-2");
-  t.is(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.is(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
   await fixture.lose("i-3");
-  t.true((fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0) > 0);
-  t.is(fixture.watch.getHeldBackMs({ digest: "b" }), undefined);
+  t.true((fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0) > 0);
+  t.is(fixture.watch.getQuarantineMs({ digest: "b" }), undefined);
 });
 
 test("runs that are lost together need one probe and are reported together", async (t) => {
@@ -153,8 +158,8 @@
     ageMs: 0,
     suspects: [["a", 1]] as [string, number][],
   }));
-  fixture.watch.take({ ...nothingTold, crashes });
-  t.is(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  fixture.watch.take({ ...noCrashReports, crashes });
+  t.is(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
   t.is(fixture.sent.at(-1)?.clearings[0]?.digest, "a");
 });
 
@@ -177,32 +182,32 @@
   const b = { digest: "b" };
   await Promise.all([fixture.lose("i-1"), fixture.lose("i-1", { request: b })]);
   fixture.watch.begin(fixture.createRun("i-2"));
-  t.deepEqual(fixture.watch.getShunned(b), ["i-2"]);
-  t.deepEqual(fixture.watch.getShunned({ digest: "c" }), []);
+  t.deepEqual(fixture.watch.getAvoidedEndpointIds(b), ["i-2"]);
+  t.deepEqual(fixture.watch.getAvoidedEndpointIds({ digest: "c" }), []);
 });
 
 test("after the quarantine the instances try the request in turn, one at a time, and each reports its trial", async (t) => {
   const fixture = new Fixture();
   for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
-  const leftMs = fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0;
+  const leftMs = fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0;
   await fixture.clock.run(fixture.clock.nowMs() + leftMs);
   fixture.trialRank = 2;
-  t.not(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.not(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
   await fixture.clock.run(fixture.clock.nowMs() + 600);
-  t.is(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.is(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
   fixture.watch.begin(fixture.createRun("i-4"));
-  t.not(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.not(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
   t.is(fixture.sent.at(-1)?.trials[0]?.digest, "a");
   await fixture.lose("i-4");
-  t.true((fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0) > leftMs);
+  t.true((fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0) > leftMs);
 });
 
 test("a request that another instance is trying is not tried here", async (t) => {
   const fixture = new Fixture();
   for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
-  await fixture.clock.run(fixture.clock.nowMs() + (fixture.watch.getHeldBackMs({ digest: "a" }) ?? 0));
-  fixture.watch.take({ ...nothingTold, trials: [{ digest: "a", ageMs: 0 }] });
-  t.not(fixture.watch.getHeldBackMs({ digest: "a" }), undefined);
+  await fixture.clock.run(fixture.clock.nowMs() + (fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0));
+  fixture.watch.take({ ...noCrashReports, trials: [{ digest: "a", ageMs: 0 }] });
+  t.not(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
 });
 
 const asked = { method: "POST", path: "/a/x", accountName: "farm", body: Buffer.from("{}") };
@@ -214,7 +219,7 @@
   fixture.complete("i-4", harmlessRequest);
   await fixture.clock.run(12_000);
   for (const id of ids) await fixture.lose(id, { request: harmlessRequest });
-  t.is(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
+  t.is(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
   t.is(fixture.sent[0]?.clearings[0]?.digest, harmlessRequest.digest, "reported before the crash is counted");
 });
 
@@ -225,8 +230,8 @@
   await fixture.clock.run(12_000);
   const suspects: [string, number][] = [[harmlessRequest.digest, 1]];
   const crashes = ids.map((lifeId) => ({ lifeId, ageMs: 0, suspects }));
-  fixture.watch.take({ ...nothingTold, crashes });
-  t.is(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
+  fixture.watch.take({ ...noCrashReports, crashes });
+  t.is(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
 });
 
 test("suspects of the same crashes are tried one at a time within seconds, and the harmless ones are released", async (t) => {
@@ -236,7 +241,7 @@
     await Promise.all(digests.map((digest) => fixture.lose(id, { request: { digest } })));
     await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  const isQuarantined = (digest: string): boolean => fixture.watch.getHeldBackMs({ digest }) !== undefined;
+  const isQuarantined = (digest: string): boolean => fixture.watch.getQuarantineMs({ digest }) !== undefined;
   t.true(digests.every(isQuarantined));
   await fixture.clock.run(fixture.clock.nowMs() + 3_000);
   const run = fixture.createRun("i-4", { request: { digest: "sound 1" } });
@@ -247,11 +252,11 @@
     "two requests that are tried at once could crash an endpoint together",
   );
   fixture.watch.end(run);
-  fixture.watch.noteOutlived(run.request);
+  fixture.watch.noteSurvived(run.request);
   t.false(isQuarantined("sound 1"));
   t.false(isQuarantined("sound 2"));
   await fixture.lose("i-4", { request: { digest: "crashing" } });
-  t.true((fixture.watch.getHeldBackMs({ digest: "crashing" }) ?? 0) > 60_000);
+  t.true((fixture.watch.getQuarantineMs({ digest: "crashing" }) ?? 0) > 60_000);
 });
 
 test("a run that completes right before its endpoint crashes is a suspect, and does not clear its request", async (t) => {
@@ -261,7 +266,7 @@
     await fixture.lose(id, { request: { digest: "other" } });
     await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  t.not(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
+  t.not(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
 });
 
 test("the endpoint of a completed run of a suspect is probed", async (t) => {
@@ -271,7 +276,7 @@
     fixture.complete(id, harmlessRequest);
     await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  t.not(fixture.watch.getHeldBackMs(harmlessRequest), undefined);
+  t.not(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
 });
 
 // Guards against a crashed endpoint that still counts as having its layers loaded until the next request reaches it.
--- a/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
+++ b/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
@@ -1,25 +1,25 @@
 import test from "ava";
 import { errors, results, utils } from "@shedtiller/common";
 import type { QuarantineMessage } from "@shedtiller/crashes";
-import { HeldRequestStore, type StoredHold } from "../../crashes/HeldRequestStore.js";
+import { QuarantineStore, type StoredQuarantine } from "../../crashes/QuarantineStore.js";
 import { QuarantineReconciler } from "../../crashes/QuarantineReconciler.js";
 import type { StoreError } from "../../discovery/ChangeFeed.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { SilentSink } from "../SilentSink.js";
 
-class MemoryStore extends HeldRequestStore {
-  readonly quarantines = new Map<string, StoredHold>();
+class MemoryStore extends QuarantineStore {
+  readonly quarantines = new Map<string, StoredQuarantine>();
   isUnavailable = false;
   calls = 0;
 
-  override read(): Promise<results.Result<StoredHold[], StoreError>> {
+  override read(): Promise<results.Result<StoredQuarantine[], StoreError>> {
     return this._answer([...this.quarantines.values()]);
   }
-  override keep(quarantine: StoredHold): Promise<results.Result<void, StoreError>> {
+  override add(quarantine: StoredQuarantine): Promise<results.Result<void, StoreError>> {
     if (!this.isUnavailable) this.quarantines.set(quarantine.digest, quarantine);
     return this._answer(undefined);
   }
-  override drop(digest: string): Promise<results.Result<void, StoreError>> {
+  override remove(digest: string): Promise<results.Result<void, StoreError>> {
     if (!this.isUnavailable) this.quarantines.delete(digest);
     return this._answer(undefined);
   }
--- a/packages/gateway/src/tests/discovery/EndpointSuspicionsTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
@@ -1,9 +1,9 @@
 /** Tests that failures observed by this instance are broadcast, and that reports of engines about other engines are verified first. */
 import test from "ava";
-import { EndpointSuspicions } from "../../discovery/EndpointSuspicions.js";
+import { FailureDetector } from "../../discovery/FailureDetector.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { FakeEngines } from "../FakeEngines.js";
 import { SilentSink } from "../SilentSink.js";
 
@@ -14,12 +14,12 @@
   endpoints.setAll(new Map([["a", createListed("a", { layers: [{ start: 0, end: 4 }] })]]));
   const orders = new FakeEngines();
   const sent: string[] = [];
-  const detector = new EndpointSuspicions({
+  const detector = new FailureDetector({
     endpoints,
     orders,
     log: new DecisionLog(new SilentSink(), () => 0),
-    tellPeers: (id) => sent.push(id),
-    tellLayers: (id, layers) => sent.push(`${id} holds ${JSON.stringify(layers)}`),
+    broadcastSuspicion: (id) => sent.push(id),
+    broadcastLayers: (id, layers) => sent.push(`${id} holds ${JSON.stringify(layers)}`),
     count: () => undefined,
     nowMs: () => nowMs,
   });
--- a/packages/gateway/src/tests/discovery/FailureGuardTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureGuardTests.ts
@@ -9,7 +9,7 @@
 function countResets(breaker: FailureGuard, durationMs: number): number {
   let resets = 0;
   for (let nowMs = 0; nowMs < durationMs; nowMs += 5) {
-    if (breaker.isAvoided(nowMs)) continue;
+    if (breaker.isOpen(nowMs)) continue;
     breaker.noteFailed(nowMs, nowMs + 1);
     resets += 1;
   }
@@ -23,8 +23,8 @@
 test("requests that fail together count as one failure, and the endpoint is soon used again", (t) => {
   const breaker = new FailureGuard();
   for (let request = 0; request < 20; request++) breaker.noteFailed(request, 100 + request);
-  t.true(breaker.isAvoided(140));
-  t.false(breaker.isAvoided(150));
+  t.true(breaker.isOpen(140));
+  t.false(breaker.isOpen(150));
 });
 
 test("after an answer the next reset counts as a first failure", (t) => {
@@ -32,9 +32,9 @@
   breaker.noteFailed(0, 1);
   breaker.noteAnswered();
   breaker.noteFailed(100, 101);
-  t.false(breaker.isAvoided(160));
+  t.false(breaker.isOpen(160));
   breaker.noteFailed(200, 201);
-  t.true(breaker.isAvoided(600));
+  t.true(breaker.isOpen(600));
 });
 
 // Guards against sending all requests to an endpoint that fails right away as soon as it is tried again.
@@ -43,7 +43,7 @@
   breaker.noteFailed(0, 1);
   const sendAll = (nowMs: number): number => {
     let sent = 0;
-    for (; sent < 100 && !breaker.isOnProbation(nowMs); sent++) breaker.noteSent(nowMs);
+    for (; sent < 100 && !breaker.isBlocked(nowMs); sent++) breaker.noteSent(nowMs);
     return sent;
   };
   t.is(sendAll(60), 1);
--- a/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
+++ b/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
@@ -140,9 +140,9 @@
 test("a read that ends after a peer's page is applied where it contains more changes", async (t) => {
   const stop = new AbortController();
   const { feed, follower } = await followPeer(stop);
-  follower.takeTold({ fromOffset: 11, nextOffset: 12, changes: undefined }, 0);
+  follower.applyPeerPage({ fromOffset: 11, nextOffset: 12, changes: undefined }, 0);
   await utils.yieldToEvents();
-  follower.takeTold({ fromOffset: 10, nextOffset: 11, changes: [change] }, 0);
+  follower.applyPeerPage({ fromOffset: 10, nextOffset: 11, changes: [change] }, 0);
   t.is(follower.nextOffset, 11);
   await feed.answer(12);
   t.is(follower.nextOffset, 12);
@@ -153,7 +153,7 @@
 test("changes that are known to exist are read until they have arrived", async (t) => {
   const stop = new AbortController();
   const { feed, follower } = await followPeer(stop);
-  follower.takeTold({ fromOffset: 11, nextOffset: 13, changes: undefined }, 0);
+  follower.applyPeerPage({ fromOffset: 11, nextOffset: 13, changes: undefined }, 0);
   await feed.answer(11);
   t.is(follower.nextOffset, 11);
   await feed.answer(13);
@@ -164,8 +164,8 @@
 test("changes from another source are not read again, and the next page of a peer continues after them", async (t) => {
   const stop = new AbortController();
   const { follower } = await followPeer(stop);
-  follower.takeAhead(12);
-  follower.takeTold({ fromOffset: 12, nextOffset: 13, changes: [change] }, 0);
+  follower.advanceTo(12);
+  follower.applyPeerPage({ fromOffset: 12, nextOffset: 13, changes: [change] }, 0);
   t.is(follower.nextOffset, 13);
   t.is(follower.getBehindMs(), 0);
   stop.abort();
--- a/packages/gateway/src/tests/orders/LeaderSeatTests.ts
+++ b/packages/gateway/src/tests/orders/LeadershipTests.ts
@@ -4,7 +4,7 @@
 import type { StoreError } from "../../discovery/ChangeFeed.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { LeaderElection } from "../../orders/LeaderElection.js";
-import { LeaderSeat } from "../../orders/LeaderSeat.js";
+import { Leadership } from "../../orders/Leadership.js";
 import { SilentSink } from "../SilentSink.js";
 
 class ScriptedElection extends LeaderElection {
@@ -25,7 +25,7 @@
   const clock = { nowMs: 0 };
   const candidacy = { mayCampaign: true };
   const election = new ScriptedElection();
-  const leadership = new LeaderSeat(election, new DecisionLog(new SilentSink(), () => clock.nowMs), {
+  const leadership = new Leadership(election, new DecisionLog(new SilentSink(), () => clock.nowMs), {
     nowMs: () => clock.nowMs,
     mayCampaign: () => candidacy.mayCampaign,
   });
@@ -34,13 +34,13 @@
 
 test("a term ends before the store may elect another instance, even if the leader was suspended", async (t) => {
   const { clock, leadership } = setUp();
-  t.false(leadership.isHeld());
+  t.false(leadership.isLeader());
   await leadership.campaign();
-  t.true(leadership.isHeld());
+  t.true(leadership.isLeader());
   clock.nowMs = 2_499;
-  t.true(leadership.isHeld());
+  t.true(leadership.isLeader());
   clock.nowMs = 2_500;
-  t.false(leadership.isHeld());
+  t.false(leadership.isLeader());
 });
 
 test("a campaign without an answer neither extends nor ends the term", async (t) => {
@@ -49,9 +49,9 @@
   election.answer = results.Err(new errors.ConnectionLostError("store"));
   clock.nowMs = 1_000;
   await leadership.campaign();
-  t.true(leadership.isHeld());
+  t.true(leadership.isLeader());
   clock.nowMs = 2_500;
-  t.false(leadership.isHeld());
+  t.false(leadership.isLeader());
 });
 
 test("an instance that learns of another leader stops at once", async (t) => {
@@ -59,7 +59,7 @@
   await leadership.campaign();
   election.answer = results.Ok(false);
   await leadership.campaign();
-  t.false(leadership.isHeld());
+  t.false(leadership.isLeader());
 });
 
 test("an instance that is no longer a candidate withdraws once, so that it can't be elected without acting as leader", async (t) => {
@@ -77,6 +77,6 @@
   await leadership.campaignIfDue();
   candidacy.mayCampaign = false;
   await leadership.campaignIfDue();
-  t.true(leadership.isHeld());
+  t.true(leadership.isLeader());
   t.is(election.resigned, 0);
 });
--- a/packages/routing/src/EndpointRest.ts
+++ b/packages/routing/src/EndpointBackoff.ts
@@ -1,9 +1,9 @@
 import { SlowStart } from "./SlowStart.js";
 
 /** Statuses with which an endpoint rejects a request temporarily (RFC 9110, section 15.6.4; RFC 6585, section 4). */
-export const turnedAwayStatuses: readonly number[] = [429, 503];
+export const backoffStatuses: readonly number[] = [429, 503];
 /** Maximum back-off: an endpoint that is unavailable for longer stops or restarts, and a longer time is more likely a mistake. */
-export const longestRestMs = 600_000;
+export const maxBackoffMs = 600_000;
 /** How long after the back-off an endpoint in slow start gets no requests that cannot be retried. */
 const unprovenMs = 5_000;
 
@@ -11,7 +11,7 @@
  * The back-off that one life of an endpoint has requested from this instance, followed by a slow start. Not shared with other instances,
  * whose requests the endpoint may accept.
  */
-export class EndpointRest {
+export class EndpointBackoff {
   private _fromMs = 0;
   private _untilMs = 0;
   private _isEndReported = true;
@@ -31,7 +31,7 @@
    * Extends the back-off to `untilMs`. Each answer applies for its own time, so that a shorter time does not shorten the back-off.
    * @returns Whether the endpoint was not in back-off yet.
    */
-  note(untilMs: number, nowMs: number): boolean {
+  extendTo(untilMs: number, nowMs: number): boolean {
     const isNew = this.getLeftMs(nowMs) === 0;
     if (isNew) this._fromMs = nowMs;
     this._untilMs = Math.max(this._untilMs, untilMs);
@@ -46,7 +46,7 @@
   }
 
   /** Returns whether a request may be sent now. After a back-off the slow start limits the requests. */
-  mayBegin(nowMs: number): boolean {
+  maySend(nowMs: number): boolean {
     return this.getLeftMs(nowMs) === 0 && !this._slowStart.isFull(nowMs);
   }
 
--- a/packages/routing/src/EndpointDirectory.ts
+++ b/packages/routing/src/EndpointDirectory.ts
@@ -12,7 +12,7 @@
   readonly availabilityZone: string;
   readonly address: string;
   /** Whether the endpoint is draining according to the list, its own report or a peer. Final for this address. */
-  isLeaving: boolean;
+  isDraining: boolean;
   /** Whether the last direct contact of this instance failed. Cleared by the next report that comes from the endpoint itself. */
   isUnreachable: boolean;
   report: EngineReport | undefined;
@@ -60,14 +60,14 @@
     entry.reportAtMs = utils.monotonicMs();
     entry.ownStreamsAtReport = entry.ownStreams;
     if (isDirect) entry.isUnreachable = false;
-    if (report.state === "leaving") this.markLeaving(report.name);
+    if (report.state === "leaving") this.markDraining(report.name);
   }
 
   /** Records that an endpoint is draining; the endpoint gets no new work from now on. */
-  markLeaving(name: string): void {
+  markDraining(name: string): void {
     const entry = this._entries.get(name);
-    if (entry === undefined || entry.isLeaving) return;
-    entry.isLeaving = true;
+    if (entry === undefined || entry.isDraining) return;
+    entry.isDraining = true;
     for (const listener of this._leavingListeners) listener(entry);
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** Calls `listener` once for each endpoint that starts draining. */
-  onLeaving(listener: (entry: EndpointEntry) => void): void {
+  onDraining(listener: (entry: EndpointEntry) => void): void {
     this._leavingListeners.push(listener);
   }
 
@@ -152,12 +152,12 @@
     if (known === undefined || known.address !== instance.address) {
       this._entries.set(instance.name, createEntry(instance));
     }
-    if (instance.state === "leaving") this.markLeaving(instance.name);
+    if (instance.state === "leaving") this.markDraining(instance.name);
   }
 }
 
 function acceptsWork(entry: EndpointEntry): boolean {
-  return !entry.isLeaving && !entry.isUnreachable;
+  return !entry.isDraining && !entry.isUnreachable;
 }
 
 function createEntry(instance: ListedInstance): EndpointEntry {
@@ -167,7 +167,7 @@
     service: instance.service,
     availabilityZone: instance.availabilityZone,
     address: instance.address,
-    isLeaving: false,
+    isDraining: false,
     isUnreachable: false,
     isRetiring: false,
     report: undefined,
--- a/packages/routing/src/tests/EndpointRestTests.ts
+++ b/packages/routing/src/tests/EndpointBackoffTests.ts
@@ -1,25 +1,25 @@
 /** Tests how long a back-off lasts, and how many requests are sent after it. */
 import test from "ava";
-import { EndpointRest } from "../EndpointRest.js";
+import { EndpointBackoff } from "../EndpointBackoff.js";
 
 test("a back-off ends at the latest requested time, whatever is requested or answered in the meantime", (t) => {
-  const backoff = new EndpointRest();
-  t.true(backoff.note(3_000, 0));
-  t.false(backoff.note(1_000, 10));
+  const backoff = new EndpointBackoff();
+  t.true(backoff.extendTo(3_000, 0));
+  t.false(backoff.extendTo(1_000, 10));
   backoff.noteAnswered(5);
   t.is(backoff.getLeftMs(2_000), 1_000);
-  t.false(backoff.note(5_000, 2_000));
-  t.false(backoff.mayBegin(4_999));
-  t.true(backoff.mayBegin(5_000));
+  t.false(backoff.extendTo(5_000, 2_000));
+  t.false(backoff.maySend(4_999));
+  t.true(backoff.maySend(5_000));
 });
 
 // Guards against all waiting requests reaching the endpoint at once at the end of its back-off.
 test("after a back-off one request is sent first, and twice as many after each answer", (t) => {
-  const backoff = new EndpointRest();
-  backoff.note(1_000, 0);
+  const backoff = new EndpointBackoff();
+  backoff.extendTo(1_000, 0);
   const sendAll = (nowMs: number): number => {
     let sent = 0;
-    for (; sent < 100 && backoff.mayBegin(nowMs); sent++) backoff.noteSent(nowMs);
+    for (; sent < 100 && backoff.maySend(nowMs); sent++) backoff.noteSent(nowMs);
     return sent;
   };
   t.is(sendAll(1_000), 1);
@@ -35,29 +35,29 @@
 });
 
 test("a request without an answer delays the next one by a second only, and a request that was not sent does not", (t) => {
-  const backoff = new EndpointRest();
-  backoff.note(1_000, 0);
+  const backoff = new EndpointBackoff();
+  backoff.extendTo(1_000, 0);
   backoff.noteSent(1_000);
-  t.false(backoff.mayBegin(1_999));
-  t.true(backoff.mayBegin(2_000));
+  t.false(backoff.maySend(1_999));
+  t.true(backoff.maySend(2_000));
   backoff.noteSent(2_000);
   backoff.noteNotSent();
   backoff.noteNotSent();
-  t.true(backoff.mayBegin(2_001));
+  t.true(backoff.maySend(2_001));
 });
 
 test("an answer to a request from before the back-off does not advance the slow start", (t) => {
-  const backoff = new EndpointRest();
-  backoff.note(1_000, 0);
+  const backoff = new EndpointBackoff();
+  backoff.extendTo(1_000, 0);
   backoff.noteSent(1_000);
   backoff.noteAnswered(-10);
-  t.false(backoff.mayBegin(1_010));
+  t.false(backoff.maySend(1_010));
 });
 
 test("the end of a back-off is reported once", (t) => {
-  const backoff = new EndpointRest();
+  const backoff = new EndpointBackoff();
   t.is(backoff.takeEndedMs(0), undefined);
-  backoff.note(3_000, 500);
+  backoff.extendTo(3_000, 500);
   t.is(backoff.takeEndedMs(2_999), undefined);
   t.is(backoff.takeEndedMs(3_000), 2_500);
   t.is(backoff.takeEndedMs(3_001), undefined);
