--- a/packages/crashes/src/CompletedRequests.ts
+++ b/packages/crashes/src/CompletedRequests.ts
@@ -6,7 +6,7 @@
 const maxBodyBytes = 8 * 1024;
 
 interface CompletedRequest {
-  readonly asked: RequestIdentity;
+  readonly identity: RequestIdentity;
   readonly atMs: number;
   digest?: string;
 }
@@ -19,11 +19,11 @@
   private readonly _byKind = new Map<string, CompletedRequest[]>();
 
   /** @param kind - Requests of one kind don't displace those of another. */
-  add(kind: string, asked: RequestIdentity, atMs: number): void {
-    if (asked.body.length > maxBodyBytes) return;
+  add(kind: string, identity: RequestIdentity, atMs: number): void {
+    if (identity.body.length > maxBodyBytes) return;
     const kept = this._byKind.get(kind) ?? [];
     this._byKind.set(kind, kept);
-    kept.push({ asked, atMs });
+    kept.push({ identity, atMs });
     if (kept.length > maxPerKind) kept.shift();
   }
 
@@ -31,7 +31,7 @@
   find(digests: ReadonlySet<string>): Map<string, number> {
     const found = new Map<string, number>();
     for (const completed of [...this._byKind.values()].flat()) {
-      const digest = (completed.digest ??= digestRequest(completed.asked));
+      const digest = (completed.digest ??= digestRequest(completed.identity));
       if (digests.has(digest)) found.set(digest, Math.max(completed.atMs, found.get(digest) ?? 0));
     }
     return found;
--- a/packages/gateway/src/crashes/CrashDetector.ts
+++ b/packages/gateway/src/crashes/CrashDetector.ts
@@ -51,7 +51,7 @@
 export type CrashRisk = "none" | "some" | "high";
 
 /** Dependencies of {@link CrashDetector}. */
-export interface CrashWatchStructure {
+export interface CrashDetectorStructure {
   readonly endpoints: Pick<EndpointTable, "get" | "onChanged">;
   readonly log: DecisionLog;
   readonly probe: (address: string, timeoutMs: number) => Promise<ProbeResult>;
@@ -107,7 +107,7 @@
   private readonly _nowMs: () => number;
   private readonly _pause: (durationMs: number) => Promise<void>;
 
-  constructor(private readonly _structure: CrashWatchStructure) {
+  constructor(private readonly _structure: CrashDetectorStructure) {
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
     this._pause = _structure.pause ?? utils.sleep;
     this.ledger = new CrashLedger(this._nowMs);
@@ -223,7 +223,7 @@
   }
 
   /** Merges crash reports from a peer, and returns the parts that were new. */
-  take(reports: CrashReportsMessage): CrashReportsMessage {
+  mergeReports(reports: CrashReportsMessage): CrashReportsMessage {
     this._clearCompleted(reports.crashes.flatMap(({ suspects }) => suspects.map(([digest]) => digest)));
     const added = this.ledger.mergeReports(reports);
     for (const { lifeId } of reports.crashes) this._countCompleted(lifeId);
@@ -348,12 +348,12 @@
   }
 
   private _noteQuarantine(digest: string, quarantine: QuarantineMessage | undefined): void {
-    const { log, persist: keep } = this._structure;
+    const { log, persist } = this._structure;
     if (quarantine === undefined) return log.info("request-released", { digest });
     log.warn("request-held", { digest, times: quarantine.times, leftMs: Math.round(quarantine.leftMs) });
     // Only one instance stores the quarantine: the one that detected the latest crash.
     const newest = this.ledger.getNewestCrash(digest);
-    if (newest !== undefined && this._detectedHere.has(newest)) keep?.(digest, quarantine);
+    if (newest !== undefined && this._detectedHere.has(newest)) persist?.(digest, quarantine);
   }
 
   /** Clears suspects that are identical to a request whose run at this instance has survived its initial phase. */
--- a/packages/gateway/src/crashes/RequestQuarantine.ts
+++ b/packages/gateway/src/crashes/RequestQuarantine.ts
@@ -8,13 +8,13 @@
   type CrashReportBroadcastStructure,
   type QuarantineMessage,
 } from "@shedtiller/crashes";
-import { CrashDetector, type CrashWatchStructure } from "./CrashDetector.js";
+import { CrashDetector, type CrashDetectorStructure } from "./CrashDetector.js";
 import type { QuarantineStore } from "./QuarantineStore.js";
 import { QuarantineReconciler } from "./QuarantineReconciler.js";
 
-/** Dependencies of {@link CrashQuarantine}. */
+/** Dependencies of {@link RequestQuarantine}. */
 export interface RequestQuarantineStructure extends Pick<
-  CrashWatchStructure,
+  CrashDetectorStructure,
   "probe" | "count" | "onCrash" | "nowMs" | "pause"
 > {
   readonly membership: CrashReportBroadcastStructure["membership"];
@@ -33,21 +33,21 @@
  */
 export class RequestQuarantine {
   readonly detector: CrashDetector;
-  private readonly _exchange: CrashReportBroadcast;
+  private readonly _broadcast: CrashReportBroadcast;
   private readonly _reconciler: QuarantineReconciler;
 
   constructor(private readonly _structure: RequestQuarantineStructure) {
     const { membership, log, store, isReader } = _structure;
     this.detector = new CrashDetector({
       ..._structure,
-      broadcast: (added) => this._exchange.broadcast(added),
+      broadcast: (added) => this._broadcast.broadcast(added),
       getTrialRank: (digest) => getTrialRank(digest, membership.self.name, _structure.getInstanceNames()),
       persist: (digest, quarantine) => this._reconciler.persist(digest, quarantine),
     });
-    this._exchange = new CrashReportBroadcast({
+    this._broadcast = new CrashReportBroadcast({
       membership,
       onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
-      take: (reports) => this.detector.take(reports),
+      take: (reports) => this.detector.mergeReports(reports),
       tellAll: () => this.detector.ledger.getAllReports(),
     });
     this._reconciler = new QuarantineReconciler({
@@ -70,7 +70,7 @@
   }
 
   private _mergeStored(holds: readonly QuarantineMessage[]): void {
-    const added = this.detector.take({ ...noCrashReports, holds: [...holds] });
-    if (added.holds.length > 0) this._exchange.broadcast(added);
+    const added = this.detector.mergeReports({ ...noCrashReports, holds: [...holds] });
+    if (added.holds.length > 0) this._broadcast.broadcast(added);
   }
 }
--- a/packages/gateway/src/discovery/FailureGuard.ts
+++ b/packages/gateway/src/discovery/CircuitBreaker.ts
@@ -15,7 +15,7 @@
  * and therefore attracts all requests: under overload one of 190 engines received 3,751 requests within 6.6 s, and 3,100 streams ended with
  * them.
  */
-export class FailureGuard {
+export class CircuitBreaker {
   private _failures = 0;
   private _failedAtMs = Number.NEGATIVE_INFINITY;
   private _openUntilMs = 0;
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -3,7 +3,7 @@
 import { SendPermit } from "./SendPermit.js";
 import type { KnownLimit } from "./EndpointLimits.js";
 import type { ListedEndpoint } from "./ListedEndpoint.js";
-import { FailureGuard } from "./FailureGuard.js";
+import { CircuitBreaker } from "./CircuitBreaker.js";
 
 /** The load that requests put on an endpoint. */
 export interface EndpointLoad {
@@ -43,7 +43,7 @@
    */
   refusedUntilMs = 0;
   /** Stops requests to the endpoint after requests of this instance failed right away. */
-  readonly circuitBreaker = new FailureGuard();
+  readonly circuitBreaker = new CircuitBreaker();
   /** Consecutive suspicions without a heartbeat between them. */
   suspicions = 0;
   private _observedCapacity: { readonly tokenLayers: number; readonly untilMs: number } | undefined;
@@ -54,7 +54,7 @@
   readonly permits = new LocalPermits();
   /** The back-off that the endpoint requested from this instance. */
   readonly backoff = new EndpointBackoff();
-  private _own: EndpointLoad = noLoad;
+  private _ownLoad: EndpointLoad = noLoad;
   private readonly _peerLoads = new Map<string, EndpointLoad>();
 
   constructor(
@@ -78,14 +78,14 @@
   }
 
   get ownLoad(): EndpointLoad {
-    return this._own;
+    return this._ownLoad;
   }
 
   /** Returns the load that this instance and all peers put on the endpoint, as reported or assumed. */
   getLoad(): EndpointLoad {
     const loadFactor = 1 + this._assumedPeers.count;
-    let requests = this._own.requests * loadFactor;
-    let tokenLayers = this._own.tokenLayers * loadFactor;
+    let requests = this._ownLoad.requests * loadFactor;
+    let tokenLayers = this._ownLoad.tokenLayers * loadFactor;
     for (const load of this._peerLoads.values()) {
       requests += load.requests;
       tokenLayers += load.tokenLayers;
@@ -94,7 +94,10 @@
   }
 
   addOwn(requests: number, tokenLayers: number): void {
-    this._own = { requests: this._own.requests + requests, tokenLayers: this._own.tokenLayers + tokenLayers };
+    this._ownLoad = {
+      requests: this._ownLoad.requests + requests,
+      tokenLayers: this._ownLoad.tokenLayers + tokenLayers,
+    };
   }
 
   /** Sets the load of a peer; undefined removes the load. */
--- a/packages/gateway/src/discovery/EndpointStatements.ts
+++ b/packages/gateway/src/discovery/EndpointStatements.ts
@@ -15,7 +15,7 @@
 
 /** Dependencies of {@link EndpointStatements}. */
 export interface EndpointStatementsStructure {
-  readonly endpoints: Pick<EndpointTable, "get" | "getLife" | "noteLeaving">;
+  readonly endpoints: Pick<EndpointTable, "get" | "getLife" | "noteDraining">;
   readonly limits: Pick<EndpointLimits, "noteAnswer" | "noteReport">;
   readonly log: DecisionLog;
   /** Counts answers with a statement about their endpoint. */
@@ -66,22 +66,22 @@
   }
 
   private _noteRetryAfter(endpoint: Endpoint, { status, stated }: StatedAnswer): void {
-    const { retryAfter: comeBack } = stated;
-    if (comeBack.kind === "none") return;
-    if (comeBack.kind === "unreadable") {
+    const { retryAfter } = stated;
+    if (retryAfter.kind === "none") return;
+    if (retryAfter.kind === "unreadable") {
       this._count("unreadable", endpoint);
-      this._structure.log.error("endpoint-rest-unreadable", { ...describe(endpoint), text: comeBack.text });
+      this._structure.log.error("endpoint-rest-unreadable", { ...describe(endpoint), text: retryAfter.text });
       return;
     }
     this._count("rest", endpoint);
     const nowMs = this._nowMs();
-    const restMs = Math.min(comeBack.afterMs, maxBackoffMs);
+    const restMs = Math.min(retryAfter.afterMs, maxBackoffMs);
     if (!endpoint.backoff.extendTo(nowMs + restMs, nowMs)) return;
     this._structure.log.info("endpoint-rest-began", {
       ...describe(endpoint),
       status,
       restMs,
-      namedMs: comeBack.afterMs,
+      namedMs: retryAfter.afterMs,
     });
   }
 
--- a/packages/gateway/src/discovery/FailureDetector.ts
+++ b/packages/gateway/src/discovery/FailureDetector.ts
@@ -17,7 +17,7 @@
 const layersBackoffMs = 300;
 
 /** Dependencies of {@link FailureDetector}. */
-export interface EndpointSuspicionsStructure {
+export interface FailureDetectorStructure {
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
@@ -39,7 +39,7 @@
   /** Endpoints whose layers are being queried. */
   private readonly _queried = new Set<Endpoint>();
 
-  constructor(private readonly _structure: EndpointSuspicionsStructure) {
+  constructor(private readonly _structure: FailureDetectorStructure) {
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
@@ -50,11 +50,11 @@
 
   /** Records that another engine reported this engine as faulty; resolves once the engine has been queried. */
   async noteNamed(endpointId: string, reason: string): Promise<void> {
-    const { endpoints, orders, broadcastSuspicion: tellPeers, log } = this._structure;
+    const { endpoints, orders, broadcastSuspicion, log } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || !this._suspect(endpointId, reason)) return;
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
-    if (report.err) return tellPeers(endpointId);
+    if (report.err) return broadcastSuspicion(endpointId);
     endpoints.clear(endpointId);
     endpoint.refusedUntilMs = this._nowMs() + namedBackoffMs;
     log.info("endpoint-answers", { endpointId, address: endpoint.listed.address, reason });
@@ -67,7 +67,7 @@
    * served in time.
    */
   async noteNotHeld(endpointId: string): Promise<void> {
-    const { endpoints, orders, log, broadcastLayers: tellLayers } = this._structure;
+    const { endpoints, orders, log, broadcastLayers } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || this._queried.has(endpoint)) return;
     this._queried.add(endpoint);
@@ -78,7 +78,7 @@
     if (report.err) return this.noteSilent(endpointId, `holds other layers: ${report.val.code}`);
     if (!endpoints.setLayers(endpoint, report.val.layers)) return;
     endpoint.refusedUntilMs = 0;
-    tellLayers(endpointId, report.val.layers);
+    broadcastLayers(endpointId, report.val.layers);
     log.info("endpoint-holds-other-layers", { endpointId, address });
   }
 
--- a/packages/gateway/src/orders/LayerReconciler.ts
+++ b/packages/gateway/src/orders/LayerReconciler.ts
@@ -32,7 +32,7 @@
 }
 
 /** Dependencies of {@link LayerReconciler}. */
-export interface LayerKeeperStructure {
+export interface LayerReconcilerStructure {
   readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
@@ -52,7 +52,7 @@
   private readonly _addedAtMs = new Map<string, number>();
   private readonly _lostEngines: LostEngineDetector;
 
-  constructor(private readonly _structure: LayerKeeperStructure) {
+  constructor(private readonly _structure: LayerReconcilerStructure) {
     this._lostEngines = new LostEngineDetector(_structure.orders, _structure.log);
     _structure.endpoints.onChanged((endpoint, event) => {
       if (event === "added") this._addedAtMs.set(getPoolKey(endpoint), utils.monotonicMs());
--- a/packages/gateway/src/orders/Leadership.ts
+++ b/packages/gateway/src/orders/Leadership.ts
@@ -8,7 +8,7 @@
 const safetyMarginMs = 500;
 
 /** Options of {@link Leadership}. */
-export interface LeaderSeatOptions {
+export interface LeadershipOptions {
   /** Whether this instance campaigns while it does not lead. A leader campaigns in any case. */
   readonly mayCampaign?: () => boolean;
   /** Monotonic clock, replaced in tests. */
@@ -26,7 +26,7 @@
   constructor(
     private readonly _election: LeaderElection,
     private readonly _log: DecisionLog,
-    private readonly _options: LeaderSeatOptions = {},
+    private readonly _options: LeadershipOptions = {},
   ) {
     this._nowMs = _options.nowMs ?? utils.monotonicMs;
   }
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -70,7 +70,7 @@
       isStable,
       isLongBroken,
     ]);
-    if (state === this._settledState && !this._hasNewlyDroppable(engines)) return [];
+    if (state === this._settledState && !this._hasNewlyRelocatable(engines)) return [];
     const target = await this._findTarget(engines, model, { isStable, isLongBroken });
     const orders = target === undefined ? [] : planZoneOrders(engines, target, model);
     if (orders.length === 0) this._settle(state, engines);
@@ -78,14 +78,16 @@
   }
 
   /** Returns whether an engine of a broken zone may drop its layers now that was in use in each plan without orders. */
-  private _hasNewlyDroppable(engines: readonly ZoneEngine[]): boolean {
-    return this._brokenSinceMs !== undefined && getDroppable(engines).some((name) => !this._tried.has(name));
+  private _hasNewlyRelocatable(engines: readonly ZoneEngine[]): boolean {
+    return (
+      this._brokenSinceMs !== undefined && getRelocatable(engines).some((name) => !this._tried.has(name))
+    );
   }
 
   private _settle(state: string, engines: readonly ZoneEngine[]): void {
     if (state !== this._settledState) this._tried.clear();
     this._settledState = state;
-    for (const name of getDroppable(engines)) this._tried.add(name);
+    for (const name of getRelocatable(engines)) this._tried.add(name);
   }
 
   /** Records the engines' layers, and returns whether they have been unchanged for long enough. */
@@ -123,8 +125,8 @@
     if (filled !== undefined) return filled;
     const isSettled = engines.every((engine) => engine.ordered === undefined);
     if (!isSettled) return undefined;
-    const leastTokensBeside = changeOverRequests * model.tokensPerRequest;
-    const better = await search(spans, model, { minKvTokens: leastTokensBeside });
+    const minKvTokens = changeOverRequests * model.tokensPerRequest;
+    const better = await search(spans, model, { minKvTokens });
     const leastGain = isStable ? minGain : minUrgentGain;
     return better.cost <= better.costBefore - leastGain ? better.spans : undefined;
   }
@@ -144,11 +146,11 @@
   const unused = new Set(
     [...engines.keys()].filter((index) => (engines[index]?.passing ?? 0) <= maxPassingRequests),
   );
-  for (const mostLoads of [countMissing(spans, model), Number.POSITIVE_INFINITY]) {
+  for (const maxLoads of [countMissing(spans, model), Number.POSITIVE_INFINITY]) {
     for (const requests of [changeOverRequests, minRepairRequests]) {
-      for (const leavable of [undefined, unused]) {
-        const leastTokensBeside = requests * model.tokensPerRequest;
-        const options = { leastTokensBeside, leavable, mostLoads, isGrowthOnly: true, longestShift: 1 };
+      for (const relocatable of [undefined, unused]) {
+        const minKvTokens = requests * model.tokensPerRequest;
+        const options = { minKvTokens, relocatable, maxLoads, isGrowthOnly: true, maxShift: 1 };
         const repaired = await search(spans, model, options, (running) => running.isComplete);
         if (repaired.isComplete) return repaired.spans;
       }
@@ -158,7 +160,7 @@
 }
 
 /** Returns the names of the engines that so few requests pass through that they may drop their layers. */
-function getDroppable(engines: readonly ZoneEngine[]): string[] {
+function getRelocatable(engines: readonly ZoneEngine[]): string[] {
   return engines.flatMap(({ engine, passing }) => (passing <= maxPassingRequests ? [engine.name] : []));
 }
 
--- a/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -25,7 +25,7 @@
   probes = 0;
   trialRank = 0;
   readonly crashed: string[] = [];
-  readonly watch = new CrashDetector({
+  readonly detector = new CrashDetector({
     endpoints: this.endpoints,
     log: new DecisionLog(new SilentSink(), this.clock.nowMs),
     probe: () => {
@@ -66,12 +66,12 @@
   /** Completes a run. */
   complete(endpointId: string, request: typeof harmlessRequest): void {
     const run = this.createRun(endpointId, { request });
-    this.watch.noteCompleted("streaming", request, run, this.get(endpointId));
+    this.detector.noteCompleted("streaming", request, run, this.get(endpointId));
   }
 
   /** Loses the connection of a run in its initial phase. */
   async lose(endpointId: string, changes: Partial<TrackedRun> = {}): Promise<void> {
-    await this.watch.noteLost(this.createRun(endpointId, changes), this.get(endpointId));
+    await this.detector.noteLost(this.createRun(endpointId, changes), this.get(endpointId));
   }
 }
 
@@ -79,22 +79,22 @@
   const fixture = new Fixture();
   fixture.probeResult = "open";
   for (const id of ids) await fixture.lose(id);
-  t.true(fixture.watch.isQuiet);
+  t.true(fixture.detector.isQuiet);
   t.deepEqual(fixture.sent, []);
 });
 
 test("an endpoint that refuses connections has crashed: its runs in their initial phase count, and the crash is broadcast", async (t) => {
   const fixture = new Fixture();
   await fixture.lose("i-1");
-  t.is(fixture.watch.ledger.getWeight("a"), 1);
+  t.is(fixture.detector.ledger.getWeight("a"), 1);
   t.deepEqual(fixture.sent, [
     { ...noCrashReports, crashes: [{ lifeId: "i-1", ageMs: 0, suspects: [["a", 1]] }] },
   ]);
   await fixture.lose("i-2");
-  t.is(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
+  t.is(fixture.detector.getQuarantineMs({ digest: "a" }), undefined);
   await fixture.lose("i-3");
-  t.true((fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0) > 0);
-  t.is(fixture.watch.getQuarantineMs({ digest: "b" }), undefined);
+  t.true((fixture.detector.getQuarantineMs({ digest: "a" }) ?? 0) > 0);
+  t.is(fixture.detector.getQuarantineMs({ digest: "b" }), undefined);
 });
 
 test("runs that are lost together need one probe and are reported together", async (t) => {
@@ -111,9 +111,9 @@
   const gone = new Fixture();
   const endpoints = ids.map((id) => gone.get(id));
   gone.list({}, []);
-  for (const endpoint of endpoints) await gone.watch.noteLost(gone.createRun(endpoint.id), endpoint);
-  t.is(draining.watch.ledger.getStanding("a"), "unknown");
-  t.is(gone.watch.ledger.getStanding("a"), "unknown");
+  for (const endpoint of endpoints) await gone.detector.noteLost(gone.createRun(endpoint.id), endpoint);
+  t.is(draining.detector.ledger.getStanding("a"), "unknown");
+  t.is(gone.detector.ledger.getStanding("a"), "unknown");
 });
 
 test("without an answer the list decides: a crash if the entry disappears, a network cut if it stays", async (t) => {
@@ -121,11 +121,11 @@
   fixture.probeResult = "nothing";
   await fixture.lose("i-1");
   await fixture.lose("i-2");
-  t.is(fixture.watch.ledger.getWeight("a"), 0);
+  t.is(fixture.detector.ledger.getWeight("a"), 0);
   fixture.list({}, ["i-2", "i-3", "i-4"]);
-  t.is(fixture.watch.ledger.getWeight("a"), 1);
+  t.is(fixture.detector.ledger.getWeight("a"), 1);
   await fixture.clock.run(60_000);
-  t.is(fixture.watch.ledger.getWeight("a"), 1);
+  t.is(fixture.detector.ledger.getWeight("a"), 1);
 });
 
 test("an endpoint with a new start of its process has crashed", async (t) => {
@@ -133,8 +133,8 @@
   fixture.probeResult = "open";
   const before = fixture.get("i-1");
   fixture.endpoints.noteStart("i-1", 2, []);
-  await fixture.watch.noteLost(fixture.createRun("i-1"), before);
-  t.is(fixture.watch.ledger.getWeight("a"), 1);
+  await fixture.detector.noteLost(fixture.createRun("i-1"), before);
+  t.is(fixture.detector.ledger.getWeight("a"), 1);
 });
 
 test("a run that survived its initial phase is no suspect, and clears its request", async (t) => {
@@ -143,14 +143,14 @@
   await fixture.lose("i-1");
   await fixture.lose("i-2");
   await fixture.lose("i-3", { firstEventAtMs: fixture.clock.nowMs() - initialPhaseMs });
-  t.is(fixture.watch.ledger.getWeight("a"), 0);
+  t.is(fixture.detector.ledger.getWeight("a"), 0);
   t.is(fixture.sent.at(-1)?.clearings.length, 1);
 });
 
 test("an identical request that survived its initial phase here clears a suspect that peers report", async (t) => {
   const fixture = new Fixture();
   await fixture.clock.run(10_000);
-  fixture.watch.begin(
+  fixture.detector.begin(
     fixture.createRun("i-4", { firstEventAtMs: fixture.clock.nowMs() - 2 * initialPhaseMs }),
   );
   const crashes = ["i-1", "i-2", "i-3"].map((lifeId) => ({
@@ -158,8 +158,8 @@
     ageMs: 0,
     suspects: [["a", 1]] as [string, number][],
   }));
-  fixture.watch.take({ ...noCrashReports, crashes });
-  t.is(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
+  fixture.detector.mergeReports({ ...noCrashReports, crashes });
+  t.is(fixture.detector.getQuarantineMs({ digest: "a" }), undefined);
   t.is(fixture.sent.at(-1)?.clearings[0]?.digest, "a");
 });
 
@@ -167,12 +167,12 @@
   const fixture = new Fixture();
   await fixture.lose("i-1");
   const run = fixture.createRun("i-2");
-  fixture.watch.begin(run);
+  fixture.detector.begin(run);
   let isOver = false;
-  void fixture.watch.waitForTurn({ digest: "a" }).then(() => (isOver = true));
+  void fixture.detector.waitForTurn({ digest: "a" }).then(() => (isOver = true));
   await fixture.clock.run(100);
   t.false(isOver);
-  fixture.watch.end(run);
+  fixture.detector.end(run);
   await fixture.clock.run(200);
   t.true(isOver);
 });
@@ -181,37 +181,37 @@
   const fixture = new Fixture();
   const b = { digest: "b" };
   await Promise.all([fixture.lose("i-1"), fixture.lose("i-1", { request: b })]);
-  fixture.watch.begin(fixture.createRun("i-2"));
-  t.deepEqual(fixture.watch.getAvoidedEndpointIds(b), ["i-2"]);
-  t.deepEqual(fixture.watch.getAvoidedEndpointIds({ digest: "c" }), []);
+  fixture.detector.begin(fixture.createRun("i-2"));
+  t.deepEqual(fixture.detector.getAvoidedEndpointIds(b), ["i-2"]);
+  t.deepEqual(fixture.detector.getAvoidedEndpointIds({ digest: "c" }), []);
 });
 
 test("after the quarantine the instances try the request in turn, one at a time, and each reports its trial", async (t) => {
   const fixture = new Fixture();
   for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
-  const leftMs = fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0;
+  const leftMs = fixture.detector.getQuarantineMs({ digest: "a" }) ?? 0;
   await fixture.clock.run(fixture.clock.nowMs() + leftMs);
   fixture.trialRank = 2;
-  t.not(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
+  t.not(fixture.detector.getQuarantineMs({ digest: "a" }), undefined);
   await fixture.clock.run(fixture.clock.nowMs() + 600);
-  t.is(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
-  fixture.watch.begin(fixture.createRun("i-4"));
-  t.not(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
+  t.is(fixture.detector.getQuarantineMs({ digest: "a" }), undefined);
+  fixture.detector.begin(fixture.createRun("i-4"));
+  t.not(fixture.detector.getQuarantineMs({ digest: "a" }), undefined);
   t.is(fixture.sent.at(-1)?.trials[0]?.digest, "a");
   await fixture.lose("i-4");
-  t.true((fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0) > leftMs);
+  t.true((fixture.detector.getQuarantineMs({ digest: "a" }) ?? 0) > leftMs);
 });
 
 test("a request that another instance is trying is not tried here", async (t) => {
   const fixture = new Fixture();
   for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
-  await fixture.clock.run(fixture.clock.nowMs() + (fixture.watch.getQuarantineMs({ digest: "a" }) ?? 0));
-  fixture.watch.take({ ...noCrashReports, trials: [{ digest: "a", ageMs: 0 }] });
-  t.not(fixture.watch.getQuarantineMs({ digest: "a" }), undefined);
+  await fixture.clock.run(fixture.clock.nowMs() + (fixture.detector.getQuarantineMs({ digest: "a" }) ?? 0));
+  fixture.detector.mergeReports({ ...noCrashReports, trials: [{ digest: "a", ageMs: 0 }] });
+  t.not(fixture.detector.getQuarantineMs({ digest: "a" }), undefined);
 });
 
-const asked = { method: "POST", path: "/a/x", accountName: "farm", body: Buffer.from("{}") };
-const harmlessRequest = { asked, digest: digestRequest(asked) };
+const identity = { method: "POST", path: "/a/x", accountName: "farm", body: Buffer.from("{}") };
+const harmlessRequest = { identity, digest: digestRequest(identity) };
 
 test("a request identical to a recently completed one is not quarantined for crashes that it was running at", async (t) => {
   const fixture = new Fixture();
@@ -219,7 +219,7 @@
   fixture.complete("i-4", harmlessRequest);
   await fixture.clock.run(12_000);
   for (const id of ids) await fixture.lose(id, { request: harmlessRequest });
-  t.is(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
+  t.is(fixture.detector.getQuarantineMs(harmlessRequest), undefined);
   t.is(fixture.sent[0]?.clearings[0]?.digest, harmlessRequest.digest, "reported before the crash is counted");
 });
 
@@ -230,8 +230,8 @@
   await fixture.clock.run(12_000);
   const suspects: [string, number][] = [[harmlessRequest.digest, 1]];
   const crashes = ids.map((lifeId) => ({ lifeId, ageMs: 0, suspects }));
-  fixture.watch.take({ ...noCrashReports, crashes });
-  t.is(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
+  fixture.detector.mergeReports({ ...noCrashReports, crashes });
+  t.is(fixture.detector.getQuarantineMs(harmlessRequest), undefined);
 });
 
 test("suspects of the same crashes are tried one at a time within seconds, and the harmless ones are released", async (t) => {
@@ -241,22 +241,23 @@
     await Promise.all(digests.map((digest) => fixture.lose(id, { request: { digest } })));
     await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  const isQuarantined = (digest: string): boolean => fixture.watch.getQuarantineMs({ digest }) !== undefined;
+  const isQuarantined = (digest: string): boolean =>
+    fixture.detector.getQuarantineMs({ digest }) !== undefined;
   t.true(digests.every(isQuarantined));
   await fixture.clock.run(fixture.clock.nowMs() + 3_000);
   const run = fixture.createRun("i-4", { request: { digest: "sound 1" } });
   t.false(isQuarantined("sound 1"));
-  fixture.watch.begin(run);
+  fixture.detector.begin(run);
   t.true(
     digests.every(isQuarantined),
     "two requests that are tried at once could crash an endpoint together",
   );
-  fixture.watch.end(run);
-  fixture.watch.noteSurvived(run.request);
+  fixture.detector.end(run);
+  fixture.detector.noteSurvived(run.request);
   t.false(isQuarantined("sound 1"));
   t.false(isQuarantined("sound 2"));
   await fixture.lose("i-4", { request: { digest: "crashing" } });
-  t.true((fixture.watch.getQuarantineMs({ digest: "crashing" }) ?? 0) > 60_000);
+  t.true((fixture.detector.getQuarantineMs({ digest: "crashing" }) ?? 0) > 60_000);
 });
 
 test("a run that completes right before its endpoint crashes is a suspect, and does not clear its request", async (t) => {
@@ -266,7 +267,7 @@
     await fixture.lose(id, { request: { digest: "other" } });
     await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  t.not(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
+  t.not(fixture.detector.getQuarantineMs(harmlessRequest), undefined);
 });
 
 test("the endpoint of a completed run of a suspect is probed", async (t) => {
@@ -276,7 +277,7 @@
     fixture.complete(id, harmlessRequest);
     await fixture.clock.run(fixture.clock.nowMs() + 1_000);
   }
-  t.not(fixture.watch.getQuarantineMs(harmlessRequest), undefined);
+  t.not(fixture.detector.getQuarantineMs(harmlessRequest), undefined);
 });
 
 // Guards against a crashed endpoint that still counts as having its layers loaded until the next request reaches it.
--- a/packages/gateway/src/tests/discovery/FailureGuardTests.ts
+++ b/packages/gateway/src/tests/discovery/CircuitBreakerTests.ts
@@ -3,10 +3,10 @@
  * one failure.
  */
 import test from "ava";
-import { FailureGuard } from "../../discovery/FailureGuard.js";
+import { CircuitBreaker } from "../../discovery/CircuitBreaker.js";
 
 /** Sends a request whenever the circuit is closed, each of which is reset at once, and returns the number of requests. */
-function countResets(breaker: FailureGuard, durationMs: number): number {
+function countResets(breaker: CircuitBreaker, durationMs: number): number {
   let resets = 0;
   for (let nowMs = 0; nowMs < durationMs; nowMs += 5) {
     if (breaker.isOpen(nowMs)) continue;
@@ -17,18 +17,18 @@
 }
 
 test("an endpoint that resets every request for 6.6 s gets five requests from an instance", (t) => {
-  t.is(countResets(new FailureGuard(), 6_600), 5);
+  t.is(countResets(new CircuitBreaker(), 6_600), 5);
 });
 
 test("requests that fail together count as one failure, and the endpoint is soon used again", (t) => {
-  const breaker = new FailureGuard();
+  const breaker = new CircuitBreaker();
   for (let request = 0; request < 20; request++) breaker.noteFailed(request, 100 + request);
   t.true(breaker.isOpen(140));
   t.false(breaker.isOpen(150));
 });
 
 test("after an answer the next reset counts as a first failure", (t) => {
-  const breaker = new FailureGuard();
+  const breaker = new CircuitBreaker();
   breaker.noteFailed(0, 1);
   breaker.noteAnswered();
   breaker.noteFailed(100, 101);
@@ -39,7 +39,7 @@
 
 // Guards against sending all requests to an endpoint that fails right away as soon as it is tried again.
 test("after a failure one request is sent first, and more after each answer", (t) => {
-  const breaker = new FailureGuard();
+  const breaker = new CircuitBreaker();
   breaker.noteFailed(0, 1);
   const sendAll = (nowMs: number): number => {
     let sent = 0;
@@ -54,7 +54,7 @@
 });
 
 test("a request that can't be retried is sent only after an answer, or after a while without requests", (t) => {
-  const breaker = new FailureGuard();
+  const breaker = new CircuitBreaker();
   t.false(breaker.isUnproven(0));
   breaker.noteFailed(0, 1);
   t.true(breaker.isUnproven(1_000));
--- a/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
@@ -43,7 +43,7 @@
   }
 }
 
-const threeSeconds = { comeBack: { kind: "named", afterMs: 3_000 } } as const;
+const threeSeconds = { retryAfter: { kind: "named", afterMs: 3_000 } } as const;
 
 test("a rejection with a retry time starts a back-off with one log line; other answers start none", (t) => {
   const fixture = new Fixture();
