--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -165,7 +165,7 @@
       .filter(([digest, weight]) => this._addSuspect(crash, digest, weight));
     if (known === undefined) this._crashes.set(lifeId, crash);
     for (const [digest] of added) this._quarantineIfDue(digest, crash.atMs);
-    keepNewest(this._crashes, maxCrashes);
+    removeOldest(this._crashes, maxCrashes);
     if (known !== undefined && added.length === 0) return undefined;
     return { lifeId, ageMs: this._getAgeMs(crash.atMs), suspects: added };
   }
@@ -206,14 +206,14 @@
    * @returns The clearing, if there was evidence against the request.
    */
   noteSurvived(digest: string, atMs: number): ClearingMessage | undefined {
-    const isNews = this._quarantines.has(digest) || this._hasSuspect(digest);
-    return isNews ? this.noteHarmless(digest, atMs) : undefined;
+    const isSuspected = this._quarantines.has(digest) || this._hasSuspect(digest);
+    return isSuspected ? this.noteHarmless(digest, atMs) : undefined;
   }
 
   private _clear(digest: string, atMs: number): ClearingMessage {
     this._clearedAtMs.delete(digest);
     this._clearedAtMs.set(digest, atMs);
-    keepNewest(this._clearedAtMs, maxRequests);
+    removeOldest(this._clearedAtMs, maxRequests);
     for (const crash of this._crashes.values()) if (crash.atMs <= atMs) crash.suspects.delete(digest);
     const quarantine = this._quarantines.get(digest);
     if (quarantine !== undefined && quarantine.sinceMs <= atMs) this._release(digest);
@@ -302,7 +302,7 @@
   private _setQuarantine(digest: string, quarantine: Quarantine): void {
     this._quarantines.delete(digest);
     this._quarantines.set(digest, quarantine);
-    keepNewest(this._quarantines, maxRequests);
+    removeOldest(this._quarantines, maxRequests);
     for (const listener of this._listeners) listener(digest, this._toMessage(digest, quarantine));
   }
 
@@ -351,9 +351,9 @@
 }
 
 /** Removes the oldest entries of a map beyond a maximum size. */
-function keepNewest(map: Map<string, unknown>, most: number): void {
+function removeOldest(map: Map<string, unknown>, maxSize: number): void {
   for (const key of map.keys()) {
-    if (map.size <= most) return;
+    if (map.size <= maxSize) return;
     map.delete(key);
   }
 }
--- a/packages/gateway/src/crashes/QuarantineStore.ts
+++ b/packages/gateway/src/crashes/QuarantineStore.ts
@@ -13,6 +13,6 @@
 /** Stores quarantines so that they outlast a restart of all instances; called once for each quarantine that begins or ends. */
 export abstract class QuarantineStore {
   abstract read(): Promise<results.Result<StoredQuarantine[], StoreError>>;
-  abstract add(hold: StoredQuarantine): Promise<results.Result<void, StoreError>>;
+  abstract add(quarantine: StoredQuarantine): Promise<results.Result<void, StoreError>>;
   abstract remove(digest: string): Promise<results.Result<void, StoreError>>;
 }
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -147,8 +147,8 @@
   }
 
   /** Puts back a permit with which no request was sent. */
-  takeBack(expiresAtMs: number | undefined): void {
-    if (expiresAtMs !== undefined) this.permits.giveBack(expiresAtMs);
+  releasePermit(expiresAtMs: number | undefined): void {
+    if (expiresAtMs !== undefined) this.permits.release(expiresAtMs);
     this.backoff.noteNotSent();
     this.circuitBreaker.noteNotSent();
   }
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -107,10 +107,10 @@
 
   /**
    * Sets whether this follower reads the store continuously.
-   * @param isStandIn - Whether it does so only until a peer sends pages again; the pause after failed reads then doubles.
+   * @param isFallbackReader - Whether it does so only until a peer sends pages again; the pause after failed reads then doubles.
    */
-  setReader(isReader: boolean, isStandIn = false): void {
-    this._isFallbackReader = isStandIn;
+  setReader(isReader: boolean, isFallbackReader = false): void {
+    this._isFallbackReader = isFallbackReader;
     if (isReader === this._isReader) return;
     this._isReader = isReader;
     this._isNextReadImmediate = true;
--- a/packages/gateway/src/discovery/LocalPermits.ts
+++ b/packages/gateway/src/discovery/LocalPermits.ts
@@ -43,7 +43,7 @@
   }
 
   /** Puts back a permit that was not used after all. */
-  giveBack(expiresAtMs: number): void {
+  release(expiresAtMs: number): void {
     this.add(1, expiresAtMs);
     this._used -= 1;
   }
--- a/packages/gateway/src/orders/LayerReconciler.ts
+++ b/packages/gateway/src/orders/LayerReconciler.ts
@@ -42,7 +42,7 @@
 }
 
 /**
- * Keeps whole copies of the models loaded in each zone, by sending the orders that the planner of a zone finds due. Acts only while this
+ * Keeps complete copies of the models loaded in each zone, by sending the orders that the planner of a zone finds due. Acts only while this
  * instance may send orders; one per instance.
  */
 export class LayerReconciler {
--- a/packages/gateway/src/orders/LostEngineDetector.ts
+++ b/packages/gateway/src/orders/LostEngineDetector.ts
@@ -40,9 +40,9 @@
     for (const member of members) {
       if (member.isSuspect(nowMs) || this._probes.has(member.id)) void this.check(member);
     }
-    const kept = members.filter((member) => !this._isLost(member.id));
-    const isZoneReached = kept.length >= members.length * (1 - maxLostShare);
-    return isZoneReached ? kept : [...members];
+    const remaining = members.filter((member) => !this._isLost(member.id));
+    const isZoneReached = remaining.length >= members.length * (1 - maxLostShare);
+    return isZoneReached ? remaining : [...members];
   }
 
   removeProbe(id: string): void {
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -3,7 +3,7 @@
 import {
   getExpectedSpan,
   isDroppingLayers,
-  isZoneWhole,
+  isZoneComplete,
   planZoneOrders,
   type ZoneEngine,
   type ZoneOrder,
@@ -104,7 +104,7 @@
    */
   private _noteBroken(engines: readonly ZoneEngine[], model: placement.CopyModel): boolean {
     const nowMs = this._nowMs();
-    this._brokenSinceMs = isWhole(engines.map(toBalanced), model)
+    this._brokenSinceMs = isComplete(engines.map(toBalanced), model)
       ? undefined
       : (this._brokenSinceMs ?? nowMs);
     return this._brokenSinceMs !== undefined && nowMs - this._brokenSinceMs >= rearrangeAfterMs;
@@ -118,23 +118,23 @@
   ): Promise<Spans | undefined> {
     const spans = engines.map(toBalanced);
     if (spans.every(isEmpty)) return (await search(getFirstPlan(engines, model), model)).spans;
-    if (!isWhole(spans, model))
+    if (!isComplete(spans, model))
       return (await repair(engines, spans, model)) ?? (isLongBroken ? rearrange(spans, model) : undefined);
-    if (!isZoneWhole(engines, model)) return closeGapsWithEmptyEngines(engines, model);
+    if (!isZoneComplete(engines, model)) return closeGapsWithEmptyEngines(engines, model);
     const filled = spans.some(isEmpty) ? await fill(spans, model) : undefined;
     if (filled !== undefined) return filled;
     const isSettled = engines.every((engine) => engine.ordered === undefined);
     if (!isSettled) return undefined;
     const minKvTokens = changeOverRequests * model.tokensPerRequest;
     const better = await search(spans, model, { minKvTokens });
-    const leastGain = isStable ? minGain : minUrgentGain;
-    return better.cost <= better.costBefore - leastGain ? better.spans : undefined;
+    const requiredGain = isStable ? minGain : minUrgentGain;
+    return better.cost <= better.costBefore - requiredGain ? better.spans : undefined;
   }
 }
 
 /**
  * Closes gaps by extending spans, which waits for no request, or else with engines whose layers others have loaded, too. Undefined where
- * neither makes the zone whole.
+ * neither makes the zone complete.
  * The first attempt uses engines that load no more layers than are missing: the zone serves nothing until the last load is done, and a load
  * takes 0.1 to 0.2 s per layer, so that 26 layers for a gap of eight took 5 s instead of 1.5 s.
  */
@@ -193,7 +193,7 @@
       isDroppingLayers(member, getExpectedSpan(member)) ? { ...member, ordered: undefined } : member,
     ),
   );
-  if (!certain.some(isEmpty) || isWhole(certain, model)) return undefined;
+  if (!certain.some(isEmpty) || isComplete(certain, model)) return undefined;
   return (await search(certain, model, { isFillOnly: true }, (running) => running.isComplete)).spans;
 }
 
@@ -204,7 +204,7 @@
 }
 
 /** Returns whether every layer has capacity for a request. */
-function isWhole(spans: Spans, model: placement.CopyModel): boolean {
+function isComplete(spans: Spans, model: placement.CopyModel): boolean {
   return new placement.ZoneArrangement(spans, model).isComplete;
 }
 
@@ -212,7 +212,7 @@
   return span.end === span.start;
 }
 
-/** Returns spans that form whole copies for a zone, regardless of the engines' current layers. */
+/** Returns spans that form complete copies for a zone, regardless of the engines' current layers. */
 function getFirstPlan(
   engines: readonly { readonly engine: placement.CopyEngine }[],
   model: placement.CopyModel,
--- a/packages/gateway/src/orders/planZoneOrders.ts
+++ b/packages/gateway/src/orders/planZoneOrders.ts
@@ -31,7 +31,7 @@
 }
 
 /** Returns whether chains inside the zone cover all layers now. */
-export function isZoneWhole(members: readonly ZoneEngine[], model: placement.CopyModel): boolean {
+export function isZoneComplete(members: readonly ZoneEngine[], model: placement.CopyModel): boolean {
   const listed = members.flatMap((member) => member.listed ?? []);
   return placement.isCovered({ start: 0, end: model.layerCount }, listed);
 }
@@ -39,30 +39,30 @@
 /**
  * Plans orders that move the engines of a zone towards `target` (in the order of `members`) without interrupting the service. Engines load
  * their new layers beside the current ones first, and drop the rest only when the other engines have loaded theirs. Where the zone is not
- * whole, no request can pass anyway, and an engine without capacity for both spans is ordered directly to its target.
+ * complete, no request can pass anyway, and an engine without capacity for both spans is ordered directly to its target.
  */
 export function planZoneOrders(
   members: readonly ZoneEngine[],
   target: readonly LayerSpan[],
   model: placement.CopyModel,
 ): ZoneOrder[] {
-  const isWhole = isZoneWhole(members, model);
+  const isComplete = isZoneComplete(members, model);
   const isSettled = members.every((member) => member.ordered === undefined);
   return members.flatMap((member, index) => {
     const wanted = target[index] ?? noLayers;
     if (!member.isFree || member.ordered !== undefined || wanted.end <= wanted.start) return [];
-    const span = getNextSpan(member, wanted, model, isWhole);
+    const span = getNextSpan(member, wanted, model, isComplete);
     if (span === undefined) return [];
     const order = {
       name: member.engine.name,
       span: { start: span.start, end: span.end },
-      isUrgent: !isWhole,
+      isUrgent: !isComplete,
     };
     if (!isDroppingLayers(member, span)) return [order];
     const others = members.filter((other) => other !== member).flatMap((other) => other.listed ?? []);
     const isSafe =
-      !isWhole ||
-      (isSettled && getDroppedSpans(member, span).every((part) => placement.isCovered(part, others)));
+      !isComplete ||
+      (isSettled && getDroppedSpans(member, span).every((dropped) => placement.isCovered(dropped, others)));
     return isSafe ? [order] : [];
   });
 }
@@ -72,7 +72,7 @@
   member: ZoneEngine,
   wanted: LayerSpan,
   model: placement.CopyModel,
-  isWhole: boolean,
+  isComplete: boolean,
 ): LayerSpan | undefined {
   const { listed } = member;
   if (listed === undefined) return wanted;
@@ -83,7 +83,7 @@
   const hasRoom =
     placement.getKvTokenCapacity(member.engine, both.end - both.start, model) >= model.tokensPerRequest;
   if (hasRoom) return both;
-  return isWhole ? undefined : wanted;
+  return isComplete ? undefined : wanted;
 }
 
 /** Returns whether an engine drops some of its listed layers in order to load `span`. */
@@ -95,9 +95,9 @@
 function getDroppedSpans(member: ZoneEngine, span: LayerSpan): LayerSpan[] {
   const { listed } = member;
   if (listed === undefined) return [];
-  const parts = [
+  const outside = [
     { start: listed.start, end: Math.min(listed.end, span.start) },
     { start: Math.max(listed.start, span.end), end: listed.end },
   ];
-  return parts.filter((part) => part.end > part.start);
+  return outside.filter((dropped) => dropped.end > dropped.start);
 }
--- a/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -32,7 +32,7 @@
       this.probes += 1;
       return Promise.resolve(this.probeResult);
     },
-    broadcast: (news) => this.sent.push(news),
+    broadcast: (reports) => this.sent.push(reports),
     onCrash: ({ id }) => this.crashed.push(id),
     getTrialRank: () => this.trialRank,
     nowMs: this.clock.nowMs,
@@ -163,7 +163,7 @@
   t.is(fixture.sent.at(-1)?.clearings[0]?.digest, "a");
 });
 
-test("a suspect has one run in its initial phase at a time", async (t) => {
+test("a suspect has at most one run in its initial phase at a time", async (t) => {
   const fixture = new Fixture();
   await fixture.lose("i-1");
   const run = fixture.createRun("i-2");
--- a/packages/gateway/src/tests/orders/ZonePlannerTests.ts
+++ b/packages/gateway/src/tests/orders/ZonePlannerTests.ts
@@ -16,7 +16,7 @@
   return { clock, plan };
 }
 
-test("a zone with empty engines only gets whole copies", async (t) => {
+test("a zone with empty engines only gets complete copies", async (t) => {
   const { plan } = setUp();
   const ordered = await plan([createMember("a", 0, 0), createMember("b", 0, 0)]);
   t.is(ordered.split(",").length, 2);
@@ -45,7 +45,7 @@
   t.regex(await plan(members), /^c=\d-\d$/);
 });
 
-test("a whole zone is rebalanced only once it is stable, and for a large gain", async (t) => {
+test("a complete zone is rebalanced only once it is stable, and for a large gain", async (t) => {
   const { clock, plan } = setUp();
   const uneven = [createMember("a", 0, 5), createMember("b", 5, 8)];
   t.is(await plan(uneven), "");
--- a/packages/gateway/src/tests/orders/planZoneOrdersTests.ts
+++ b/packages/gateway/src/tests/orders/planZoneOrdersTests.ts
@@ -1,7 +1,7 @@
 /** Tests that layers are dropped only once other engines have loaded them, and that a broken zone is ordered directly to its target. */
 import test from "ava";
 import type { LayerSpan } from "../../discovery/ListedEndpoint.js";
-import { isZoneWhole, planZoneOrders, type ZoneEngine } from "../../orders/planZoneOrders.js";
+import { isZoneComplete, planZoneOrders, type ZoneEngine } from "../../orders/planZoneOrders.js";
 import * as zoneParts from "./zoneParts.js";
 
 const model = zoneParts.smallModel;
@@ -54,19 +54,19 @@
   t.is(zoneParts.describeOrders(planZoneOrders(members, target, model)), "a=0-3,b=2-6");
 });
 
-test("in a whole zone an engine without capacity for both spans is left unchanged", (t) => {
+test("in a complete zone an engine without capacity for both spans is left unchanged", (t) => {
   const members = [
     createMember("a", span(0, 4)),
     createMember("b", span(0, 4)),
     createMember("c", span(4, 8)),
   ];
-  t.true(isZoneWhole(members, model));
+  t.true(isZoneComplete(members, model));
   t.is(zoneParts.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4), span(4, 8)], model)), "");
 });
 
 test("in a broken zone such an engine is ordered directly to its target", (t) => {
   const members = [createMember("a", span(0, 4)), createMember("b", span(0, 4))];
-  t.false(isZoneWhole(members, model));
+  t.false(isZoneComplete(members, model));
   t.is(zoneParts.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4)], model)), "a=4-8");
 });
 
--- a/packages/routing/src/EndpointDirectory.ts
+++ b/packages/routing/src/EndpointDirectory.ts
@@ -39,7 +39,7 @@
 export class EndpointDirectory {
   readonly outliers = new OutlierEjection();
   private readonly _entries = new Map<string, EndpointEntry>();
-  private readonly _leavingListeners: ((entry: EndpointEntry) => void)[] = [];
+  private readonly _drainingListeners: ((entry: EndpointEntry) => void)[] = [];
 
   /** Replaces the entries by those of the platform's list. Endpoints that are no longer listed are removed. */
   setListed(instances: readonly ListedInstance[]): void {
@@ -68,7 +68,7 @@
     const entry = this._entries.get(name);
     if (entry === undefined || entry.isDraining) return;
     entry.isDraining = true;
-    for (const listener of this._leavingListeners) listener(entry);
+    for (const listener of this._drainingListeners) listener(entry);
   }
 
   /** Records that a direct contact failed. */
@@ -85,7 +85,7 @@
 
   /** Calls `listener` once for each endpoint that starts draining. */
   onDraining(listener: (entry: EndpointEntry) => void): void {
-    this._leavingListeners.push(listener);
+    this._drainingListeners.push(listener);
   }
 
   getEntry(name: string): EndpointEntry | undefined {
--- a/packages/routing/src/OutlierEjection.ts
+++ b/packages/routing/src/OutlierEjection.ts
@@ -39,8 +39,8 @@
   /** Leaves out ejected endpoints, unless more than half of them would be left out. */
   withoutEjected<T>(items: T[], getName: (item: T) => string): T[] {
     if (this._states.size === 0) return items;
-    const kept = items.filter((item) => !this.isEjected(getName(item)));
-    return kept.length < items.length * (1 - maxEjectedShare) ? items : kept;
+    const remaining = items.filter((item) => !this.isEjected(getName(item)));
+    return remaining.length < items.length * (1 - maxEjectedShare) ? items : remaining;
   }
 
   private _eject(state: EjectionState): void {
