--- a/packages/crashes/src/CrashReportBroadcast.ts
+++ b/packages/crashes/src/CrashReportBroadcast.ts
@@ -1,40 +1,39 @@
-/** What instances tell each other of crashes. */
 import { PeerBroadcast, type PeerBroadcastStructure } from "@shedtiller/membership";
-import { isAnythingTold, toldCrashesSchema, type ToldCrashes } from "./crashMessages.js";
+import { hasCrashReports, crashReportsMessageSchema, type CrashReportsMessage } from "./crashMessages.js";
 
 const crashTopic = "crashes";
 
-/** What an exchange works with. */
+/** Dependencies of {@link CrashReportBroadcast}. */
 export interface CrashReportBroadcastStructure extends Pick<
-  PeerBroadcastStructure<ToldCrashes>,
+  PeerBroadcastStructure<CrashReportsMessage>,
   "membership" | "onInvalid" | "random"
 > {
-  /** Takes what a peer told; gives what of it was news. */
-  readonly take: (told: ToldCrashes) => ToldCrashes;
-  /** All that is known here. */
-  readonly tellAll: () => ToldCrashes;
+  /** Merges crash reports from a peer, and returns the parts that were new. */
+  readonly take: (reports: CrashReportsMessage) => CrashReportsMessage;
+  /** Returns all crash reports that this instance has. */
+  readonly tellAll: () => CrashReportsMessage;
 }
 
-/** One exchange an instance. */
+/** Exchanges crash reports with the other instances; one per instance. */
 export class CrashReportBroadcast {
-  private readonly _news: PeerBroadcast<ToldCrashes>;
+  private readonly _broadcast: PeerBroadcast<CrashReportsMessage>;
 
   constructor(structure: CrashReportBroadcastStructure) {
-    this._news = new PeerBroadcast({
+    this._broadcast = new PeerBroadcast({
       ...structure,
       topic: crashTopic,
-      schema: toldCrashesSchema,
-      applyUpdate: (told) => getAnything(structure.take(told)),
-      getFullState: () => getAnything(structure.tellAll()),
+      schema: crashReportsMessageSchema,
+      applyUpdate: (reports) => toUndefinedIfEmpty(structure.take(reports)),
+      getFullState: () => toUndefinedIfEmpty(structure.tellAll()),
     });
   }
 
-  /** Tells what was found here. */
-  broadcast(news: ToldCrashes): void {
-    this._news.broadcast(news);
+  /** Broadcasts crash reports of this instance. */
+  broadcast(reports: CrashReportsMessage): void {
+    this._broadcast.broadcast(reports);
   }
 }
 
-function getAnything(told: ToldCrashes): ToldCrashes | undefined {
-  return isAnythingTold(told) ? told : undefined;
+function toUndefinedIfEmpty(reports: CrashReportsMessage): CrashReportsMessage | undefined {
+  return hasCrashReports(reports) ? reports : undefined;
 }
--- a/packages/gateway/src/crashes/RequestQuarantine.ts
+++ b/packages/gateway/src/crashes/RequestQuarantine.ts
@@ -1,4 +1,3 @@
-/** Wires the parts that find requests which crash endpoints, tell the peers, and keep what must outlast all instances. */
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import { logInvalidPeerMessage } from "../peers/logInvalidPeerMessage.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
@@ -7,15 +6,15 @@
   getTrialRank,
   noCrashReports,
   type CrashReportBroadcastStructure,
-  type ToldHold,
+  type QuarantineMessage,
 } from "@shedtiller/crashes";
-import { CrashDetector, type CrashWatchStructure } from "./CrashDetector.js";
+import { CrashDetector, type CrashDetectorStructure } from "./CrashDetector.js";
 import type { QuarantineStore } from "./QuarantineStore.js";
-import { HoldKeeper } from "./HoldKeeper.js";
+import { QuarantineReconciler } from "./QuarantineReconciler.js";
 
-/** What a guard is made of. */
+/** Dependencies of {@link RequestQuarantine}. */
 export interface RequestQuarantineStructure extends Pick<
-  CrashWatchStructure,
+  CrashDetectorStructure,
   "probe" | "count" | "onCrash" | "nowMs" | "pause"
 > {
   readonly membership: CrashReportBroadcastStructure["membership"];
@@ -24,51 +23,54 @@
   readonly log: DecisionLog;
   /** Whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
-  /** Names of all instances that are known, this one included, whether or not they are reached. */
+  /** Returns the names of all known instances, including this one, whether or not they can be reached. */
   readonly getInstanceNames: () => readonly string[];
 }
 
-/** One guard an instance. */
+/**
+ * Connects the parts that quarantine requests which crash endpoints: detection, reports to the peers, and the store in which quarantines
+ * outlast a restart of all instances. One per instance.
+ */
 export class RequestQuarantine {
   readonly detector: CrashDetector;
-  private readonly _exchange: CrashReportBroadcast;
-  private readonly _keeper: HoldKeeper;
+  private readonly _broadcast: CrashReportBroadcast;
+  private readonly _reconciler: QuarantineReconciler;
 
   constructor(private readonly _structure: RequestQuarantineStructure) {
     const { membership, log, store, isReader } = _structure;
     this.detector = new CrashDetector({
       ..._structure,
-      broadcast: (news) => this._exchange.broadcast(news),
+      broadcast: (added) => this._broadcast.broadcast(added),
       getTrialRank: (digest) => getTrialRank(digest, membership.self.name, _structure.getInstanceNames()),
-      persist: (digest, hold) => this._keeper.keep(digest, hold),
+      persist: (digest, quarantine) => this._reconciler.persist(digest, quarantine),
     });
-    this._exchange = new CrashReportBroadcast({
+    this._broadcast = new CrashReportBroadcast({
       membership,
       onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
-      take: (told) => this.detector.take(told),
+      take: (reports) => this.detector.mergeReports(reports),
       tellAll: () => this.detector.ledger.getAllReports(),
     });
-    this._keeper = new HoldKeeper({
+    this._reconciler = new QuarantineReconciler({
       store,
       log,
       isReader,
-      take: (holds) => this._takeRead(holds),
-      getHeldFor: (durationMs) => this.detector.ledger.getHeldFor(durationMs),
+      merge: (holds) => this._mergeStored(holds),
+      getQuarantinedFor: (durationMs) => this.detector.ledger.getQuarantinedFor(durationMs),
       release: (digest) => this.detector.release(digest),
     });
   }
 
   run(signal: AbortSignal): Promise<void> {
-    return this._keeper.run(signal);
+    return this._reconciler.run(signal);
   }
 
-  /** Lets go what an operator has dropped from the store; resolves once it was read, or could not be. */
+  /** Releases requests whose quarantine an operator has removed from the store; resolves once the store was read or could not be read. */
   reconcileWithStore(): Promise<void> {
-    return this._keeper.compare();
+    return this._reconciler.reconcile();
   }
 
-  private _takeRead(holds: readonly ToldHold[]): void {
-    const news = this.detector.take({ ...noCrashReports, holds: [...holds] });
-    if (news.holds.length > 0) this._exchange.broadcast(news);
+  private _mergeStored(holds: readonly QuarantineMessage[]): void {
+    const added = this.detector.mergeReports({ ...noCrashReports, holds: [...holds] });
+    if (added.holds.length > 0) this._broadcast.broadcast(added);
   }
 }
--- /dev/null
+++ b/packages/gateway/src/orders/LostEngineDetector.ts
@@ -0,0 +1,85 @@
+import { utils } from "@shedtiller/common";
+import type { Endpoint } from "../discovery/Endpoint.js";
+import type { DecisionLog } from "../logs/DecisionLog.js";
+import type { EngineOrders } from "./EngineOrders.js";
+
+/** Timeout of report requests: engines answer them at once, and links take a few milliseconds. */
+const reportTimeoutMs = 150;
+const retryMs = 100;
+/** Interval at which a lost engine is probed. */
+const lostProbeIntervalMs = 500;
+/** Failed probes after which an engine counts as lost, since a single probe may be lost in transit. */
+const failuresUntilLost = 2;
+/** If more than this share of a zone's engines does not answer, the link to the zone has failed rather than its engines. */
+const maxLostShare = 0.5;
+
+interface Probe {
+  failures: number;
+  isUnderWay: boolean;
+  /** Monotonic time of the next probe. */
+  nextAtMs: number;
+}
+
+/**
+ * Detects engines that are lost although the list still contains them: entries expire only after several missed heartbeats, and a zone with
+ * broken chains can't wait for that. Probes engines while this instance sends orders; one per instance.
+ */
+export class LostEngineDetector {
+  private readonly _probes = new Map<string, Probe>();
+
+  /** @param _nowMs - Monotonic clock, replaced in tests. */
+  constructor(
+    private readonly _orders: EngineOrders,
+    private readonly _log: DecisionLog,
+    private readonly _nowMs: () => number = utils.monotonicMs,
+  ) {}
+
+  /** Probes the engines of a zone that are under suspicion or were lost, and returns the engines that are not lost. */
+  withoutLost(members: readonly Endpoint[]): Endpoint[] {
+    const nowMs = this._nowMs();
+    for (const member of members) {
+      if (member.isSuspect(nowMs) || this._probes.has(member.id)) void this.check(member);
+    }
+    const remaining = members.filter((member) => !this._isLost(member.id));
+    const isZoneReached = remaining.length >= members.length * (1 - maxLostShare);
+    return isZoneReached ? remaining : [...members];
+  }
+
+  removeProbe(id: string): void {
+    this._probes.delete(id);
+  }
+
+  private _isLost(id: string): boolean {
+    return (this._probes.get(id)?.failures ?? 0) >= failuresUntilLost;
+  }
+
+  /** Probes an engine until it answers or counts as lost. */
+  async check(member: Endpoint): Promise<void> {
+    const probe = this._probes.get(member.id) ?? { failures: 0, isUnderWay: false, nextAtMs: 0 };
+    this._probes.set(member.id, probe);
+    if (probe.isUnderWay || this._nowMs() < probe.nextAtMs) return;
+    probe.isUnderWay = true;
+    while (!(await this._probeOnce(member))) {
+      probe.failures += 1;
+      if (probe.failures === failuresUntilLost) this._logWarning(member, "engine-lost");
+      if (probe.failures >= failuresUntilLost) break;
+      await utils.sleep(retryMs);
+    }
+    probe.isUnderWay = false;
+    probe.nextAtMs = this._nowMs() + lostProbeIntervalMs;
+  }
+
+  /** Probes an engine once; an answer resets its failures. */
+  private async _probeOnce(member: Endpoint): Promise<boolean> {
+    const target = member.orderTarget;
+    const report = await this._orders.getReport(target, reportTimeoutMs);
+    if (report.err) return false;
+    if (this._isLost(member.id)) this._logWarning(member, "engine-answers-again");
+    this.removeProbe(member.id);
+    return true;
+  }
+
+  private _logWarning(member: Endpoint, message: string): void {
+    this._log.warn(message, { endpointId: member.id, address: member.listed.address });
+  }
+}
