--- a/packages/gateway/src/peers/ConfigurationExchange.ts
+++ b/packages/gateway/src/peers/ConfigurationExchange.ts
@@ -1,11 +1,3 @@
-/**
- * How an instance that the store does not serve gets the configuration from its peers. Answers tell versions, proofs and small changes
- * only. A whole configuration comes as a message of its own, from one peer at a time, and is taken whenever it comes.
- *
- * A whole configuration that is waited for like an answer is lost where it takes longer than the wait, and one that is asked for again
- * meanwhile delays the next: with 0.45 MB, links of 14 Mbit/s and two peers asked every 400 ms, instances stayed behind for as long as
- * they were watched, and were still behind 13 s after the store had come back.
- */
 import { utils } from "@shedtiller/common";
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
 import { applyDelta } from "../configuration/configurationDelta.js";
@@ -16,218 +8,239 @@
 import { getFiniteAgeMs } from "./getFiniteAgeMs.js";
 import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
 import {
-  configurationAnswerSchema,
-  configurationQuestionSchema,
+  configurationResponseSchema,
+  configurationRequestSchema,
   peerTopics,
   wholeConfigurationSchema,
-  type ConfigurationAnswer,
+  type ConfigurationResponse,
 } from "./peerMessages.js";
 
-/** Without a younger proof of the configuration an instance asks its peers; a sound proof is up to 3 s old. */
-const askWhenProofOlderMs = 3_200;
-/** Something newer is known, but the store does not give it: peers are asked after this. */
-const askWhenBehindMs = 600;
-/** A peer that tells of a new version is asked for it after this, unless the store has given it meanwhile. */
-const askWhenToldMs = 700;
-/** An instance that starts leaves the store this time to give it a configuration, before it wants one from a peer. */
-const wholeAfterStartMs = 600;
-/** Answers have a few KB at most, and come within some 5 ms; a peer that takes longer is slow or gone. */
-const answerTimeoutMs = 400;
-/** An instance sends a whole configuration this often at most: 0.45 MB take 0.26 s of a link of 14 Mbit/s. Who has got it serves others. */
+/**
+ * An instance requests the configuration from its peers once its freshness is older than this. While the store responds, the age
+ * stays below 3 s.
+ */
+const staleAfterMs = 3_200;
+/** Delay before peers are asked for a newer version that is known to exist but that the store has not delivered. */
+const requestWhenBehindMs = 600;
+/** Delay before a peer that announced a new version is asked for it; the store may deliver the version in the meantime. */
+const requestAfterAnnouncementMs = 700;
+/** Time that the store has after the start of an instance to deliver a configuration, before the instance requests one from a peer. */
+const startupGraceMs = 600;
+/** Responses have a few KB at most and take about 5 ms, so a peer that takes longer than this is slow or gone. */
+const responseTimeoutMs = 400;
+/**
+ * Minimum time between two whole configurations that an instance sends. One of 0.45 MB takes 0.26 s on a link of 14 Mbit/s. Instances
+ * that have received it serve the others.
+ */
 const wholeIntervalMs = 300;
-/** Of the peers that have something newer so many are asked in turn; each may be sending to another one. */
-const holdersAsked = 3;
-/** For this long nobody else is asked for a whole configuration, and twice as long each time that none has come. */
-const firstPatienceMs = 1_000;
-const longestPatienceMs = 8_000;
+/** Number of peers with a newer version that are asked one after the other, since each may be busy sending to another instance. */
+const newerPeersPerRound = 3;
+/** Time for which an announced whole configuration is awaited before another peer is asked; it doubles each time that none has arrived. */
+const firstWholeTimeoutMs = 1_000;
+const maxWholeTimeoutMs = 8_000;
 
-/** The configuration in force here, and how far it is from what the store has. */
+/** The configuration in force at this instance, and how far it lags behind the store. */
 export interface ConfigurationState {
   readonly keeper: ConfigurationKeeper;
   readonly history: ConfigurationHistory;
-  /** For how long a newer configuration has been known to exist that the store did not give. */
+  /** Returns for how long a newer configuration has been known to exist without having come from the store. */
   readonly getBehindMs: () => number;
-  /** Where the store's history goes on after the configuration in force; undefined before the first read. */
+  /** Returns the store's offset that follows the configuration in force, or undefined before the first read. */
   readonly getOffset: () => number | undefined;
-  /** Takes note that what the store has before an offset is in force. */
+  /** Records that everything in the store before `nextOffset` is in force. */
   readonly takeAhead: (nextOffset: number) => void;
 }
 
-/** What the exchange works with. */
+/** Dependencies of {@link ConfigurationExchange}. */
 export interface ConfigurationExchangeStructure extends ConfigurationState {
   readonly membership: Pick<Membership, "getLinked" | "notifyAll" | "onNotice" | "onRequest" | "request">;
   readonly log: DecisionLog;
-  /** Tells the instances of this zone that a version has come into force here. */
+  /** Announces to the instances of this zone that a version has come into force at this instance. */
   readonly tellZone: (version: number) => void;
   readonly nowMs: () => number;
   readonly pause: (durationMs: number) => Promise<void>;
-  /** From 0 to 1. */
+  /** Returns a random number from 0 to 1. */
   readonly random: () => number;
 }
 
-/** One exchange an instance. */
+/**
+ * Gets the configuration from peers when the store does not deliver it. Responses contain only versions, freshness and small deltas. A
+ * whole configuration is sent as a notice of its own, from one peer at a time, and is accepted whenever it arrives.
+ *
+ * A whole configuration that was awaited like a response was lost when it took longer than the timeout, and a repeated request delayed
+ * the next one: with 0.45 MB, links of 14 Mbit/s and two peers asked every 400 ms, instances stayed behind for the whole observation,
+ * and were still behind 13 s after the store had recovered.
+ */
 export class ConfigurationExchange {
   /** The newest version that each peer is known to have. */
-  private readonly _versions = new Map<string, number>();
-  /** Since when a newer version has been known to be in force at a peer. */
-  private _toldSinceMs = 0;
-  /** Whether a peer is about to be asked for a new version: many peers tell of one. */
-  private _isAsking = false;
+  private readonly _peerVersions = new Map<string, number>();
+  /** Time since which a newer version has been known to be in force at a peer. */
+  private _announcedSinceMs = 0;
+  /** Whether a request for a new version is pending. Many peers announce the same version, and one request is enough. */
+  private _isRequestPending = false;
   private readonly _startedAtMs: number;
-  /** Until when a whole configuration is expected from the peer that was asked for it. */
-  private _expectedUntilMs = Number.NEGATIVE_INFINITY;
-  private _patienceMs = firstPatienceMs;
-  /** The newest proof that a peer gave. */
-  private _proof = { version: -1, atMs: Number.NEGATIVE_INFINITY };
+  /** Time until which a whole configuration is expected from the peer that was asked for it. */
+  private _wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
+  private _wholeTimeoutMs = firstWholeTimeoutMs;
+  /** The newest freshness that a peer reported. */
+  private _peerFreshness = { version: -1, atMs: Number.NEGATIVE_INFINITY };
   private _wholeSentAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly _structure: ConfigurationExchangeStructure) {
     const { membership } = _structure;
     this._startedAtMs = _structure.nowMs();
-    membership.onRequest(peerTopics.configuration, (body, from) => this._answer(body, from));
-    membership.onNotice(peerTopics.wholeConfiguration, (body, from) => this._takeWhole(body, from));
+    membership.onRequest(peerTopics.configuration, (body, from) => this._respond(body, from));
+    membership.onNotice(peerTopics.wholeConfiguration, (body, from) => this._acceptWhole(body, from));
   }
 
-  /** Takes note that a peer has a new version in force, and asks it once the store has had its time to give it. */
-  async takeNewVersion(name: string, version: number): Promise<void> {
-    this._noteTold(name, version);
-    if (version <= this._structure.keeper.version || this._isAsking) return;
-    this._isAsking = true;
-    if (this._isStarting() || !this.isStale()) await this._structure.pause(askWhenToldMs);
-    this._isAsking = false;
-    if (version > this._structure.keeper.version) await this.ask(name);
+  /** Records that a peer has a new version in force, and requests it if the store has not delivered it after a delay. */
+  async handleNewVersion(name: string, version: number): Promise<void> {
+    this._recordVersion(name, version);
+    if (version <= this._structure.keeper.version || this._isRequestPending) return;
+    this._isRequestPending = true;
+    if (this._isStarting() || !this.isStale()) await this._structure.pause(requestAfterAnnouncementMs);
+    this._isRequestPending = false;
+    if (version > this._structure.keeper.version) await this.requestFrom(name);
   }
 
-  /** Whether something newer has been known to exist for a while, or nothing has been proven for too long. */
+  /** Returns whether a newer version has been known to exist for a while, or the freshness is too old. */
   isStale(): boolean {
     const { keeper, getBehindMs, nowMs } = this._structure;
-    const isTold = this._getHolders().length > 0 && nowMs() - this._toldSinceMs >= askWhenToldMs;
-    return isTold || getBehindMs() > askWhenBehindMs || keeper.getProofAgeMs() > askWhenProofOlderMs;
+    const isAnnounced =
+      this._getNewerPeers().length > 0 && nowMs() - this._announcedSinceMs >= requestAfterAnnouncementMs;
+    return isAnnounced || getBehindMs() > requestWhenBehindMs || keeper.getProofAgeMs() > staleAfterMs;
   }
 
   /**
-   * Asks peers if this instance is stale: those that are known to have something newer, and some others.
-   * @param others - Peers picked by chance.
+   * Requests the configuration if this instance is stale, from peers that are known to have a newer version and from some others.
+   * @param others - Randomly sampled peers.
    */
-  async askIfStale(others: readonly string[]): Promise<void> {
+  async requestIfStale(others: readonly string[]): Promise<void> {
     if (!this.isStale()) {
-      this._patienceMs = firstPatienceMs;
+      this._wholeTimeoutMs = firstWholeTimeoutMs;
       return;
     }
-    const holders = utils.pickSome(this._getHolders(), holdersAsked, this._structure.random);
-    for (const name of holders) {
-      if (this._versions.has(name)) await this.ask(name);
+    const newerPeers = utils.pickSome(this._getNewerPeers(), newerPeersPerRound, this._structure.random);
+    for (const name of newerPeers) {
+      if (this._peerVersions.has(name)) await this.requestFrom(name);
     }
-    await Promise.all(others.map((name) => this.ask(name)));
+    await Promise.all(others.map((name) => this.requestFrom(name)));
   }
 
-  /** Asks a peer for its version, its proof and what changed, and for a whole configuration if that is due and none is expected. */
-  async ask(name: string): Promise<void> {
+  /** Requests a peer's version, freshness and delta, and a whole configuration if one is due and none is expected. */
+  async requestFrom(name: string): Promise<void> {
     const { membership, keeper, log, nowMs } = this._structure;
-    const askedAtMs = nowMs();
+    const requestedAtMs = nowMs();
     const wantsWhole = this._wantsWhole();
-    if (wantsWhole) this._expectedUntilMs = askedAtMs + answerTimeoutMs;
-    const question = { version: keeper.version, wantsWhole };
-    const reply = await membership.request(name, peerTopics.configuration, question, answerTimeoutMs);
-    const answer = reply.ok ? configurationAnswerSchema.safeParse(reply.val).data : undefined;
-    const tookMs = Math.round(nowMs() - askedAtMs);
-    log.info("configuration-asked", { peer: name, ...question, answered: answer?.version, tookMs });
-    if (wantsWhole) this._expectWhole(answer?.isWholeComing === true);
-    if (answer === undefined) this._versions.delete(name);
-    else this._takeAnswer(name, answer, askedAtMs);
+    if (wantsWhole) this._wholeExpectedUntilMs = requestedAtMs + responseTimeoutMs;
+    const request = { version: keeper.version, wantsWhole };
+    const reply = await membership.request(name, peerTopics.configuration, request, responseTimeoutMs);
+    const response = reply.ok ? configurationResponseSchema.safeParse(reply.val).data : undefined;
+    const tookMs = Math.round(nowMs() - requestedAtMs);
+    log.info("configuration-asked", { peer: name, ...request, answered: response?.version, tookMs });
+    if (wantsWhole) this._expectWhole(response?.isWholeComing === true);
+    if (response === undefined) this._peerVersions.delete(name);
+    else this._acceptResponse(name, response, requestedAtMs);
   }
 
-  /** Linked peers that are known to have something newer. Others could not send it: a question is passed on, a message is not. */
-  private _getHolders(): string[] {
+  /**
+   * Returns the linked peers that are known to have a newer version. A peer without a direct link could not send a whole configuration,
+   * since requests are relayed and notices are not.
+   */
+  private _getNewerPeers(): string[] {
     const { keeper, membership } = this._structure;
-    for (const [name, told] of this._versions) if (told <= keeper.version) this._versions.delete(name);
-    if (this._versions.size === 0) return [];
+    for (const [name, version] of this._peerVersions)
+      if (version <= keeper.version) this._peerVersions.delete(name);
+    if (this._peerVersions.size === 0) return [];
     const linked = membership.getLinked().map((member) => member.name);
-    return linked.filter((name) => this._versions.has(name));
+    return linked.filter((name) => this._peerVersions.has(name));
   }
 
-  private _noteTold(name: string, version: number): void {
+  private _recordVersion(name: string, version: number): void {
     if (version <= this._structure.keeper.version) return;
-    if (this._getHolders().length === 0) this._toldSinceMs = this._structure.nowMs();
-    this._versions.set(name, version);
+    if (this._getNewerPeers().length === 0) this._announcedSinceMs = this._structure.nowMs();
+    this._peerVersions.set(name, version);
   }
 
   private _wantsWhole(): boolean {
-    return !this._isStarting() && this.isStale() && this._structure.nowMs() >= this._expectedUntilMs;
+    return !this._isStarting() && this.isStale() && this._structure.nowMs() >= this._wholeExpectedUntilMs;
   }
 
   private _isStarting(): boolean {
     const { keeper, nowMs } = this._structure;
-    return keeper.table === undefined && nowMs() - this._startedAtMs < wholeAfterStartMs;
+    return keeper.table === undefined && nowMs() - this._startedAtMs < startupGraceMs;
   }
 
-  private _takeAnswer(name: string, answer: ConfigurationAnswer, askedAtMs: number): void {
+  private _acceptResponse(name: string, response: ConfigurationResponse, requestedAtMs: number): void {
     const { keeper, history } = this._structure;
-    const { version, proofAgeMs, delta } = answer;
+    const { version, proofAgeMs, delta } = response;
     if (delta !== undefined && history.newest?.version === delta.baseVersion) {
-      this._accept(applyDelta(history.newest, delta), answer.nextOffset);
+      this._accept(applyDelta(history.newest, delta), response.nextOffset);
     }
-    this._noteTold(name, version);
-    // The peer's proof is as old as it says, counted from before we asked. It may be for a configuration that comes next.
-    this._proof = { version, atMs: askedAtMs - proofAgeMs };
-    keeper.confirm(version, this._proof.atMs);
+    this._recordVersion(name, version);
+    // The peer's freshness has the reported age at the time of the request. It may belong to a whole configuration that arrives next.
+    this._peerFreshness = { version, atMs: requestedAtMs - proofAgeMs };
+    keeper.confirm(version, this._peerFreshness.atMs);
   }
 
   private _expectWhole(isComing: boolean): void {
     if (!isComing) {
-      this._expectedUntilMs = Number.NEGATIVE_INFINITY;
+      this._wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
       return;
     }
-    this._expectedUntilMs = this._structure.nowMs() + this._patienceMs;
-    this._patienceMs = Math.min(longestPatienceMs, 2 * this._patienceMs);
+    this._wholeExpectedUntilMs = this._structure.nowMs() + this._wholeTimeoutMs;
+    this._wholeTimeoutMs = Math.min(maxWholeTimeoutMs, 2 * this._wholeTimeoutMs);
   }
 
-  private _answer(body: unknown, from: PeerIdentity): unknown {
-    const question = configurationQuestionSchema.safeParse(body);
+  private _respond(body: unknown, from: PeerIdentity): unknown {
+    const request = configurationRequestSchema.safeParse(body);
     const { keeper, history, getOffset } = this._structure;
     const { newest } = history;
-    if (!question.success || newest === undefined) return undefined;
-    const { version, wantsWhole } = question.data;
+    if (!request.success || newest === undefined) return undefined;
+    const { version, wantsWhole } = request.data;
     const proofAgeMs = getFiniteAgeMs(keeper.getProofAgeMs());
-    const answer = { version: newest.version, proofAgeMs, nextOffset: getOffset(), isWholeComing: false };
-    if (version >= newest.version) return answer;
+    const response = { version: newest.version, proofAgeMs, nextOffset: getOffset(), isWholeComing: false };
+    if (version >= newest.version) return response;
     const delta = history.getDeltaFrom(version);
-    if (delta !== undefined) return { ...answer, delta };
-    return { ...answer, isWholeComing: wantsWhole && this._sendWhole(from, newest) };
+    if (delta !== undefined) return { ...response, delta };
+    return { ...response, isWholeComing: wantsWhole && this._sendWhole(from, newest) };
   }
 
-  /** Sends a whole configuration, unless one is on its way already; tells whether it did. */
+  /** Sends a whole configuration unless this instance sent one a moment ago, and returns whether it did. */
   private _sendWhole(to: PeerIdentity, configuration: GatewayConfiguration): boolean {
     const { membership, getOffset, nowMs, pause, log } = this._structure;
     if (nowMs() - this._wholeSentAtMs < wholeIntervalMs) return false;
     this._wholeSentAtMs = nowMs();
     const body = { configuration, nextOffset: getOffset() };
     log.info("configuration-sent", { peer: to.name, version: configuration.version });
-    // Messages of a link come in their order, and the answer must not stand behind this one.
+    // A link delivers its messages in order, so the response has to be sent before the large notice.
     void pause(0).then(() => {
       membership.notifyAll(peerTopics.wholeConfiguration, body, (member) => member.name === to.name);
     });
     return true;
   }
 
-  /** Versions never go back, so that it doesn't matter when it was asked for. */
-  private _takeWhole(body: unknown, from: PeerIdentity): void {
+  /** Accepts a whole configuration whenever it arrives; a late one does no harm, since versions never decrease. */
+  private _acceptWhole(body: unknown, from: PeerIdentity): void {
     const whole = wholeConfigurationSchema.safeParse(body);
     if (!whole.success) {
       return notePeerMessageInvalid(this._structure.log, peerTopics.wholeConfiguration, from);
     }
-    this._expectedUntilMs = Number.NEGATIVE_INFINITY;
-    this._patienceMs = firstPatienceMs;
+    this._wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
+    this._wholeTimeoutMs = firstWholeTimeoutMs;
     this._accept(whole.data.configuration, whole.data.nextOffset);
   }
 
-  /** Others of the zone are told, since they are likely to lack it too: nobody reads the store for them. */
+  /**
+   * Puts a newer configuration into force and announces it to the zone. The other instances of the zone probably lack it too, since the
+   * reader of the zone does not reach the store.
+   */
   private _accept(configuration: GatewayConfiguration, nextOffset: number | undefined): void {
     const { keeper, takeAhead, tellZone } = this._structure;
     if (configuration.version <= keeper.version) return;
     if (nextOffset !== undefined) takeAhead(nextOffset);
     keeper.accept(configuration, "peer");
-    keeper.confirm(this._proof.version, this._proof.atMs);
+    keeper.confirm(this._peerFreshness.version, this._peerFreshness.atMs);
     tellZone(configuration.version);
   }
 }
--- a/packages/gateway/src/peers/GatewayPeers.ts
+++ b/packages/gateway/src/peers/GatewayPeers.ts
@@ -1,4 +1,3 @@
-/** The peers' side of an instance: its links to the others, and all that goes over them. */
 import { Membership } from "@shedtiller/membership";
 import { Timeline } from "@shedtiller/timeline";
 import { ConfigurationHistory } from "../configuration/ConfigurationHistory.js";
@@ -23,10 +22,13 @@
 import { ConfigurationChanges, WholeChanges } from "./RelayedChanges.js";
 import { StoreRelay } from "./StoreRelay.js";
 
-/** Peers that have told no load for this long are not there, or have none: load that stays as it is is told each 0.6 s. */
-const longestAssumptionMs = 2_000;
+/**
+ * Time after which this instance stops assuming a load for peers. Peers send their load at least every 0.6 s, so a peer that has sent none
+ * until then is absent or has no load.
+ */
+const maxAssumptionMs = 2_000;
 
-/** What the peers' side is made of. */
+/** Dependencies of {@link GatewayPeers}. */
 export interface GatewayPeersStructure {
   readonly settings: Pick<GatewaySettings, "instance" | "peers">;
   readonly registry: PeerRegistry;
@@ -38,19 +40,19 @@
   readonly statements: EndpointStatements;
   readonly demand: RequestDemand;
   readonly log: DecisionLog;
-  /** Told the number of instances known, this one included. */
+  /** Receives the number of known instances, including this one. */
   readonly onSize: (size: number) => void;
 }
 
-/** Wires the parts that talk to peers. */
+/** Creates and runs the components of an instance that communicate with its peers. */
 export class GatewayPeers {
   readonly membership: Membership;
   readonly exchange: PeerExchange;
   readonly loads: LoadExchange;
   readonly relay: StoreRelay;
   readonly permits: PermitExchange;
-  readonly limitNews: LimitNews;
-  readonly leavingNews: LeavingNews;
+  readonly limitBroadcast: LimitNews;
+  readonly drainingBroadcast: LeavingNews;
   private readonly _directory: PeerDirectory;
   private readonly _history: ConfigurationHistory;
   private _assumptionTimer: NodeJS.Timeout | undefined;
@@ -63,22 +65,22 @@
     this.exchange = this._createExchange();
     this.loads = new LoadExchange({ membership: this.membership, endpoints, log });
     this.relay = this._createRelay();
-    this.limitNews = new LimitNews({ ..._structure, membership: this.membership });
-    this.leavingNews = new LeavingNews({ ..._structure, membership: this.membership });
+    this.limitBroadcast = new LimitNews({ ..._structure, membership: this.membership });
+    this.drainingBroadcast = new LeavingNews({ ..._structure, membership: this.membership });
     this.permits = this._createPermits();
   }
 
-  /** Names of all instances that are known, this one included. */
+  /** Returns the names of all known instances, including this one. */
   getInstanceNames(): string[] {
     return this._directory.getInstances().map((instance) => instance.name);
   }
 
-  /** Number of instances, this one included; undefined until the registry or a peer has told it. */
+  /** Returns the number of instances, including this one, or undefined until the registry or a peer has reported it. */
   getInstanceCount(): number | undefined {
     return this._directory.getCount();
   }
 
-  /** Starts all tasks, which end once `signal` aborts. */
+  /** Starts all tasks and returns their promises. The tasks end once `signal` aborts. */
   start(signal: AbortSignal): Promise<void>[] {
     return [
       this._directory.run(signal),
@@ -111,19 +113,22 @@
       log,
       isReader: () => this.relay.isReader,
       onSize: (size) => {
-        this._assumePeers();
+        this._assumePeerLoads();
         onSize(size);
       },
     });
   }
 
-  /** The instances of this zone begin their requests at the same engines as this one. */
-  private _assumePeers(): void {
+  /**
+   * Assumes load of the other instances of this zone until they have sent theirs, since they send their requests to the same engines as
+   * this one.
+   */
+  private _assumePeerLoads(): void {
     const zone = this.membership.self.availabilityZone;
     const others = this.membership.getMembers().filter((member) => member.availabilityZone === zone);
     const { endpoints } = this._structure;
     endpoints.assumePeers(others.length);
-    this._assumptionTimer ??= setTimeout(() => endpoints.endAssumption(), longestAssumptionMs).unref();
+    this._assumptionTimer ??= setTimeout(() => endpoints.endAssumption(), maxAssumptionMs).unref();
   }
 
   private _createExchange(): PeerExchange {
@@ -142,7 +147,7 @@
       takeList: (list, nextOffset, provenAtMs) => endpointWatch.takeList(list, nextOffset, provenAtMs),
       isRegistryReached: () => this._directory.isReached,
       getInstances: () => this._directory.getInstances(),
-      takeInstances: (instances) => this._directory.take(instances),
+      takeInstances: (instances) => this._directory.addInstances(instances),
     });
   }
 
--- a/packages/gateway/src/peers/LimitNews.ts
+++ b/packages/gateway/src/peers/LimitNews.ts
@@ -1,4 +1,3 @@
-/** How a limit that one instance read in an answer comes to all others, also to those that have not asked the endpoint yet. */
 import { utils } from "@shedtiller/common";
 import { NewsExchange, type NewsExchangeStructure } from "@shedtiller/membership";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -8,7 +7,7 @@
 import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
 import { limitsSchema, peerTopics, type ToldLimit } from "./peerMessages.js";
 
-/** What the news works with. */
+/** Dependencies of {@link LimitBroadcast}. */
 export interface LimitNewsStructure extends Pick<
   NewsExchangeStructure<ToldLimit[]>,
   "membership" | "random"
@@ -20,49 +19,52 @@
   readonly nowMs?: (() => number) | undefined;
 }
 
-/** One an instance. */
+/**
+ * Broadcasts the rate limits that endpoints name in their responses to all instances, including those that have not sent a request to the
+ * endpoint yet.
+ */
 export class LimitNews {
   private readonly _nowMs: () => number;
-  private readonly _news: NewsExchange<ToldLimit[]>;
+  private readonly _broadcast: NewsExchange<ToldLimit[]>;
 
   constructor(private readonly _structure: LimitNewsStructure) {
     const { membership, random, endpoints, limits, log } = _structure;
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
-    this._news = new NewsExchange({
+    this._broadcast = new NewsExchange({
       membership,
       random,
       topic: peerTopics.limits,
       schema: limitsSchema,
       onInvalid: (topic, from) => notePeerMessageInvalid(log, topic, from),
-      take: (told) => this._take(told),
-      tellAll: () => this._describe(endpoints.getAll()),
+      take: (messages) => this._accept(messages),
+      tellAll: () => this._toMessages(endpoints.getAll()),
     });
     limits.onLearnt((endpoint) => {
-      const news = this._describe([endpoint]);
-      if (news !== undefined) this._news.tell(news);
+      const messages = this._toMessages([endpoint]);
+      if (messages !== undefined) this._broadcast.tell(messages);
     });
   }
 
-  private _take(told: readonly ToldLimit[]): ToldLimit[] | undefined {
-    return this._describe(told.flatMap((limit) => this._takeOne(limit) ?? []));
+  private _accept(messages: readonly ToldLimit[]): ToldLimit[] | undefined {
+    return this._toMessages(messages.flatMap((message) => this._acceptOne(message) ?? []));
   }
 
-  /** Gives the endpoint where the word was news. */
-  private _takeOne({ lifeId, perSecond, ageMs }: ToldLimit): Endpoint | undefined {
+  /** Accepts a limit, and returns its endpoint if it replaces the known limit. */
+  private _acceptOne({ lifeId, perSecond, ageMs }: ToldLimit): Endpoint | undefined {
     const endpoint = this._structure.endpoints.getLife(lifeId);
     if (endpoint === undefined) return undefined;
-    const word = { perSecond: perSecond ?? undefined, atMs: this._nowMs() - ageMs };
-    return this._structure.limits.takeTold(endpoint, word) ? endpoint : undefined;
+    const limit = { perSecond: perSecond ?? undefined, atMs: this._nowMs() - ageMs };
+    return this._structure.limits.takeTold(endpoint, limit) ? endpoint : undefined;
   }
 
-  /** The limits of endpoints as they are told; undefined where none of them has named one. */
-  private _describe(endpoints: readonly Endpoint[]): ToldLimit[] | undefined {
+  /** Returns the limits of endpoints in wire format, or undefined if no endpoint has named one. */
+  private _toMessages(endpoints: readonly Endpoint[]): ToldLimit[] | undefined {
     const nowMs = this._nowMs();
-    const told = endpoints.flatMap(({ lifeId, limit }): ToldLimit[] =>
+    const messages = endpoints.flatMap(({ lifeId, limit }): ToldLimit[] =>
       limit === undefined
         ? []
         : [{ lifeId, perSecond: limit.perSecond ?? null, ageMs: Math.max(0, nowMs - limit.atMs) }],
     );
-    return told.length === 0 ? undefined : told;
+    return messages.length === 0 ? undefined : messages;
   }
 }
--- a/packages/gateway/src/peers/LoadExchange.ts
+++ b/packages/gateway/src/peers/LoadExchange.ts
@@ -1,7 +1,3 @@
-/**
- * How instances learn each other's load on endpoints. The instances of a zone tell one among them, the collector, which tells
- * each of them the sum of the others. Messages grow with the number of instances, not with its square.
- */
 import { utils } from "@shedtiller/common";
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
@@ -9,21 +5,21 @@
 import { addUp, subtract, toLoads, toMessage, type Loads } from "./endpointLoads.js";
 import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
 import { loadSchema, peerTopics, zoneLoadSchema } from "./peerMessages.js";
-import { ZoneDuty } from "./ZoneDuty.js";
+import { ZoneRole } from "./ZoneRole.js";
 
-/** Load is told this often where it changed; a stream lives for seconds. */
-const tellIntervalMs = 200;
-/** Load that stays as it is is told again after this, so that a new collector learns it. */
+/** Interval at which changed load is sent. It is short enough because streams last for seconds. */
+const sendIntervalMs = 200;
+/** Unchanged load is sent again after this, so that a new collector receives it. */
 const repeatIntervalMs = 600;
-/** A source that has not told for this long no longer counts: two repeats may be lost. */
-const forgetAfterMs = 1_800;
-/** The sum that a collector told, among the sources of load. */
+/** The load of a source that has sent nothing for this long is dropped; two repeats may be lost before. */
+const sourceTimeoutMs = 1_800;
+/** Key of the sum that this instance receives from its collector, among the sources of load. */
 const collectedSource = "collected";
-/** The collector of another zone counts as reached for this long after it told. */
-const reachedMs = 1_000;
-const dutyName = "load-collector";
+/** The collector of another zone counts as reachable for this long after its last message. */
+const reachableMs = 1_000;
+const roleName = "load-collector";
 
-/** What an exchange works with. */
+/** Dependencies of {@link LoadExchange}. */
 export interface LoadExchangeStructure {
   readonly membership: Pick<Membership, "self" | "getDutyCandidates" | "notifyAll" | "onNotice">;
   readonly endpoints: EndpointTable;
@@ -32,68 +28,71 @@
   readonly nowMs?: () => number;
 }
 
-/** An instance or a zone that told its load. */
+/** The load that an instance or a zone has sent. */
 interface Source {
   readonly loads: Loads;
-  readonly heardAtMs: number;
-  /** Since when it has told without a long silence. */
+  readonly receivedAtMs: number;
+  /** Time since which the instance has sent this load without a long silence. */
   readonly sinceMs: number;
-  /** The instance that told it. */
+  /** Name of the instance that sent the load. */
   readonly name: string;
 }
 
-/** One exchange an instance. */
+/**
+ * Exchanges the load on endpoints between instances. The instances of a zone send their load to one of them, the collector, which sends
+ * each of them the sum of all others. The number of messages grows linearly with the number of instances, not with its square.
+ */
 export class LoadExchange {
-  /** What members of this zone told, while this instance collects. */
+  /** Loads of the members of this zone, received while this instance is the collector. */
   private readonly _members = new Map<string, Source>();
-  /** What the collectors of other zones told. */
+  /** Loads of other zones, received from their collectors. */
   private readonly _otherZones = new Map<string, Source>();
   private readonly _nowMs: () => number;
-  private readonly _duty: ZoneDuty;
-  /** Since when this instance has its own zone's duty. */
-  private _collectsSinceMs: number;
-  private _toldText = "";
-  private _toldAtMs = Number.NEGATIVE_INFINITY;
+  private readonly _role: ZoneRole;
+  /** Time since which the collector of this zone is the same, as this instance sees it. */
+  private _collectorSinceMs: number;
+  private _sentText = "";
+  private _sentAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly _structure: LoadExchangeStructure) {
     const { membership, log, nowMs } = _structure;
     this._nowMs = nowMs ?? utils.monotonicMs;
-    this._collectsSinceMs = this._nowMs();
-    this._duty = new ZoneDuty({ name: dutyName, membership, log, nowMs });
-    membership.onNotice(peerTopics.load, (body, from) => this._takeMemberLoad(body, from));
-    membership.onNotice(peerTopics.collectedLoad, (body, from) => this._takeCollected(body, from));
-    membership.onNotice(peerTopics.zoneLoad, (body, from) => this._takeZoneLoad(body, from));
+    this._collectorSinceMs = this._nowMs();
+    this._role = new ZoneRole({ name: roleName, membership, log, nowMs });
+    membership.onNotice(peerTopics.load, (body, from) => this._acceptMemberLoad(body, from));
+    membership.onNotice(peerTopics.collectedLoad, (body, from) => this._acceptCollected(body, from));
+    membership.onNotice(peerTopics.zoneLoad, (body, from) => this._acceptZoneLoad(body, from));
   }
 
-  /** Whether this instance collects the load of its zone now. Two may both think so for a moment. */
+  /** Whether this instance is the collector of its zone now. For a moment, two instances may be the collector. */
   get isCollector(): boolean {
-    return this._duty.isOwn;
+    return this._role.isOwn;
   }
 
-  /** Name of the instance that collects for this zone. */
+  /** Name of the collector of this zone. */
   get collector(): string {
-    return this._duty.holder;
+    return this._role.holder;
   }
 
-  /** The collectors of other zones that are heard now, by zone. */
+  /** Returns the reachable collectors of other zones, by zone. */
   getCollectors(): Map<string, string> {
-    const oldestMs = this._nowMs() - reachedMs;
-    const heard = [...this._otherZones].filter(([, { heardAtMs }]) => heardAtMs >= oldestMs);
-    return new Map(heard.map(([zone, { name }]) => [zone, name]));
+    const oldestMs = this._nowMs() - reachableMs;
+    const reachable = [...this._otherZones].filter(([, { receivedAtMs }]) => receivedAtMs >= oldestMs);
+    return new Map(reachable.map(([zone, { name }]) => [zone, name]));
   }
 
-  /** Since when an instance tells this one; undefined where it does not. */
+  /** Returns the time since which an instance has been sending its load to this one, or undefined if it does not. */
   getKnownSinceMs(name: string): number | undefined {
-    if (name === this._structure.membership.self.name) return this._collectsSinceMs;
+    if (name === this._structure.membership.self.name) return this._collectorSinceMs;
     const zone = [...this._otherZones.values()].find((source) => source.name === name);
     return (this._members.get(name) ?? zone)?.sinceMs;
   }
 
-  /** Tells from time to time until `signal` aborts. */
+  /** Sends loads periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const pauses = new utils.PauseWatch(tellIntervalMs, this._nowMs);
+    const pauses = new utils.PauseWatch(sendIntervalMs, this._nowMs);
     await utils.repeat(
-      tellIntervalMs,
+      sendIntervalMs,
       signal,
       () => {
         this.noteOwnPause(pauses.noteTick());
@@ -105,98 +104,98 @@
     );
   }
 
-  /** Takes note that this instance stood still: nobody is forgotten for what could not be heard. */
+  /** Records that this instance was suspended, so that no source is dropped for messages that could not be received. */
   noteOwnPause(pauseMs: number): void {
     if (pauseMs === 0) return;
-    this._duty.noteOwnPause(pauseMs);
+    this._role.noteOwnPause(pauseMs);
     for (const sources of [this._members, this._otherZones]) {
       for (const [key, source] of sources)
-        sources.set(key, { ...source, heardAtMs: source.heardAtMs + pauseMs });
+        sources.set(key, { ...source, receivedAtMs: source.receivedAtMs + pauseMs });
     }
   }
 
-  /** Tells what is due now. */
+  /** Elects the collector, drops silent sources, and sends the loads that are due. */
   tell(): void {
-    this._pickCollector();
-    this._forgetSilent();
-    if (this.isCollector) this._tellSums();
-    else this._tellOwn();
+    this._electCollector();
+    this._dropSilent();
+    if (this.isCollector) this._sendSums();
+    else this._sendOwn();
   }
 
-  private _pickCollector(): void {
-    // A collector that stood still for a while finds that the others have passed it over: nobody tells it anything.
-    if (this.isCollector && (this._duty.isAlone || this._members.size > 0)) this._duty.noteSign();
-    if (!this._duty.update()) return;
-    this._toldText = "";
-    this._collectsSinceMs = this._nowMs();
+  private _electCollector(): void {
+    // A collector that was suspended for a while finds out that the others have replaced it: it no longer receives any load.
+    if (this.isCollector && (this._role.isAlone || this._members.size > 0)) this._role.noteActivity();
+    if (!this._role.update()) return;
+    this._sentText = "";
+    this._collectorSinceMs = this._nowMs();
   }
 
-  /** Drops sources that fell silent; what a collector told goes once this instance collects by itself. */
-  private _forgetSilent(): void {
-    const oldestMs = this._nowMs() - forgetAfterMs;
+  /** Drops silent sources, and the sum of the previous collector once this instance is the collector. */
+  private _dropSilent(): void {
+    const oldestMs = this._nowMs() - sourceTimeoutMs;
     for (const sources of [this._members, this._otherZones]) {
-      for (const [name, { heardAtMs }] of sources) if (heardAtMs < oldestMs) sources.delete(name);
+      for (const [name, { receivedAtMs }] of sources) if (receivedAtMs < oldestMs) sources.delete(name);
     }
     const kept = this.isCollector ? [...this._members.keys(), ...this._otherZones.keys()] : [collectedSource];
     this._structure.endpoints.keepPeerLoads(new Set(kept));
   }
 
-  private _tellOwn(): void {
+  private _sendOwn(): void {
     const nowMs = this._nowMs();
     const message = toMessage(this._getOwn());
     const text = JSON.stringify(message);
-    if (text === this._toldText && nowMs - this._toldAtMs < repeatIntervalMs) return;
-    this._toldText = text;
-    this._toldAtMs = nowMs;
-    this._notify(this._duty.holder, peerTopics.load, message);
+    if (text === this._sentText && nowMs - this._sentAtMs < repeatIntervalMs) return;
+    this._sentText = text;
+    this._sentAtMs = nowMs;
+    this._notify(this._role.holder, peerTopics.load, message);
   }
 
-  private _tellSums(): void {
+  private _sendSums(): void {
     const zoneLoad = addUp([this._getOwn(), ...getLoads(this._members)]);
     const all = addUp([zoneLoad, ...getLoads(this._otherZones)]);
     for (const [name, source] of this._members) {
       this._notify(name, peerTopics.collectedLoad, toMessage(subtract(all, source.loads)));
     }
-    this._tellOtherZones(zoneLoad);
+    this._sendToOtherZones(zoneLoad);
   }
 
-  private _tellOtherZones(zoneLoad: Loads): void {
+  private _sendToOtherZones(zoneLoad: Loads): void {
     const { membership } = this._structure;
     const { availabilityZone, name } = membership.self;
     const body = { availabilityZone, load: toMessage(zoneLoad), collector: name };
     membership.notifyAll(peerTopics.zoneLoad, body, (member) => member.availabilityZone !== availabilityZone);
   }
 
-  private _takeMemberLoad(body: unknown, from: PeerIdentity): void {
+  private _acceptMemberLoad(body: unknown, from: PeerIdentity): void {
     const load = loadSchema.safeParse(body);
     if (!load.success) return notePeerMessageInvalid(this._structure.log, peerTopics.load, from);
-    this._take(this._members, from.name, toLoads(load.data), from.name);
+    this._setSource(this._members, from.name, toLoads(load.data), from.name);
   }
 
-  private _takeCollected(body: unknown, from: PeerIdentity): void {
+  private _acceptCollected(body: unknown, from: PeerIdentity): void {
     const load = loadSchema.safeParse(body);
     if (!load.success) return notePeerMessageInvalid(this._structure.log, peerTopics.collectedLoad, from);
-    if (from.name !== this._duty.holder) return;
-    this._duty.noteSign();
+    if (from.name !== this._role.holder) return;
+    this._role.noteActivity();
     this._structure.endpoints.setPeerLoads(collectedSource, toLoads(load.data));
   }
 
-  /** Another zone's load comes to the instances that its collector is linked to; they pass it on to their own. */
-  private _takeZoneLoad(body: unknown, from: PeerIdentity): void {
-    const told = zoneLoadSchema.safeParse(body);
-    if (!told.success) return notePeerMessageInvalid(this._structure.log, peerTopics.zoneLoad, from);
-    const { availabilityZone, load, collector = from.name } = told.data;
+  /** Accepts another zone's load. Its collector sends it to all instances that it is linked to, which forward it to their own collector. */
+  private _acceptZoneLoad(body: unknown, from: PeerIdentity): void {
+    const message = zoneLoadSchema.safeParse(body);
+    if (!message.success) return notePeerMessageInvalid(this._structure.log, peerTopics.zoneLoad, from);
+    const { availabilityZone, load, collector = from.name } = message.data;
     if (availabilityZone === this._structure.membership.self.availabilityZone) return;
-    if (this.isCollector) this._take(this._otherZones, availabilityZone, toLoads(load), collector);
+    if (this.isCollector) this._setSource(this._otherZones, availabilityZone, toLoads(load), collector);
     else if (from.availabilityZone === availabilityZone)
-      this._notify(this._duty.holder, peerTopics.zoneLoad, told.data);
+      this._notify(this._role.holder, peerTopics.zoneLoad, message.data);
   }
 
-  private _take(sources: Map<string, Source>, key: string, loads: Loads, name: string): void {
-    const heardAtMs = this._nowMs();
+  private _setSource(sources: Map<string, Source>, key: string, loads: Loads, name: string): void {
+    const receivedAtMs = this._nowMs();
     const known = sources.get(key);
-    const sinceMs = known?.name === name ? known.sinceMs : heardAtMs;
-    sources.set(key, { loads, heardAtMs, sinceMs, name });
+    const sinceMs = known?.name === name ? known.sinceMs : receivedAtMs;
+    sources.set(key, { loads, receivedAtMs, sinceMs, name });
     if (this.isCollector) this._structure.endpoints.setPeerLoads(key, loads);
   }
 
--- a/packages/gateway/src/peers/PeerDirectory.ts
+++ b/packages/gateway/src/peers/PeerDirectory.ts
@@ -1,29 +1,28 @@
-/** Finds the other instances: by the registry in the store, and by what peers know. */
 import { utils } from "@shedtiller/common";
 import type { Membership } from "@shedtiller/membership";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { PeerRegistry, RegisteredInstance } from "./PeerRegistry.js";
 
-/** While no peer is linked the registry is read this often; it costs one call to the store. */
-const lonelyIntervalMs = 1_000;
-/** Otherwise newcomers make themselves known by dialling, and the registry is read only now and then by one instance of each zone. */
+/** Interval between reads of the registry while no peer is linked. A read is one call to the store. */
+const unlinkedIntervalMs = 1_000;
+/** Interval for the reader of a zone that has linked peers. New instances connect by themselves, so frequent reads are not needed. */
 const readerIntervalMs = 15_000;
-/** The others need only the addresses of newcomers, for links that break, and the number of instances. */
-const companyIntervalMs = 60_000;
+/** Interval for the other instances, which need the registry only for new addresses when a link breaks, and for the number of instances. */
+const memberIntervalMs = 60_000;
 
-/** What a directory works with. */
+/** Dependencies of {@link PeerDirectory}. */
 export interface PeerDirectoryStructure {
   readonly self: RegisteredInstance;
   readonly membership: Membership;
   readonly registry: PeerRegistry;
   readonly log: DecisionLog;
-  /** Whether this instance reads the store for its zone. */
+  /** Returns whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
-  /** Told the number of instances known, this one included. */
+  /** Receives the number of known instances, including this one. */
   readonly onSize: (size: number) => void;
 }
 
-/** One directory an instance. A newer address of a name replaces the older one. */
+/** Discovers the other instances through the registry in the store and through peers. A newer address of a name replaces an older one. */
 export class PeerDirectory {
   private readonly _instances = new Map<string, RegisteredInstance>();
   private _isRegistered = false;
@@ -34,22 +33,23 @@
     this._instances.set(_structure.self.name, _structure.self);
   }
 
-  /** Whether the last read of the registry gave an answer. */
+  /** Whether the last read of the registry succeeded. */
   get isReached(): boolean {
     return this._isReached;
   }
 
+  /** Returns all known instances, including this one. */
   getInstances(): RegisteredInstance[] {
     return [...this._instances.values()];
   }
 
-  /** Number of instances, this one included; undefined until the registry or a peer has told it. */
+  /** Returns the number of instances, including this one, or undefined until the registry or a peer has reported it. */
   getCount(): number | undefined {
     return this._isKnown ? this._instances.size : undefined;
   }
 
-  /** Takes instances that the registry or a peer knows. */
-  take(instances: readonly RegisteredInstance[]): void {
+  /** Adds instances that the registry or a peer has reported. */
+  addInstances(instances: readonly RegisteredInstance[]): void {
     for (const instance of instances) {
       if (instance.name !== this._structure.self.name) this._instances.set(instance.name, instance);
     }
@@ -63,19 +63,20 @@
     this._structure.onSize(this._instances.size);
   }
 
+  /** Registers this instance and reads the registry periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       if (!this._isRegistered) await this._register();
       await this._read();
-      await utils.sleep(this._getPauseMs(), signal).catch(() => undefined);
+      await utils.sleep(this._getIntervalMs(), signal).catch(() => undefined);
     }
   }
 
-  private _getPauseMs(): number {
+  private _getIntervalMs(): number {
     const { membership, isReader } = this._structure;
     const hasPeers = membership.getLinked().length > 0;
-    if (!this._isRegistered || !this._isReached || !hasPeers) return lonelyIntervalMs;
-    return isReader() ? readerIntervalMs : companyIntervalMs;
+    if (!this._isRegistered || !this._isReached || !hasPeers) return unlinkedIntervalMs;
+    return isReader() ? readerIntervalMs : memberIntervalMs;
   }
 
   private async _register(): Promise<void> {
@@ -87,7 +88,7 @@
   private async _read(): Promise<void> {
     const instances = await this._structure.registry.getInstances();
     this._isReached = instances.ok;
-    if (instances.ok) this.take(instances.val);
+    if (instances.ok) this.addInstances(instances.val);
     else this._structure.log.warn("registry-unreadable", { cause: instances.val.message });
   }
 }
--- a/packages/gateway/src/peers/PeerExchange.ts
+++ b/packages/gateway/src/peers/PeerExchange.ts
@@ -1,4 +1,3 @@
-/** What instances tell each other: evidence against endpoints, the configuration and the list of endpoints. */
 import { utils } from "@shedtiller/common";
 import type { Member, Membership, PeerIdentity } from "@shedtiller/membership";
 import type * as zod from "zod";
@@ -10,10 +9,10 @@
 import { getFiniteAgeMs } from "./getFiniteAgeMs.js";
 import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
 import {
-  endpointsAnswerSchema,
-  heldLayersSchema,
+  endpointsResponseSchema,
+  loadedLayersSchema,
   instancesSchema,
-  listQuestionSchema,
+  endpointsRequestSchema,
   peerTopics,
   restartSchema,
   slownessSchema,
@@ -22,14 +21,16 @@
 } from "./peerMessages.js";
 import type { RegisteredInstance } from "./PeerRegistry.js";
 
-/** Without a younger proof of the list of endpoints an instance asks its peers; a sound proof is up to 0.8 s old. */
-const askListAfterMs = 1_500;
-const askIntervalMs = 400;
-const askTimeoutMs = 400;
-/** Peers asked each time. */
-const peersAsked = 2;
+/**
+ * An instance requests the list of endpoints from peers once the freshness of its list is older than this. While the store responds,
+ * the age stays below 0.8 s.
+ */
+const staleListAfterMs = 1_500;
+const requestIntervalMs = 400;
+const requestTimeoutMs = 400;
+const peersPerRound = 2;
 
-/** What the exchange works with. */
+/** Dependencies of {@link PeerExchange}. */
 export interface PeerExchangeStructure extends ConfigurationState {
   readonly membership: Pick<
     Membership,
@@ -37,17 +38,17 @@
   >;
   readonly endpoints: EndpointTable;
   readonly log: DecisionLog;
-  /** How old the newest proof is that the list of endpoints is complete. */
+  /** Returns the age of the last time at which the list of endpoints was known to be complete. */
   readonly getListAgeMs: () => number;
-  /** Where the store's list goes on after what this instance has read; undefined before the first read. */
+  /** Returns the store's offset that follows what this instance has read of the list, or undefined before the first read. */
   readonly getListOffset: () => number | undefined;
-  /** Takes a list that was complete at `provenAtMs`; undefined where it is the one that this instance has. */
+  /** Accepts a list that was complete at `provenAtMs`; the list is undefined if this instance has the same one. */
   readonly takeList: (
     list: readonly ListedEndpoint[] | undefined,
     nextOffset: number,
     provenAtMs: number,
   ) => void;
-  /** Whether the last read of the registry of instances gave an answer. */
+  /** Returns whether the last read of the registry of instances succeeded. */
   readonly isRegistryReached: () => boolean;
   readonly getInstances: () => readonly RegisteredInstance[];
   readonly takeInstances: (instances: readonly RegisteredInstance[]) => void;
@@ -55,11 +56,11 @@
   readonly nowMs?: () => number;
   /** Waits, replaced in tests. */
   readonly pause?: (durationMs: number) => Promise<void>;
-  /** From 0 to 1, replaced in tests. */
+  /** Returns a random number from 0 to 1, replaced in tests. */
   readonly random?: () => number;
 }
 
-/** One exchange an instance. */
+/** Exchanges with peers the configuration, the list of endpoints, and observations of endpoints such as suspicions, restarts and slowness. */
 export class PeerExchange {
   private readonly _configurations: ConfigurationExchange;
   private readonly _nowMs: () => number;
@@ -78,18 +79,18 @@
       pause: this._pause,
       random: this._random,
     });
-    this._listenForEndpoints();
-    membership.onNotice(peerTopics.restarted, (body, from) => this._takeRestart(body, from));
-    membership.onNotice(peerTopics.newVersion, (body, from) => this._takeNewVersion(body, from));
-    membership.onRequest(peerTopics.endpoints, (body) => this._answerEndpoints(body));
+    this._subscribeToEndpointNotices();
+    membership.onNotice(peerTopics.restarted, (body, from) => this._handleRestart(body, from));
+    membership.onNotice(peerTopics.newVersion, (body, from) => this._handleNewVersion(body, from));
+    membership.onRequest(peerTopics.endpoints, (body) => this._respondEndpoints(body));
     membership.onRequest(peerTopics.instances, () => [..._structure.getInstances()]);
-    membership.onLinked((peer) => void this._greet(peer));
+    membership.onLinked((peer) => void this._requestInstances(peer));
   }
 
-  /** Asks from time to time until `signal` aborts. */
+  /** Requests stale data periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
-      askIntervalMs,
+      requestIntervalMs,
       signal,
       () => this.askIfStale(),
       (error) => {
@@ -98,37 +99,37 @@
     );
   }
 
-  /** Tells all peers of evidence against an endpoint. */
+  /** Tells all peers to suspect an endpoint. */
   tellSuspicion(endpointId: string): void {
-    this._tellOf(endpointId, peerTopics.suspect);
+    this._notifyOf(endpointId, peerTopics.suspect);
   }
 
-  /** Tells the peers of this zone that an endpoint refused for want of room: most of what it gets comes from them. */
+  /** Tells the peers of this zone that an endpoint rejected a request for lack of capacity. Most of its load comes from this zone. */
   tellFull(endpointId: string): void {
-    this._tellOf(endpointId, peerTopics.full, {}, this._isOwnZone);
+    this._notifyOf(endpointId, peerTopics.full, {}, this._isOwnZone);
   }
 
-  /** Tells all peers how slow an engine says that it is. */
+  /** Tells all peers the slowness that an engine reports. */
   tellSlowness(endpointId: string, slowness: number): void {
-    this._tellOf(endpointId, peerTopics.slowness, { slowness });
+    this._notifyOf(endpointId, peerTopics.slowness, { slowness });
   }
 
-  /** Tells all peers that an endpoint's process has started again: the list tells it up to a heartbeat and two reads later. */
+  /** Tells all peers that an endpoint's process has restarted. The list shows it up to one heartbeat and two reads later. */
   tellRestart(endpointId: string, bornAtMs: number): void {
     this._structure.membership.notifyAll(peerTopics.restarted, { endpointId, bornAtMs });
   }
 
-  /** Tells all peers that a version has come into force here. */
+  /** Tells all peers that a version of the configuration has come into force at this instance. */
   tellVersion(version: number): void {
     this._structure.membership.notifyAll(peerTopics.newVersion, { version });
   }
 
-  /** Tells all peers which layers an engine holds, where the list has others. */
+  /** Tells all peers which layers an engine has loaded, where the list shows others. */
   tellLayers(endpointId: string, layers: readonly LayerSpan[]): void {
-    this._tellOf(endpointId, peerTopics.layers, { layers });
+    this._notifyOf(endpointId, peerTopics.layers, { layers });
   }
 
-  private _tellOf(
+  private _notifyOf(
     endpointId: string,
     topic: string,
     more: object = {},
@@ -142,95 +143,96 @@
   private readonly _isOwnZone = (member: Member): boolean =>
     member.availabilityZone === this._structure.membership.self.availabilityZone;
 
-  private _listenForEndpoints(): void {
+  private _subscribeToEndpointNotices(): void {
     const { endpoints } = this._structure;
-    this._onEndpoint(peerTopics.suspect, endpointSchema, (endpoint) => endpoints.suspect(endpoint.id));
-    this._onEndpoint(peerTopics.full, endpointSchema, (endpoint) => endpoint.noteFull(this._nowMs()));
-    this._onEndpoint(peerTopics.slowness, slownessSchema, (endpoint, { slowness }) => {
+    this._onEndpointNotice(peerTopics.suspect, endpointSchema, (endpoint) => endpoints.suspect(endpoint.id));
+    this._onEndpointNotice(peerTopics.full, endpointSchema, (endpoint) => endpoint.noteFull(this._nowMs()));
+    this._onEndpointNotice(peerTopics.slowness, slownessSchema, (endpoint, { slowness }) => {
       endpoint.slowness = slowness;
     });
-    this._onEndpoint(peerTopics.layers, heldLayersSchema, (endpoint, { layers }) =>
+    this._onEndpointNotice(peerTopics.layers, loadedLayersSchema, (endpoint, { layers }) =>
       endpoints.setLayers(endpoint, layers),
     );
   }
 
-  /** Takes what peers tell of an endpoint, if it is of the life of its process that is known here. */
-  private _onEndpoint<T extends { lifeId: string }>(
+  /** Handles notices of peers about an endpoint, and ignores those about a life of its process that this instance does not know. */
+  private _onEndpointNotice<T extends { lifeId: string }>(
     topic: string,
     schema: zod.ZodType<T>,
-    take: (endpoint: Endpoint, told: T) => void,
+    handle: (endpoint: Endpoint, message: T) => void,
   ): void {
     const { membership, endpoints, log } = this._structure;
     membership.onNotice(topic, (body, from) => {
-      const told = schema.safeParse(body);
-      if (!told.success) return notePeerMessageInvalid(log, topic, from);
-      const endpoint = endpoints.getLife(told.data.lifeId);
-      if (endpoint !== undefined) take(endpoint, told.data);
+      const message = schema.safeParse(body);
+      if (!message.success) return notePeerMessageInvalid(log, topic, from);
+      const endpoint = endpoints.getLife(message.data.lifeId);
+      if (endpoint !== undefined) handle(endpoint, message.data);
     });
   }
 
-  private _takeRestart(body: unknown, from: PeerIdentity): void {
-    const told = restartSchema.safeParse(body);
+  private _handleRestart(body: unknown, from: PeerIdentity): void {
+    const message = restartSchema.safeParse(body);
     const { endpoints, log } = this._structure;
-    if (!told.success) return notePeerMessageInvalid(log, peerTopics.restarted, from);
-    endpoints.noteStart(told.data.endpointId, told.data.bornAtMs, []);
+    if (!message.success) return notePeerMessageInvalid(log, peerTopics.restarted, from);
+    endpoints.noteStart(message.data.endpointId, message.data.bornAtMs, []);
   }
 
-  private _takeNewVersion(body: unknown, from: PeerIdentity): void {
+  private _handleNewVersion(body: unknown, from: PeerIdentity): void {
     const notice = versionSchema.safeParse(body);
     if (!notice.success) return notePeerMessageInvalid(this._structure.log, peerTopics.newVersion, from);
-    void this._configurations.takeNewVersion(from.name, notice.data.version);
+    void this._configurations.handleNewVersion(from.name, notice.data.version);
   }
 
   /**
-   * An instance that does not reach the registry learns of the others from whoever it is linked to. The others have the same list from
-   * the registry: at 195 instances it is 15 KB, and each would get it from some fifty peers at each start, twelve of them in other zones.
+   * Requests the list of instances from a newly linked peer, but only if this instance does not reach the registry. Otherwise the
+   * registry has the same list: at 195 instances it has 15 KB, and an instance that starts would get it from about fifty peers, twelve
+   * of them in other zones.
    */
-  private async _greet(peer: PeerIdentity): Promise<void> {
+  private async _requestInstances(peer: PeerIdentity): Promise<void> {
     if (this._structure.isRegistryReached()) return;
-    const instances = await this._ask(peer.name, peerTopics.instances, null, instancesSchema);
+    const instances = await this._request(peer.name, peerTopics.instances, null, instancesSchema);
     if (instances !== undefined) this._structure.takeInstances(instances);
   }
 
-  /** Asks some peers for what is stale here. */
+  /** Requests the configuration and the list of endpoints from peers if they are stale at this instance. */
   async askIfStale(): Promise<void> {
     const { membership, getListAgeMs } = this._structure;
     const linked = membership.getLinked().map((member) => member.name);
-    const asked = utils.pickSome(linked, peersAsked, this._random);
-    const isListStale = getListAgeMs() > askListAfterMs;
+    const sampled = utils.pickSome(linked, peersPerRound, this._random);
+    const isListStale = getListAgeMs() > staleListAfterMs;
     await Promise.all([
-      this._configurations.askIfStale(asked),
-      ...(isListStale ? asked.map((name) => this._askEndpoints(name)) : []),
+      this._configurations.requestIfStale(sampled),
+      ...(isListStale ? sampled.map((name) => this._requestEndpoints(name)) : []),
     ]);
   }
 
-  private _answerEndpoints(body: unknown): unknown {
+  private _respondEndpoints(body: unknown): unknown {
     const nextOffset = this._structure.getListOffset();
     if (nextOffset === undefined) return undefined;
     const proofAgeMs = getFiniteAgeMs(this._structure.getListAgeMs());
-    const question = listQuestionSchema.safeParse(body);
-    if (question.success && question.data.nextOffset === nextOffset) return { proofAgeMs, nextOffset };
+    const request = endpointsRequestSchema.safeParse(body);
+    if (request.success && request.data.nextOffset === nextOffset) return { proofAgeMs, nextOffset };
     const endpoints = this._structure.endpoints.getAll().map((endpoint) => endpoint.listed);
     return { proofAgeMs, nextOffset, endpoints };
   }
 
-  private async _askEndpoints(name: string): Promise<void> {
-    const askedAtMs = this._nowMs();
-    const question = { nextOffset: this._structure.getListOffset() };
-    const answer = await this._ask(name, peerTopics.endpoints, question, endpointsAnswerSchema);
-    if (answer === undefined) return;
-    this._structure.takeList(answer.endpoints, answer.nextOffset, askedAtMs - answer.proofAgeMs);
+  private async _requestEndpoints(name: string): Promise<void> {
+    const requestedAtMs = this._nowMs();
+    const request = { nextOffset: this._structure.getListOffset() };
+    const response = await this._request(name, peerTopics.endpoints, request, endpointsResponseSchema);
+    if (response === undefined) return;
+    this._structure.takeList(response.endpoints, response.nextOffset, requestedAtMs - response.proofAgeMs);
   }
 
-  /** Asks a peer; undefined where it does not answer, or not in the form that is due. */
-  private async _ask<T>(
+  /** Sends a request to a peer, and returns undefined if no response with a valid schema arrives in time. */
+  private async _request<T>(
     name: string,
     topic: string,
-    question: object | null,
+    body: object | null,
     schema: zod.ZodType<T>,
   ): Promise<T | undefined> {
-    const reply = await this._structure.membership.request(name, topic, question, askTimeoutMs);
-    const answer = reply.ok ? schema.safeParse(reply.val) : undefined;
-    return answer?.success === true ? answer.data : undefined;
+    const reply = await this._structure.membership.request(name, topic, body, requestTimeoutMs);
+    const response = reply.ok ? schema.safeParse(reply.val) : undefined;
+    return response?.success === true ? response.data : undefined;
   }
 }
--- a/packages/gateway/src/peers/PeerRegistry.ts
+++ b/packages/gateway/src/peers/PeerRegistry.ts
@@ -1,4 +1,3 @@
-/** Where instances find each other: each writes its address into the platform's store. */
 import type { results } from "@shedtiller/common";
 import * as zod from "zod";
 import type { StoreError } from "../discovery/ChangeFeed.js";
@@ -11,7 +10,7 @@
 });
 export type RegisteredInstance = zod.infer<typeof registeredInstanceSchema>;
 
-/** Registers this instance and lists the others. */
+/** Registers the address of this instance in the platform's store, and lists the registered instances. */
 export abstract class PeerRegistry {
   abstract register(self: RegisteredInstance): Promise<results.Result<void, StoreError>>;
   abstract getInstances(): Promise<results.Result<RegisteredInstance[], StoreError>>;
--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -1,4 +1,3 @@
-/** How an instance comes to permits for endpoints that name a limit: it asks the coordinator of its zone, or hands them out itself. */
 import { grantedPermitsSchema, permitAskSchema, PermitCoordinator } from "@shedtiller/admission";
 import type { GrantedPermits, PermitAsk, WantedPermits, ZonedLimit } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
@@ -11,44 +10,47 @@
 import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
 import { peerTopics } from "./peerMessages.js";
 
-/** Whether an endpoint names a limit is looked at this often, with the other ticks of an instance. */
-const lookIntervalMs = 200;
-/** While one does, zones ask each other this often, and so do instances at which requests wait. */
-export const permitTickMs = lookIntervalMs / 2;
-/** Other instances ask in each so manieth tick. */
-const ticksPerAsk = 2;
-/** A request that begins to wait is asked for at once, unless an ask is younger than this. */
-const askSoonerMs = 50;
-const askTimeoutMs = 400;
-/** From the ask to the end of a permit: what is not used is handed to others. */
+/** Interval of the check whether an endpoint names a limit; it coincides with the other ticks of an instance. */
+const checkIntervalMs = 200;
+/** While a limit is in force, coordinators of zones request permits at this interval, and so do instances at which requests wait. */
+export const permitTickMs = checkIntervalMs / 2;
+/** Instances without waiting requests request permits only every nth tick. */
+const ticksPerRequest = 2;
+/** A request that begins to wait triggers a permit request at once, unless the last permit request is younger than this. */
+const minRequestGapMs = 50;
+const requestTimeoutMs = 400;
+/** Time from the permit request to the expiry of a permit. Unused permits go back and are granted to others. */
 const permitLifeMs = 300;
-/** Permits are held for the requests that come until the next answer. */
-const heldForMs = 400;
-/** An instance with fewer requests than this wants no permits ahead of them. */
-const leastPerSecond = 0.05;
+/** Permits are requested ahead for the arrivals that are expected within this time, which lasts until the next response. */
+const forecastMs = 400;
+/** An instance with a lower arrival rate than this requests no permits ahead of arrivals. */
+const minArrivalsPerSecond = 0.05;
 
-/** What an exchange works with. */
+/** Dependencies of {@link PermitExchange}. */
 export interface PermitExchangeStructure {
   readonly membership: Pick<Membership, "self" | "onRequest" | "request">;
   readonly endpoints: EndpointTable;
   readonly loads: Pick<LoadExchange, "isCollector" | "collector" | "getCollectors" | "getKnownSinceMs">;
   readonly demand: RequestDemand;
   readonly log: DecisionLog;
-  /** Number of instances; undefined until it is known. */
+  /** Returns the number of instances, or undefined until it is known. */
   readonly getInstanceCount: () => number | undefined;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
-  /** From 0 to 1, replaced in tests. */
+  /** Returns a random number from 0 to 1, replaced in tests. */
   readonly random?: (() => number) | undefined;
 }
 
-/** One an instance. Nothing is sent while no endpoint names a limit. */
+/**
+ * Obtains permits for endpoints that name a rate limit, from the coordinator of the zone, or from the own coordinator if this instance has
+ * that role. Nothing is sent while no endpoint names a limit.
+ */
 export class PermitExchange {
   private readonly _coordinator: PermitCoordinator;
   private readonly _nowMs: () => number;
   private readonly _random: () => number;
   private _ticks = 0;
-  private _askedAtMs = Number.NEGATIVE_INFINITY;
+  private _requestedAtMs = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly _structure: PermitExchangeStructure) {
     const { membership, loads, demand } = _structure;
@@ -62,72 +64,80 @@
       getKnownSinceMs: (name) => loads.getKnownSinceMs(name),
       nowMs: this._nowMs,
     });
-    membership.onRequest(peerTopics.permits, (body, from) => this._answer(body, from));
-    demand.onWaiting(() => void this._askSooner());
+    membership.onRequest(peerTopics.permits, (body, from) => this._respond(body, from));
+    demand.onWaiting(() => void this._requestSooner());
   }
 
-  /** Asks from time to time until `signal` aborts. */
+  /** Requests permits periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
-      lookIntervalMs,
+      checkIntervalMs,
       signal,
-      () => this._look(signal),
+      () => this._check(signal),
       (error) => {
         this._structure.log.error("permit-exchange-failed", { cause: String(error) });
       },
     );
   }
 
-  private async _look(signal: AbortSignal): Promise<void> {
+  private async _check(signal: AbortSignal): Promise<void> {
     if (this._getLimited().length === 0) return;
     await this.tick();
-    // Ends with the task.
+    // An aborted sleep is no error: the task ends.
     await utils.sleep(permitTickMs, signal).catch(() => undefined);
     await this.tick();
   }
 
-  /** Asks for what is due now; resolves once all have answered. */
+  /** Sends the permit requests that are due, and resolves once all responses have arrived. */
   async tick(): Promise<void> {
     const limited = this._getLimited();
     if (limited.length === 0) return;
     this._ticks += 1;
-    const isDue = this._ticks % ticksPerAsk === 0 || limited.some((endpoint) => this._isWaitedFor(endpoint));
-    await Promise.all([this._askOthers(), isDue ? this._askOwn(limited) : undefined]);
+    const isDue =
+      this._ticks % ticksPerRequest === 0 || limited.some((endpoint) => this._hasWaitingRequests(endpoint));
+    await Promise.all([this._requestForZone(), isDue ? this._requestForInstance(limited) : undefined]);
   }
 
-  private async _askSooner(): Promise<void> {
+  private async _requestSooner(): Promise<void> {
     const limited = this._getLimited();
-    if (limited.length === 0 || this._nowMs() - this._askedAtMs < askSoonerMs) return;
-    await this._askOwn(limited);
+    if (limited.length === 0 || this._nowMs() - this._requestedAtMs < minRequestGapMs) return;
+    await this._requestForInstance(limited);
   }
 
-  /** Lends the parts of this zone to the coordinators of the zones where the endpoints are. */
-  private async _askOthers(): Promise<void> {
+  /** Lends the quota shares of this zone to the coordinators of the zones that contain the endpoints, and deposits the granted permits. */
+  private async _requestForZone(): Promise<void> {
     if (!this._structure.loads.isCollector) return;
-    const asks = [...this._coordinator.getOutgoingAsks()];
-    await Promise.all(asks.map(async ([name, ask]) => this._coordinator.deposit(await this._ask(name, ask))));
+    const requests = [...this._coordinator.getOutgoingAsks()];
+    await Promise.all(
+      requests.map(async ([name, request]) => this._coordinator.deposit(await this._request(name, request))),
+    );
   }
 
-  private async _askOwn(limited: readonly Endpoint[]): Promise<void> {
+  private async _requestForInstance(limited: readonly Endpoint[]): Promise<void> {
     const { loads, membership, getInstanceCount } = this._structure;
     const nowMs = this._nowMs();
-    this._askedAtMs = nowMs;
-    // Of limits that serve the same requests those asked for first are used first: each has its turn.
-    const inTurn = utils.pickSome(limited, limited.length, this._random);
+    this._requestedAtMs = nowMs;
+    // Among limits that serve the same requests, those listed first are granted first, so the order is random.
+    const shuffled = utils.pickSome(limited, limited.length, this._random);
     const byService = utils.groupBy(limited, ({ listed }) => listed.service);
-    const wants = inTurn.flatMap((endpoint) => {
-      const alike = byService.get(endpoint.listed.service) ?? [];
-      return this._getWanted(endpoint, alike, nowMs) ?? [];
+    const wants = shuffled.flatMap((endpoint) => {
+      const sameService = byService.get(endpoint.listed.service) ?? [];
+      return this._getDemand(endpoint, sameService, nowMs) ?? [];
     });
-    const ask = { lending: 1, known: getInstanceCount() ?? 0, wants };
+    const request = { lending: 1, known: getInstanceCount() ?? 0, wants };
     const granted = loads.isCollector
-      ? this._coordinator.answer(membership.self.name, ask)
-      : await this._ask(loads.collector, ask);
-    this._takeGranted(granted, nowMs + permitLifeMs);
+      ? this._coordinator.answer(membership.self.name, request)
+      : await this._request(loads.collector, request);
+    this._addGranted(granted, nowMs + permitLifeMs);
   }
 
-  private async _ask(name: string, ask: PermitAsk): Promise<GrantedPermits> {
-    const reply = await this._structure.membership.request(name, peerTopics.permits, ask, askTimeoutMs);
+  private async _request(name: string, request: PermitAsk): Promise<GrantedPermits> {
+    const reply = await this._structure.membership.request(
+      name,
+      peerTopics.permits,
+      request,
+      requestTimeoutMs,
+    );
     if (reply.err) {
       this._structure.log.info("permits-not-answered", { name, cause: reply.val.code });
       return [];
@@ -135,14 +145,14 @@
     return grantedPermitsSchema.safeParse(reply.val).data ?? [];
   }
 
-  private _answer(body: unknown, from: PeerIdentity): GrantedPermits {
-    const ask = permitAskSchema.safeParse(body);
-    if (ask.success) return this._coordinator.answer(from.name, ask.data);
+  private _respond(body: unknown, from: PeerIdentity): GrantedPermits {
+    const request = permitAskSchema.safeParse(body);
+    if (request.success) return this._coordinator.answer(from.name, request.data);
     notePeerMessageInvalid(this._structure.log, peerTopics.permits, from);
     return [];
   }
 
-  private _takeGranted(granted: GrantedPermits, expiresAtMs: number): void {
+  private _addGranted(granted: GrantedPermits, expiresAtMs: number): void {
     const { endpoints, demand } = this._structure;
     for (const { key, count } of granted) {
       const endpoint = endpoints.getLife(key);
@@ -153,32 +163,32 @@
   }
 
   /**
-   * What this instance wants of a limit; undefined where there is nothing to say.
-   * @param alike - The limited endpoints of the same service.
+   * Returns this instance's demand for permits of a limit, or undefined if there is neither demand nor usage to report.
+   * @param sameService - The limited endpoints of the same service.
    */
-  private _getWanted(
+  private _getDemand(
     endpoint: Endpoint,
-    alike: readonly Endpoint[],
+    sameService: readonly Endpoint[],
     nowMs: number,
   ): WantedPermits | undefined {
     const { demand } = this._structure;
     const { service, isDraining } = endpoint.listed;
     const account = endpoint.permits.takeAccount(nowMs);
-    const inHand = utils.getSum(alike.map(({ permits }) => permits.getCount(nowMs)));
+    const localPermits = utils.getSum(sameService.map(({ permits }) => permits.getCount(nowMs)));
     const waiting = isDraining ? 0 : demand.getWaiting(service);
-    const ahead = isDraining ? 0 : Math.max(0, this._countAhead(service) - inHand);
+    const ahead = isDraining ? 0 : Math.max(0, this._getExpectedArrivals(service) - localPermits);
     if (waiting + ahead + account.used + account.returned + account.charged === 0) return undefined;
     return { key: endpoint.lifeId, group: service, count: waiting + ahead, waiting, ...account };
   }
 
-  private _isWaitedFor({ listed }: Endpoint): boolean {
+  private _hasWaitingRequests({ listed }: Endpoint): boolean {
     return this._structure.demand.getWaiting(listed.service) > 0;
   }
 
-  /** Requests that are to be expected until the next answer. */
-  private _countAhead(service: string): number {
+  /** Returns the number of requests that are expected to arrive until the next response. */
+  private _getExpectedArrivals(service: string): number {
     const perSecond = this._structure.demand.getArrivalsPerSecond(service);
-    return perSecond < leastPerSecond ? 0 : Math.ceil((perSecond * heldForMs) / utils.msPerSecond);
+    return perSecond < minArrivalsPerSecond ? 0 : Math.ceil((perSecond * forecastMs) / utils.msPerSecond);
   }
 
   private _getLimit(key: string): ZonedLimit | undefined {
--- a/packages/gateway/src/peers/RelayedChanges.ts
+++ b/packages/gateway/src/peers/RelayedChanges.ts
@@ -1,30 +1,29 @@
-/** How the changes of a feed are told to peers. */
 import * as zod from "zod";
 import { applyDelta, configurationDeltaSchema } from "../configuration/configurationDelta.js";
 import type { ConfigurationHistory } from "../configuration/ConfigurationHistory.js";
 import type { GatewayConfiguration } from "../configuration/gatewayConfiguration.js";
 import type { Change } from "../discovery/ChangeFeed.js";
 
-/** Changes of one feed and their form between instances. */
-export abstract class RelayedChanges<T, TTold> {
-  abstract readonly schema: zod.ZodType<TTold>;
+/** Converts the changes of one feed to and from the format in which instances relay them. */
+export abstract class RelayedChanges<T, TEncoded> {
+  abstract readonly schema: zod.ZodType<TEncoded>;
 
-  /** The form that is told; undefined where each instance has to read the changes by itself. */
-  abstract toTold(changes: readonly Change<T>[]): TTold | undefined;
+  /** Returns the encoded changes, or undefined if each instance has to read the changes from the store by itself. */
+  abstract toTold(changes: readonly Change<T>[]): TEncoded | undefined;
 
-  /** The changes that were told; undefined where they do not join on to what this instance knows. */
-  abstract fromTold(told: TTold): readonly Change<T>[] | undefined;
+  /** Returns the decoded changes, or undefined if they don't apply to the state of this instance. */
+  abstract fromTold(encoded: TEncoded): readonly Change<T>[] | undefined;
 }
 
-/** A change in the form that is told. */
-interface ToldChange<T> {
+/** A change with its whole value, as it is sent. */
+interface WholeChange<T> {
   readonly key: string;
   readonly value?: T | undefined;
   readonly isUnreadable?: boolean | undefined;
 }
 
-/** Told as they are: small values that do not depend on each other. */
-export class WholeChanges<T> extends RelayedChanges<T, ToldChange<T>[]> {
+/** Sends changes with their whole values, for small values that don't depend on each other. */
+export class WholeChanges<T> extends RelayedChanges<T, WholeChange<T>[]> {
   readonly schema;
 
   constructor(valueSchema: zod.ZodType<T>) {
@@ -33,30 +32,30 @@
     this.schema = zod.array(zod.object({ key: zod.string(), value: valueSchema.optional(), isUnreadable }));
   }
 
-  override toTold(changes: readonly Change<T>[]): ToldChange<T>[] {
+  override toTold(changes: readonly Change<T>[]): WholeChange<T>[] {
     return [...changes];
   }
 
-  override fromTold(told: ToldChange<T>[]): readonly Change<T>[] {
-    return told.map(({ key, value, isUnreadable }) => ({ key, value, isUnreadable }));
+  override fromTold(encoded: WholeChange<T>[]): readonly Change<T>[] {
+    return encoded.map(({ key, value, isUnreadable }) => ({ key, value, isUnreadable }));
   }
 }
 
-const toldConfigurationSchema = zod.object({ key: zod.string(), delta: configurationDeltaSchema });
-type ToldConfiguration = zod.infer<typeof toldConfigurationSchema>;
+const encodedConfigurationSchema = zod.object({ key: zod.string(), delta: configurationDeltaSchema });
+type EncodedConfiguration = zod.infer<typeof encodedConfigurationSchema>;
 
 /**
- * Configurations, told as what changes from the version before. A version has 50 to 450 KB, and each of 195 instances that reads it
- * by itself makes a call to the store; nine versions within 25 s made 1,750 calls, a fifth of all.
+ * Sends a configuration as the delta from the previous version. A version has 50 to 450 KB, and each instance that reads it by itself
+ * makes a call to the store: with 195 instances, nine versions within 25 s caused 1,750 calls, a fifth of all calls.
  */
-export class ConfigurationChanges extends RelayedChanges<GatewayConfiguration, ToldConfiguration> {
-  readonly schema = toldConfigurationSchema;
+export class ConfigurationChanges extends RelayedChanges<GatewayConfiguration, EncodedConfiguration> {
+  readonly schema = encodedConfigurationSchema;
 
   constructor(private readonly _history: ConfigurationHistory) {
     super();
   }
 
-  override toTold(changes: readonly Change<GatewayConfiguration>[]): ToldConfiguration | undefined {
+  override toTold(changes: readonly Change<GatewayConfiguration>[]): EncodedConfiguration | undefined {
     const [change] = changes;
     const { newest, previous } = this._history;
     if (changes.length !== 1 || change?.value !== newest || previous === undefined) return undefined;
@@ -64,7 +63,10 @@
     return change === undefined || delta === undefined ? undefined : { key: change.key, delta };
   }
 
-  override fromTold({ key, delta }: ToldConfiguration): readonly Change<GatewayConfiguration>[] | undefined {
+  override fromTold({
+    key,
+    delta,
+  }: EncodedConfiguration): readonly Change<GatewayConfiguration>[] | undefined {
     const { newest } = this._history;
     if (newest?.version !== delta.baseVersion) return undefined;
     return [{ key, value: applyDelta(newest, delta) }];
--- a/packages/gateway/src/peers/StoreRelay.ts
+++ b/packages/gateway/src/peers/StoreRelay.ts
@@ -1,7 +1,3 @@
-/**
- * One instance of each zone reads the store's feeds and tells the others of its zone what it has read, so that calls to the
- * store grow with the zones and not with the instances. An instance that is not told reads by itself.
- */
 import { utils } from "@shedtiller/common";
 import type { Membership } from "@shedtiller/membership";
 import * as zod from "zod";
@@ -9,31 +5,32 @@
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
 import type { RelayedChanges } from "./RelayedChanges.js";
-import { ZoneDuty } from "./ZoneDuty.js";
+import { ZoneRole } from "./ZoneRole.js";
 
-const dutyName = "store-reader";
-/** The duty is looked after this often: well within the bound below. */
+const roleName = "store-reader";
+/** Interval of the check of the role; it is well below {@link staleMs}. */
 const tickMs = 200;
 /**
- * A reader without a proof for this long does not reach the store: an instance that is told nothing newer reads by itself, and
- * another one takes over. An endpoint that leaves has to be known to all within 2 s, on the deployments at hand. The reads of a
- * sound reader are held for 0.4 s, so its proofs are at most 0.8 s old, and some more while the store is slow.
+ * A reader whose freshness is older than this does not reach the store: the other instances begin to read by themselves, and one of them
+ * takes over the role. In the present deployments, all instances have to know that an endpoint drains within 2 s. The long polls of a
+ * healthy reader last 0.4 s, so the age stays below 0.8 s, or slightly more while the store is slow.
  */
 const staleMs = 1_400;
 
 /**
- * Instances that are told nothing stand in for their reader one group after the other, and tell what they read: where the store answers
- * at least one of the first group, the others need not ask it.
+ * Instances that receive nothing from their reader begin to read in this many groups, one after the other, and relay what they read. If
+ * the store responds to at least one instance of the first group, the others need not call it.
  */
 const standInGroups = 2;
 
 /**
- * For this long after its start an instance reads nothing beyond its first list, since it does not know its zone yet: links stand
- * within half a second, and what is told within the next. Without it each start makes some six reads, of both feeds, by each instance.
+ * For this long after its start an instance reads nothing beyond its first list, since it does not know its zone yet: links are
+ * established within half a second, and relayed reads arrive within the next. Without this delay each instance made about six reads of
+ * both feeds at each start.
  */
 const settlingMs = 1_000;
 
-/** What a relay works with. */
+/** Dependencies of {@link StoreRelay}. */
 export interface StoreRelayStructure {
   readonly membership: Pick<Membership, "self" | "getDutyCandidates" | "notifyAll" | "onNotice">;
   readonly log: DecisionLog;
@@ -41,16 +38,20 @@
   readonly nowMs?: (() => number) | undefined;
 }
 
-/** A feed that is relayed; the type of its values is known to its own closures only. */
+/** A relayed feed. The type of its values is known only to the closures. */
 interface RelayedFeed {
   readonly getProofAgeMs: () => number;
   readonly setReader: (isReader: boolean, isStandIn: boolean) => void;
 }
 
-/** One relay an instance. */
+/**
+ * Relays the store's feeds within an availability zone: one instance, the reader, reads them and sends what it has read to the others, so
+ * that the number of calls to the store grows with the zones and not with the instances. An instance that receives nothing reads by
+ * itself.
+ */
 export class StoreRelay {
   private readonly _nowMs: () => number;
-  private readonly _duty: ZoneDuty;
+  private readonly _role: ZoneRole;
   private readonly _feeds: RelayedFeed[] = [];
   private readonly _pauses: utils.PauseWatch;
   private readonly _startedAtMs: number;
@@ -62,18 +63,18 @@
     this._startedAtMs = this._nowMs();
     this._pauses = new utils.PauseWatch(tickMs, this._nowMs);
     this._standInDelayMs = (utils.hash32(membership.self.name) % standInGroups) * tickMs;
-    this._duty = new ZoneDuty({ name: dutyName, membership, log, nowMs });
+    this._role = new ZoneRole({ name: roleName, membership, log, nowMs });
   }
 
-  /** Whether this instance reads the store for its zone now. */
+  /** Whether this instance is the reader of its zone now. */
   get isReader(): boolean {
-    return this._duty.isOwn;
+    return this._role.isOwn;
   }
 
-  /** Relays a feed. */
-  add<T, TTold>(topic: string, follower: FeedFollower<T>, relayed: RelayedChanges<T, TTold>): void {
-    this._tellReads(topic, follower, relayed);
-    this._takeReads(topic, follower, relayed);
+  /** Adds a feed to relay. */
+  add<T, TEncoded>(topic: string, follower: FeedFollower<T>, codec: RelayedChanges<T, TEncoded>): void {
+    this._sendReads(topic, follower, codec);
+    this._receiveReads(topic, follower, codec);
     follower.setReader(false);
     this._feeds.push({
       getProofAgeMs: () => follower.getProofAgeMs(),
@@ -81,7 +82,7 @@
     });
   }
 
-  /** Looks after the duty from time to time until `signal` aborts. */
+  /** Checks the role periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
       tickMs,
@@ -93,61 +94,61 @@
     );
   }
 
-  /** Takes or gives up the duty; without a proof for too long this instance reads by itself, whoever has the duty. */
+  /** Updates the role. If no feed has been fresh for too long, this instance reads by itself, whichever instance holds the role. */
   check(): void {
-    this._duty.noteOwnPause(this._pauses.noteTick());
-    // Any feed's proof shows that the store is reached; the one with the shorter reads is the newer.
+    this._role.noteOwnPause(this._pauses.noteTick());
+    // The freshness of any feed shows that the store is reachable; the feed with the shorter long polls is the fresher one.
     const ageMs = Math.min(...this._feeds.map((feed) => feed.getProofAgeMs()));
-    if (this.isReader && (this._duty.isAlone || ageMs < staleMs)) this._duty.noteSign();
-    this._duty.update();
+    if (this.isReader && (this._role.isAlone || ageMs < staleMs)) this._role.noteActivity();
+    this._role.update();
     const isSettling = this._nowMs() - this._startedAtMs < settlingMs;
     const isStandIn = !this.isReader && ageMs > staleMs + this._standInDelayMs;
     const isReading = (this.isReader && (!isSettling || ageMs > staleMs)) || isStandIn;
     for (const feed of this._feeds) feed.setReader(isReading, isStandIn);
   }
 
-  private _tellReads<T, TTold>(
+  private _sendReads<T, TEncoded>(
     topic: string,
     follower: FeedFollower<T>,
-    relayed: RelayedChanges<T, TTold>,
+    codec: RelayedChanges<T, TEncoded>,
   ): void {
     follower.onRead((page, fromOffset) => {
       if (!this.isReader && !follower.isStandIn) return;
-      const changes = relayed.toTold(page.changes);
+      const changes = codec.toTold(page.changes);
       const proofAgeMs = follower.getProofAgeMs();
-      this._tell(topic, { fromOffset, nextOffset: page.nextOffset, changes, proofAgeMs });
+      this._notifyZone(topic, { fromOffset, nextOffset: page.nextOffset, changes, proofAgeMs });
     });
   }
 
-  private _takeReads<T, TTold>(
+  private _receiveReads<T, TEncoded>(
     topic: string,
     follower: FeedFollower<T>,
-    relayed: RelayedChanges<T, TTold>,
+    codec: RelayedChanges<T, TEncoded>,
   ): void {
     const { membership, log } = this._structure;
-    const toldSchema = createToldSchema(relayed.schema);
+    const pageSchema = createPageSchema(codec.schema);
     membership.onNotice(topic, (body, from) => {
-      const page = toldSchema.safeParse(body);
+      const page = pageSchema.safeParse(body);
       if (!page.success) return notePeerMessageInvalid(log, topic, from);
       const { proofAgeMs, fromOffset, nextOffset } = page.data;
-      const told = page.data.changes;
-      const changes = told === undefined ? undefined : relayed.fromTold(told as TTold);
-      // What waited here while this instance stood still is older than it says: a key may have been taken away since.
+      const encoded = page.data.changes;
+      const changes = encoded === undefined ? undefined : codec.fromTold(encoded as TEncoded);
+      // A message that was buffered while this instance was suspended is older than it states: a key may have been revoked since.
       const ageMs = proofAgeMs + this._pauses.getRecentPauseMs();
       follower.takeTold({ fromOffset, nextOffset, changes }, this._nowMs() - ageMs);
-      if (from.name === this._duty.holder && proofAgeMs < staleMs) this._duty.noteSign();
+      if (from.name === this._role.holder && proofAgeMs < staleMs) this._role.noteActivity();
     });
   }
 
-  private _tell(topic: string, body: object): void {
+  private _notifyZone(topic: string, body: object): void {
     const { membership } = this._structure;
     const { availabilityZone } = membership.self;
     membership.notifyAll(topic, body, (member) => member.availabilityZone === availabilityZone);
   }
 }
 
-/** The form of a read that is told; without changes only the fact of them. */
-function createToldSchema<TTold>(changesSchema: zod.ZodType<TTold>) {
+/** Creates the schema of a relayed read. Without `changes` it only announces that there are changes. */
+function createPageSchema<TEncoded>(changesSchema: zod.ZodType<TEncoded>) {
   return zod.object({
     fromOffset: zod.number(),
     nextOffset: zod.number(),
--- a/packages/gateway/src/peers/endpointLoads.ts
+++ b/packages/gateway/src/peers/endpointLoads.ts
@@ -1,17 +1,17 @@
-/** Loads of endpoints: their sums and differences, and their form on the wire between instances. */
+/** Sums, differences and wire format of the loads of endpoints. */
 import type { EndpointLoad } from "../discovery/Endpoint.js";
 
-/** Loads by the endpoint's id. */
+/** Loads by the life id of the endpoint. */
 export type Loads = ReadonlyMap<string, EndpointLoad>;
 
-/** Requests and token-layers by endpoint, as they go over the wire. */
+/** Requests and token-layers by the life id of the endpoint, as sent to peers. */
 export type LoadMessage = Record<string, [number, number]>;
 
 /** Adds up loads endpoint by endpoint. */
-export function addUp(parts: readonly Loads[]): Loads {
+export function addUp(summands: readonly Loads[]): Loads {
   const sum = new Map<string, EndpointLoad>();
-  for (const part of parts) {
-    for (const [id, load] of part) {
+  for (const summand of summands) {
+    for (const [id, load] of summand) {
       const known = sum.get(id);
       sum.set(id, known === undefined ? load : add(known, load, 1));
     }
@@ -19,14 +19,14 @@
   return sum;
 }
 
-/** Takes a part out of a sum; endpoints that the sum does not have are passed over. */
-export function subtract(all: Loads, part: Loads): Loads {
-  const rest = new Map(all);
-  for (const [id, load] of part) {
-    const known = all.get(id);
-    if (known !== undefined) rest.set(id, add(known, load, -1));
+/** Subtracts loads from a sum. Endpoints that the sum does not contain are ignored. */
+export function subtract(sum: Loads, subtrahend: Loads): Loads {
+  const difference = new Map(sum);
+  for (const [id, load] of subtrahend) {
+    const known = sum.get(id);
+    if (known !== undefined) difference.set(id, add(known, load, -1));
   }
-  return rest;
+  return difference;
 }
 
 function add(first: EndpointLoad, second: EndpointLoad, sign: 1 | -1): EndpointLoad {
@@ -36,7 +36,7 @@
   };
 }
 
-/** Gives the wire form; endpoints without a request are left out. */
+/** Converts loads to the wire format, without endpoints that have no request. */
 export function toMessage(loads: Loads): LoadMessage {
   const message: LoadMessage = {};
   for (const [id, { requests, tokenLayers }] of loads) {
@@ -45,7 +45,7 @@
   return message;
 }
 
-/** Reads the wire form. */
+/** Converts loads from the wire format. */
 export function toLoads(message: LoadMessage): Loads {
   const entries = Object.entries(message);
   return new Map(entries.map(([id, [requests, tokenLayers]]) => [id, { requests, tokenLayers }]));
--- a/packages/gateway/src/peers/notePeerMessageInvalid.ts
+++ b/packages/gateway/src/peers/notePeerMessageInvalid.ts
@@ -1,8 +1,7 @@
-/** Notes a message of a peer that does not have the form of its topic. */
 import type { PeerIdentity } from "@shedtiller/membership";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 
-/** The message is dropped, since a peer of another version may send it; the log line tells from whom it came. */
+/** Logs that a peer's message does not match the schema of its topic. The message is dropped, since the peer may run another version. */
 export function notePeerMessageInvalid(log: DecisionLog, topic: string, from: PeerIdentity): void {
   log.warn("peer-message-invalid", { topic, peer: from.name });
 }
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -1,11 +1,11 @@
-/** The messages between instances: their topics and forms. */
+/** Topics and schemas of the messages between instances. */
 import * as zod from "zod";
 import { configurationDeltaSchema } from "../configuration/configurationDelta.js";
 import { gatewayConfigurationSchema } from "../configuration/gatewayConfiguration.js";
 import { layerSpanSchema, listedEndpointSchema } from "../discovery/ListedEndpoint.js";
 import { registeredInstanceSchema } from "./PeerRegistry.js";
 
-/** Names of the kinds of messages. */
+/** Topics of the messages. */
 export const peerTopics = {
   load: "load",
   collectedLoad: "collected-load",
@@ -27,18 +27,18 @@
   instances: "instances",
 } as const;
 
-/** Requests in hand and reserved token-layers, by the life of the endpoint; those without any are left out. */
+/** Requests in flight and reserved token-layers, by the life id of the endpoint. Endpoints without requests are left out. */
 export const loadSchema = zod.record(zod.string(), zod.tuple([zod.number(), zod.number()]));
 
-/** The load that the instances of a zone have together. */
+/** The total load of the instances of a zone. */
 export const zoneLoadSchema = zod.object({
   availabilityZone: zod.string(),
   load: loadSchema,
-  /** Name of the instance that collects it. */
+  /** Name of the collector of the zone. */
   collector: zod.string().optional(),
 });
 
-/** Limits that endpoints named; null where an endpoint no longer names one. */
+/** Rate limits that endpoints name; null if an endpoint no longer names one. */
 export const limitsSchema = zod.array(
   zod.object({
     lifeId: zod.string(),
@@ -48,59 +48,67 @@
 );
 export type ToldLimit = zod.infer<typeof limitsSchema>[number];
 
-/** Lives of endpoints that said that they leave. */
-export const leavingSchema = zod.array(zod.string());
+/** Life ids of endpoints that have announced that they drain. */
+export const drainingSchema = zod.array(zod.string());
 
-/** How slow an engine says that it is. */
+/** The slowness that an engine reports. */
 export const slownessSchema = zod.object({ lifeId: zod.string(), slowness: zod.number() });
 
-/** An endpoint, in the life of its process that there is evidence against, or that refused for want of room. */
+/** The life id of an endpoint that is suspected, or that rejected a request for lack of capacity. */
 export const endpointSchema = zod.object({ lifeId: zod.string() });
 
-/** The layers that an engine says that it holds, where the list has others. */
-export const heldLayersSchema = zod.object({ lifeId: zod.string(), layers: zod.array(layerSpanSchema) });
+/** The layers that an engine reports as loaded, where the list shows others. */
+export const loadedLayersSchema = zod.object({ lifeId: zod.string(), layers: zod.array(layerSpanSchema) });
 
-/** An endpoint whose process has started again. */
+/** An endpoint whose process has restarted. */
 export const restartSchema = zod.object({ endpointId: zod.string(), bornAtMs: zod.number().int() });
 
-/** A version in force: that of the asker, or of the one that tells. */
+/** The version of the configuration that is in force at the sender. */
 export const versionSchema = zod.object({ version: zod.number() });
 
-/** What the asker has in force, and whether it wants a whole configuration where changes are not known or too large. */
-export const configurationQuestionSchema = versionSchema.extend({ wantsWhole: zod.boolean() });
+/** A request for a configuration: the version in force at the sender, and whether it wants a whole configuration if there is no delta. */
+export const configurationRequestSchema = versionSchema.extend({ wantsWhole: zod.boolean() });
 
-/** What the answerer has in force. */
-export const configurationAnswerSchema = zod.object({
+/** The response to a request for a configuration. */
+export const configurationResponseSchema = zod.object({
+  /** The version in force at the responder. */
   version: zod.number(),
-  /** How old the answerer's own proof is that nothing newer exists. */
+  /** Time since the responder's version was last known to be the newest. */
   proofAgeMs: zod.number().nonnegative(),
-  /** Where the store's history goes on after it; undefined before the answerer's first read. */
+  /** The store's offset that follows this version; undefined before the responder's first read. */
   nextOffset: zod.number().optional(),
-  /** What changed since the asker's version, where that is known and little. */
+  /** Changes since the requester's version, if the responder has that version and the changes are small. */
   delta: configurationDeltaSchema.optional(),
-  /** Whether the answerer sends the whole configuration next. */
+  /** Whether the responder sends the whole configuration next. */
   isWholeComing: zod.boolean(),
 });
-export type ConfigurationAnswer = zod.infer<typeof configurationAnswerSchema>;
+export type ConfigurationResponse = zod.infer<typeof configurationResponseSchema>;
 
-/** A whole configuration, sent without waiting for an answer. */
+/** A whole configuration, sent as a notice. */
 export const wholeConfigurationSchema = zod.object({
   configuration: gatewayConfigurationSchema,
-  /** Where the store's history goes on after it; undefined before the sender's first read. */
+  /** The store's offset that follows this configuration; undefined before the sender's first read. */
   nextOffset: zod.number().optional(),
 });
 
-/** Where the store's list goes on after what the asker has read; undefined before its first read. */
-export const listQuestionSchema = zod.object({ nextOffset: zod.number().optional() });
+/** A request for the list of endpoints. */
+export const endpointsRequestSchema = zod.object({
+  /** The store's offset that follows what the requester has read; undefined before its first read. */
+  nextOffset: zod.number().optional(),
+});
 
-/** The list of endpoints as the answerer has it. */
-export const endpointsAnswerSchema = zod.object({
+/** The response to a request for the list of endpoints. */
+export const endpointsResponseSchema = zod.object({
+  /** Time since the responder's list was last known to be complete. */
   proofAgeMs: zod.number().nonnegative(),
-  /** Where the store's list goes on after what the answerer has read. */
+  /** The store's offset that follows what the responder has read. */
   nextOffset: zod.number(),
-  /** Left out where the asker has the same: the list of 195 endpoints takes 40 KB, and is asked for by all while the store is away. */
+  /**
+   * The list of endpoints, left out if the requester has the same one: a list of 195 endpoints takes 40 KB, and all instances request it
+   * while the store is unavailable.
+   */
   endpoints: zod.array(listedEndpointSchema).optional(),
 });
 
-/** The instances that the sender knows. */
+/** The instances that the responder knows. */
 export const instancesSchema = zod.array(registeredInstanceSchema);
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -1,4 +1,4 @@
-/** What peers send each other of a configuration: changes where they are known, and a whole one to one peer at a time. */
+/** Tests what peers send each other of a configuration: a delta where possible, and otherwise the whole one to one peer at a time. */
 import test from "ava";
 import { utils } from "@shedtiller/common";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
@@ -9,10 +9,10 @@
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
-/** Past all that an instance leaves the store to give it a configuration. */
+/** Exceeds all delays in which an instance leaves it to the store to deliver a configuration. */
 const longMs = 10_000;
-/** A peer may send the next whole configuration after this. */
-const betweenMs = 300;
+/** Time after which a peer may send the next whole configuration. */
+const wholeIntervalMs = 300;
 
 class Fleet {
   readonly network = new PeerNetwork();
@@ -39,22 +39,22 @@
     return { keeper, exchange, ahead };
   }
 
-  /** Lets what was sent arrive. */
-  async settle(): Promise<void> {
+  /** Waits until the sent messages have been delivered. */
+  async waitForDelivery(): Promise<void> {
     for (let turn = 0; turn < 3; turn++) await utils.yieldToEvents();
   }
 }
 
 const routes = [createRoute(), createRoute({ name: "s", pathPrefix: "/b/" })];
 
-test("an instance that knows an older version gets what changed, with the proof and the place in the store's history", async (t) => {
+test("an instance with an older version receives a delta, the freshness and the store's offset", async (t) => {
   const fleet = new Fleet();
   const newer = fleet.join("a");
   const older = fleet.join("b");
   for (const { keeper } of [newer, older]) keeper.accept(createConfiguration(1));
   newer.keeper.accept(createConfiguration(2, routes));
   newer.keeper.confirm(2, fleet.nowMs);
-  await older.exchange.ask("a");
+  await older.exchange.requestFrom("a");
   t.is(older.keeper.version, 2);
   t.truthy(older.keeper.table?.getRoute("notes.example", "/b/x"));
   t.is(older.keeper.getProofAgeMs(), 0);
@@ -68,31 +68,31 @@
   holder.keeper.accept(createConfiguration(2, routes));
   const first = fleet.join("b");
   const second = fleet.join("c");
-  await Promise.all([first.exchange.ask("a"), second.exchange.ask("a")]);
-  await fleet.settle();
+  await Promise.all([first.exchange.requestFrom("a"), second.exchange.requestFrom("a")]);
+  await fleet.waitForDelivery();
   t.deepEqual([first.keeper.version, second.keeper.version], [2, -1]);
-  fleet.nowMs += betweenMs;
-  await second.exchange.ask("a");
-  await fleet.settle();
+  fleet.nowMs += wholeIntervalMs;
+  await second.exchange.requestFrom("a");
+  await fleet.waitForDelivery();
   t.is(second.keeper.version, 2);
 });
 
-test("while a whole configuration is expected from one peer, no other is asked for it", async (t) => {
+test("while a whole configuration is expected from one peer, no other peer is asked for one", async (t) => {
   const fleet = new Fleet();
   const holders = ["a", "b"].map((name) => fleet.join(name));
   for (const { keeper } of holders) keeper.accept(createConfiguration(2, routes));
   const empty = fleet.join("c");
   fleet.network.silence("c");
-  await empty.exchange.ask("a");
-  await empty.exchange.ask("b");
-  await fleet.settle();
+  await empty.exchange.requestFrom("a");
+  await empty.exchange.requestFrom("b");
+  await fleet.waitForDelivery();
   t.is(empty.keeper.version, -1);
   fleet.network.restore("c");
-  await empty.exchange.ask("b");
-  await fleet.settle();
-  t.is(empty.keeper.version, -1, "the one that was sent may still come");
+  await empty.exchange.requestFrom("b");
+  await fleet.waitForDelivery();
+  t.is(empty.keeper.version, -1, "the first whole configuration may still arrive");
   fleet.nowMs += longMs;
-  await empty.exchange.ask("b");
-  await fleet.settle();
+  await empty.exchange.requestFrom("b");
+  await fleet.waitForDelivery();
   t.is(empty.keeper.version, 2);
 });
--- a/packages/gateway/src/tests/peers/LeavingNewsTests.ts
+++ b/packages/gateway/src/tests/peers/LeavingNewsTests.ts
@@ -1,4 +1,4 @@
-/** One instance's word that an endpoint leaves comes to all others, also to those of other zones. */
+/** Tests that all instances, including those of other zones, learn that an endpoint drains once it has told one instance. */
 import test from "ava";
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { EndpointStatements } from "../../discovery/EndpointStatements.js";
@@ -27,16 +27,16 @@
   return { endpoints, statements };
 }
 
-// Guards against instances that go on sending to an endpoint since it has told only others that it leaves.
-test("an endpoint that told one instance that it leaves gets nothing new from any", (t) => {
+// Guards against instances that keep sending requests to a draining endpoint because it has told only other instances.
+test("an endpoint that told one instance that it drains receives no new requests from any instance", (t) => {
   const network = new PeerNetwork();
   const instances = zones.map((zone, index) => createInstance(network, `i${index}`, zone));
-  const [told] = instances;
-  const endpoint = told?.endpoints.get("a");
+  const [first] = instances;
+  const endpoint = first?.endpoints.get("a");
   const stated = { ...noStatement, isLeaving: true };
   if (endpoint !== undefined)
     for (let answer = 0; answer < 3; answer++)
-      told?.statements.noteAnswer(endpoint, { status: 200, stated, sentAtMs: 0 });
+      first?.statements.noteAnswer(endpoint, { status: 200, stated, sentAtMs: 0 });
   t.deepEqual(
     instances.map(({ endpoints }) => endpoints.getUsable("engines").length),
     [0, 0, 0, 0, 0],
--- a/packages/gateway/src/tests/peers/LoadExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/LoadExchangeTests.ts
@@ -1,4 +1,4 @@
-/** Each instance knows the load of all others through one collector of its zone, also when a collector falls silent. */
+/** Tests that each instance receives the load of all others through the collector of its zone, also after a collector has failed. */
 import test from "ava";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
@@ -32,7 +32,7 @@
     return instance;
   }
 
-  /** Lets time pass; `isSkipped` names instances that stand still. */
+  /** Advances the clock tick by tick; `isSkipped` selects suspended instances. */
   run(ticks: number, isSkipped: (name: string) => boolean = () => false): void {
     for (let tick = 0; tick < ticks; tick++) {
       this._nowMs += tickMs;
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Load on the only engine, as an instance sees it. */
+  /** Returns the load on the only engine, as an instance sees it. */
   getRequests(name: string): number {
     return this.get(name).endpoints.get("engine")?.getLoad().requests ?? 0;
   }
@@ -78,17 +78,17 @@
   for (const { name } of fleet.instances) t.is(fleet.getRequests(name), east.length + west.length, name);
 });
 
-test("a zone has one collector, and members tell only it", (t) => {
+test("a zone has one collector, and its members send their load only to the collector", (t) => {
   const fleet = createLoadedFleet();
   fleet.run(6);
   t.is(fleet.getCollectors(east).length, 1);
   fleet.network.sent.clear();
   fleet.run(3);
-  const told = fleet.network.sent.get("load") ?? 0;
-  t.true(told <= 3 * (east.length + west.length - 2), `${told} notices`);
+  const sent = fleet.network.sent.get("load") ?? 0;
+  t.true(sent <= 3 * (east.length + west.length - 2), `${sent} notices`);
 });
 
-test("a collector that falls silent is passed over, and the load of those that still tell stays known", (t) => {
+test("a silent collector is replaced, and the load of the remaining instances stays known", (t) => {
   const fleet = createLoadedFleet();
   fleet.run(6);
   const [collector = ""] = fleet.getCollectors(east);
@@ -99,7 +99,7 @@
   }
 });
 
-test("after a collector is gone another one takes over at once", (t) => {
+test("after a collector has left, another instance takes over at once", (t) => {
   const fleet = createLoadedFleet();
   fleet.run(6);
   const [collector = ""] = fleet.getCollectors(east);
@@ -110,7 +110,7 @@
   for (const name of left) t.true(fleet.getRequests(name) >= left.length, name);
 });
 
-test("a request that has ended leaves the load of all instances", (t) => {
+test("a request that has ended no longer counts as load at any instance", (t) => {
   const fleet = createLoadedFleet();
   fleet.run(6);
   fleet.get("b").endpoints.get("engine")?.addOwn(-1, -10);
@@ -118,7 +118,7 @@
   for (const { name } of fleet.instances) t.is(fleet.getRequests(name), east.length + west.length - 1, name);
 });
 
-test("a collector that stood still and comes back sees the load of all again", (t) => {
+test("a collector that was suspended sees the load of all instances again after it resumes", (t) => {
   const fleet = createLoadedFleet();
   fleet.run(6);
   const [collector = ""] = fleet.getCollectors(east);
@@ -128,21 +128,21 @@
   for (const name of east) t.is(fleet.getRequests(name), east.length + west.length, name);
 });
 
-test("an instance that stood still neither forgets the others' load nor passes its collector over", (t) => {
+test("an instance that was suspended neither drops the others' load nor excludes its collector", (t) => {
   const zone = ["a", "b", "c"];
   const fleet = new Fleet({ east: zone });
   for (const name of zone) fleet.get(name).endpoints.get("engine")?.addOwn(2, 10);
   fleet.run(6);
   const [collector = ""] = fleet.getCollectors(zone);
-  const sleepers = [collector, zone.find((name) => name !== collector) ?? ""];
-  for (const sleeper of sleepers) {
-    const before = fleet.getRequests(sleeper);
-    for (const name of zone) if (name !== sleeper) fleet.network.silence(name);
-    fleet.run(20, (name) => name === sleeper);
+  const suspendedNames = [collector, zone.find((name) => name !== collector) ?? ""];
+  for (const suspended of suspendedNames) {
+    const before = fleet.getRequests(suspended);
+    for (const name of zone) if (name !== suspended) fleet.network.silence(name);
+    fleet.run(20, (name) => name === suspended);
     for (const name of zone) fleet.network.restore(name);
-    fleet.get(sleeper).exchange.noteOwnPause(20 * 200);
-    fleet.get(sleeper).exchange.tell();
-    t.is(fleet.getRequests(sleeper), before, sleeper);
+    fleet.get(suspended).exchange.noteOwnPause(20 * 200);
+    fleet.get(suspended).exchange.tell();
+    t.is(fleet.getRequests(suspended), before, suspended);
     fleet.run(60);
     t.is(fleet.getCollectors(zone).length, 1);
   }
--- a/packages/gateway/src/tests/peers/PeerExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PeerExchangeTests.ts
@@ -1,4 +1,4 @@
-/** A new version is told to all, but each takes the large body from one place only. */
+/** Tests that notices reach the peers that need them, and that an instance requests a new configuration from one peer only. */
 import test from "ava";
 import { utils } from "@shedtiller/common";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
@@ -10,7 +10,7 @@
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
-const patienceMs = 60_000;
+const timeoutMs = 60_000;
 
 interface Joined {
   readonly keeper: ConfigurationKeeper;
@@ -40,57 +40,57 @@
   return { keeper, endpoints, exchange };
 }
 
-test("an instance that the store does not serve asks one of the peers that tell it", async (t) => {
+test("an instance that the store does not serve sends a request to only one of the peers that announce a version", async (t) => {
   const network = new PeerNetwork();
-  const tellers = ["a", "b", "c", "d", "e"].map((name) => join(network, name));
-  for (const { keeper } of tellers) {
+  const senders = ["a", "b", "c", "d", "e"].map((name) => join(network, name));
+  for (const { keeper } of senders) {
     keeper.accept(createConfiguration(7));
     keeper.confirm(7, utils.monotonicMs());
   }
   const cutOff = join(network, "f");
-  for (const { exchange } of tellers) exchange.tellVersion(7);
-  t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, patienceMs));
+  for (const { exchange } of senders) exchange.tellVersion(7);
+  t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, timeoutMs));
   t.is(network.sent.get("configuration"), 1);
 });
 
-test("an instance that the store serves meanwhile asks nobody", async (t) => {
+test("an instance that the store serves in the meantime sends no request", async (t) => {
   const network = new PeerNetwork();
-  const teller = join(network, "a");
-  teller.keeper.accept(createConfiguration(7));
+  const sender = join(network, "a");
+  sender.keeper.accept(createConfiguration(7));
   const served = join(network, "b");
   const cutOff = join(network, "c");
-  teller.exchange.tellVersion(7);
+  sender.exchange.tellVersion(7);
   served.keeper.accept(createConfiguration(7));
-  // The one that is cut off was told at the same moment: once it has asked, the other one would have asked as well.
-  t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, patienceMs));
+  // Both instances received the announcement at the same moment: once the cut-off one has sent its request, the other would have done so too.
+  t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, timeoutMs));
   t.is(network.sent.get("configuration"), 1);
 });
 
-test("an engine that refused is known as full by the instances of the zone, and by no others", (t) => {
+test("an engine that rejected a request counts as full at the instances of the zone, and at no others", (t) => {
   const network = new PeerNetwork();
-  const teller = join(network, "a");
+  const sender = join(network, "a");
   const near = join(network, "b");
   const far = join(network, "c", "west");
   for (const { endpoints } of [near, far]) endpoints.setAll(new Map([["e", createListed("e")]]));
   near.endpoints.get("e")?.addOwn(1, 40);
-  teller.exchange.tellFull("e");
+  sender.exchange.tellFull("e");
   t.is(near.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), 40);
   t.is(far.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), Number.POSITIVE_INFINITY);
 });
 
-test("a restart that one instance saw is known to all, and what is told of the life before counts no more", (t) => {
+test("a restart that one instance has seen reaches all instances, and notices about the previous life are ignored", (t) => {
   const network = new PeerNetwork();
-  const teller = join(network, "a");
+  const sender = join(network, "a");
   const behind = join(network, "b");
   const far = join(network, "c", "west");
   const listed = createListed("e", { bornAtMs: 1_000, layers: [{ start: 0, end: 4 }] });
-  for (const { endpoints } of [teller, behind, far]) endpoints.setAll(new Map([["e", listed]]));
-  teller.exchange.tellRestart("e", 2_000);
+  for (const { endpoints } of [sender, behind, far]) endpoints.setAll(new Map([["e", listed]]));
+  sender.exchange.tellRestart("e", 2_000);
   for (const { endpoints } of [behind, far]) t.deepEqual(endpoints.get("e")?.listed.layers, []);
-  // The teller itself has not taken note of the restart here, so what it tells is of the life before.
-  teller.exchange.tellSuspicion("e");
-  teller.exchange.tellSlowness("e", 5);
-  teller.exchange.tellFull("e");
+  // The sender itself has not recorded the restart in this test, so its notices are about the previous life.
+  sender.exchange.tellSuspicion("e");
+  sender.exchange.tellSlowness("e", 5);
+  sender.exchange.tellFull("e");
   t.false(behind.endpoints.get("e")?.isSuspect(utils.monotonicMs()));
   t.is(behind.endpoints.get("e")?.slowness, 1);
   t.is(behind.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), Number.POSITIVE_INFINITY);
--- a/packages/gateway/src/tests/peers/PeerNetwork.ts
+++ b/packages/gateway/src/tests/peers/PeerNetwork.ts
@@ -1,4 +1,4 @@
-/** Memberships without sockets: notices arrive at once, and tests cut instances off. */
+/** Memberships without sockets: notices arrive at once, and tests can cut instances off. */
 import { errors, results } from "@shedtiller/common";
 import type { Membership, NoticeHandler, PeerIdentity, RequestHandler } from "@shedtiller/membership";
 import { toMember } from "./toMember.js";
@@ -8,15 +8,15 @@
   "self" | "getDutyCandidates" | "getLinked" | "notifyAll" | "onLinked" | "onNotice" | "onRequest" | "request"
 >;
 
-/** The instances of a test, and the links between them. */
+/** Connects the instances of a test in memory. */
 export class PeerNetwork {
-  /** Notices that were sent, by topic. */
+  /** Number of notices and requests that were sent, by topic. */
   readonly sent = new Map<string, number>();
   private readonly _handlers = new Map<string, Map<string, NoticeHandler>>();
   private readonly _requestHandlers = new Map<string, Map<string, RequestHandler>>();
   private readonly _peers: PeerIdentity[] = [];
   private readonly _silent = new Set<string>();
-  private readonly _gone = new Set<string>();
+  private readonly _removed = new Set<string>();
 
   /** Adds an instance that is linked to all others. */
   join(self: PeerIdentity): NetworkMember {
@@ -26,7 +26,7 @@
     const requestHandlers = new Map<string, RequestHandler>();
     this._requestHandlers.set(self.name, requestHandlers);
     const getOthers = (): PeerIdentity[] =>
-      this._peers.filter((peer) => peer.name !== self.name && !this._gone.has(peer.name));
+      this._peers.filter((peer) => peer.name !== self.name && !this._removed.has(peer.name));
     return {
       self,
       getDutyCandidates: () => {
@@ -52,19 +52,19 @@
     };
   }
 
-  /** From now on the instance neither sends nor gets anything, though its links seem to stand. */
+  /** Drops all notices to and from the instance from now on, while its links stay up. */
   silence(name: string): void {
     this._silent.add(name);
   }
 
-  /** Ends a silence. */
+  /** Delivers the notices to and from the instance again. */
   restore(name: string): void {
     this._silent.delete(name);
   }
 
-  /** The instance is gone, and its links with it. */
+  /** Removes the instance and its links. */
   remove(name: string): void {
-    this._gone.add(name);
+    this._removed.add(name);
   }
 
   private _deliver(from: PeerIdentity, to: string, topic: string, body: unknown): void {
--- a/packages/gateway/src/tests/peers/PermitExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PermitExchangeTests.ts
@@ -1,4 +1,4 @@
-/** When an instance asks for permits, and what it says. */
+/** Tests when an instance requests permits, and what its permit requests contain. */
 import test from "ava";
 import type { PermitAsk } from "@shedtiller/admission";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
@@ -12,18 +12,18 @@
 
 const east = { availabilityZone: "east" };
 
-class Scene {
+class Fixture {
   nowMs = 10_000;
-  readonly asks: PermitAsk[] = [];
+  readonly permitRequests: PermitAsk[] = [];
   readonly endpoints = new EndpointTable(() => this.nowMs);
   readonly demand = new RequestDemand(() => this.nowMs);
   readonly exchange: PermitExchange;
 
   constructor() {
     const network = new PeerNetwork();
-    const holder = network.join({ name: "holder", ...east });
-    holder.onRequest(peerTopics.permits, (body) => {
-      this.asks.push(body as PermitAsk);
+    const coordinator = network.join({ name: "coordinator", ...east });
+    coordinator.onRequest(peerTopics.permits, (body) => {
+      this.permitRequests.push(body as PermitAsk);
       return [{ key: "engine", count: 2 }];
     });
     this.endpoints.setAll(new Map([["engine", createListed("engine", { service: "records" })]]));
@@ -32,7 +32,7 @@
       endpoints: this.endpoints,
       loads: {
         isCollector: false,
-        collector: "holder",
+        collector: "coordinator",
         getCollectors: () => new Map(),
         getKnownSinceMs: () => undefined,
       },
@@ -53,47 +53,47 @@
   }
 }
 
-// Guards against messages for each request that waits for room on days without any limit.
-test("nothing is asked while no endpoint names a limit", async (t) => {
-  const scene = new Scene();
-  scene.demand.noteWaiting();
-  for (let tick = 0; tick < 4; tick++) await scene.exchange.tick();
-  t.deepEqual(scene.asks, []);
+// Guards against a message for each request that waits for capacity while no limit is in force.
+test("no permits are requested while no endpoint names a limit", async (t) => {
+  const fixture = new Fixture();
+  fixture.demand.noteWaiting();
+  for (let tick = 0; tick < 4; tick++) await fixture.exchange.tick();
+  t.deepEqual(fixture.permitRequests, []);
 });
 
-test("permits come with an answer, and run out unless they are used", async (t) => {
-  const scene = new Scene();
-  scene.limit();
-  for (let tick = 0; tick < 2; tick++) await scene.exchange.tick();
-  t.is(scene.asks.length, 1, "without waiting requests each other tick asks");
-  t.deepEqual([scene.asks[0]?.lending, scene.asks[0]?.known], [1, 8]);
-  t.is(scene.countPermits(), 2);
-  t.truthy(scene.endpoints.get("engine")?.tryTakePermit(scene.nowMs));
-  scene.nowMs += 1_000;
-  t.is(scene.countPermits(), 0);
-  for (let tick = 0; tick < 2; tick++) await scene.exchange.tick();
-  const [wanted] = scene.asks[1]?.wants ?? [];
+test("permits arrive with a response and expire unless they are used", async (t) => {
+  const fixture = new Fixture();
+  fixture.limit();
+  for (let tick = 0; tick < 2; tick++) await fixture.exchange.tick();
+  t.is(fixture.permitRequests.length, 1, "without waiting requests every second tick sends a permit request");
+  t.deepEqual([fixture.permitRequests[0]?.lending, fixture.permitRequests[0]?.known], [1, 8]);
+  t.is(fixture.countPermits(), 2);
+  t.truthy(fixture.endpoints.get("engine")?.tryTakePermit(fixture.nowMs));
+  fixture.nowMs += 1_000;
+  t.is(fixture.countPermits(), 0);
+  for (let tick = 0; tick < 2; tick++) await fixture.exchange.tick();
+  const [wanted] = fixture.permitRequests[1]?.wants ?? [];
   t.deepEqual([wanted?.used, wanted?.returned], [1, 1]);
 });
 
-test("an instance at which requests wait asks in each tick, for as many as wait", async (t) => {
-  const scene = new Scene();
-  scene.limit();
-  scene.demand.addQueue(() => 3);
-  await scene.exchange.tick();
-  scene.nowMs += 100;
-  await scene.exchange.tick();
-  t.is(scene.asks.length, 2);
-  t.is(scene.asks[0]?.wants[0]?.waiting, 3);
+test("an instance at which requests wait requests permits in each tick, for all of these requests", async (t) => {
+  const fixture = new Fixture();
+  fixture.limit();
+  fixture.demand.addQueue(() => 3);
+  await fixture.exchange.tick();
+  fixture.nowMs += 100;
+  await fixture.exchange.tick();
+  t.is(fixture.permitRequests.length, 2);
+  t.is(fixture.permitRequests[0]?.wants[0]?.waiting, 3);
 });
 
-test("sends from before the limit was known are told once", async (t) => {
-  const scene = new Scene();
-  scene.endpoints.get("engine")?.tryTakePermit(scene.nowMs);
-  scene.limit();
-  for (let tick = 0; tick < 4; tick++) await scene.exchange.tick();
+test("requests that were sent before the limit was known are reported once", async (t) => {
+  const fixture = new Fixture();
+  fixture.endpoints.get("engine")?.tryTakePermit(fixture.nowMs);
+  fixture.limit();
+  for (let tick = 0; tick < 4; tick++) await fixture.exchange.tick();
   t.deepEqual(
-    scene.asks.map(({ wants }) => wants[0]?.charged ?? 0),
+    fixture.permitRequests.map(({ wants }) => wants[0]?.charged ?? 0),
     [1, 0],
   );
 });
--- a/packages/gateway/src/tests/peers/RelayedChangesTests.ts
+++ b/packages/gateway/src/tests/peers/RelayedChangesTests.ts
@@ -1,4 +1,4 @@
-/** Configurations are told as what changes, and read whole by those that do not have the version before. */
+/** Tests that configurations are relayed as deltas, and read from the store by instances that lack the previous version. */
 import test from "ava";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
 import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
@@ -17,35 +17,35 @@
 const first = createConfiguration(1);
 const second = createConfiguration(2, [createRoute(), createRoute({ name: "added" })]);
 
-test("a member that has the version before takes the change", (t) => {
-  const told = create(first, second).toTold([{ key: "config", value: second }]);
-  t.truthy(told);
-  if (told === undefined) return;
-  const taken = create(first).fromTold(told);
-  t.deepEqual(taken, [{ key: "config", value: second }]);
+test("a member that has the previous version decodes the change", (t) => {
+  const encoded = create(first, second).toTold([{ key: "config", value: second }]);
+  t.truthy(encoded);
+  if (encoded === undefined) return;
+  const decoded = create(first).fromTold(encoded);
+  t.deepEqual(decoded, [{ key: "config", value: second }]);
 });
 
-test("a member that has another version takes nothing, and has to read", (t) => {
-  const told = create(first, second).toTold([{ key: "config", value: second }]);
-  if (told === undefined) return t.fail("nothing was told");
-  t.is(create().fromTold(told), undefined);
-  t.is(create(createConfiguration(3)).fromTold(told), undefined);
+test("a member that has another version decodes nothing, and has to read the store", (t) => {
+  const encoded = create(first, second).toTold([{ key: "config", value: second }]);
+  if (encoded === undefined) return t.fail("the change was not encoded");
+  t.is(create().fromTold(encoded), undefined);
+  t.is(create(createConfiguration(3)).fromTold(encoded), undefined);
 });
 
-test("a reader that has no version before, and a change of many parts, tell only the fact", (t) => {
+test("a change without a previous version, or of many items, is not encoded", (t) => {
   t.is(create(second).toTold([{ key: "config", value: second }]), undefined);
   const many = Array.from({ length: 100 }, (_value, index) => createRoute({ name: `r${index}` }));
   const large = createConfiguration(2, many);
   t.is(create(first, large).toTold([{ key: "config", value: large }]), undefined);
 });
 
-test("members hear of entries, drops and entries that can't be read as the reader does", (t) => {
-  const relayed = new WholeChanges(listedEndpointSchema);
+test("set, removed and unreadable values are relayed unchanged", (t) => {
+  const codec = new WholeChanges(listedEndpointSchema);
   const changes = [
     { key: "a", value: createListed("a", { bornAtMs: 7 }), isUnreadable: undefined },
     { key: "b", value: undefined, isUnreadable: undefined },
     { key: "c", value: undefined, isUnreadable: true },
   ];
-  const told = relayed.schema.parse(JSON.parse(JSON.stringify(relayed.toTold(changes))));
-  t.deepEqual(relayed.fromTold(told), changes);
+  const encoded = codec.schema.parse(JSON.parse(JSON.stringify(codec.toTold(changes))));
+  t.deepEqual(codec.fromTold(encoded), changes);
 });
--- a/packages/gateway/src/tests/peers/StoreRelayTests.ts
+++ b/packages/gateway/src/tests/peers/StoreRelayTests.ts
@@ -1,4 +1,4 @@
-/** One instance of a zone reads the store; the others know what it knows, and read by themselves once it can't. */
+/** Tests that one instance of a zone reads the store for the others, which read by themselves once it does not reach the store. */
 import test from "ava";
 import { errors, results, utils } from "@shedtiller/common";
 import {
@@ -20,14 +20,14 @@
 const topic = "endpoints-read";
 const tickMs = 200;
 const names = ["a", "b", "c"];
-/** Within this an endpoint that leaves has to be known. */
+/** Time within which all instances have to know that an endpoint drains. */
 const boundMs = 2_000;
 
-/** A store in memory. Held reads are answered when the test says so. */
+/** An in-memory store that is unreachable for selected readers. */
 class Store {
   readonly changes: Change<ListedEndpoint>[] = [];
   readonly cutOff = new Set<string>();
-  /** Reads of changes, by reader. */
+  /** Number of reads of changes, by reader. */
   readonly reads = new Map<string, number>();
 
   createFeed(reader: string): ChangeFeed<ListedEndpoint> {
@@ -76,12 +76,12 @@
     for (const name of names) this._add(name);
   }
 
-  /** Lets time pass; `isSkipped` names instances that stand still. After each tick all reads that are under way have been answered. */
+  /** Advances the clock tick by tick; `isSkipped` selects suspended instances. After each tick all pending reads have completed. */
   async run(ticks: number, isSkipped: (name: string) => boolean = () => false): Promise<void> {
     for (let tick = 0; tick < ticks; tick++) {
       this._nowMs += tickMs;
       for (const [name, { relay }] of this.instances) if (!isSkipped(name)) relay.check();
-      // Each turn of the loop answers reads and lets their followers go on.
+      // Each turn of the event loop completes reads and lets their followers continue.
       for (let turn = 0; turn < 20; turn++) await utils.yieldToEvents();
     }
   }
@@ -103,7 +103,7 @@
   private _add(name: string): void {
     const nowMs = (): number => this._nowMs;
     const known = new Set<string>();
-    const take = (changes: readonly Change<ListedEndpoint>[]): void => {
+    const apply = (changes: readonly Change<ListedEndpoint>[]): void => {
       for (const { key, value } of changes)
         if (value === undefined) known.delete(key);
         else known.add(key);
@@ -113,12 +113,12 @@
         known.clear();
         for (const key of values.keys()) known.add(key);
       },
-      onChanges: take,
+      onChanges: apply,
       onLost: () => undefined,
       onRegained: () => void (this.get(name).regained += 1),
     };
     const feed = this.store.createFeed(name);
-    // A pause is a turn of the loop: timers would tie the verdict to how fast this machine runs the turns of `run`.
+    // A pause is one turn of the event loop. With timers, the result would depend on how fast the machine runs the turns of `run`.
     const options = { waitMs: 0, retryMs: 0, gatherMs: 0, nowMs, pause: utils.yieldToEvents };
     const follower = new FeedFollower(feed, listener, options);
     const membership = this.network.join({ name, availabilityZone: "east" });
@@ -129,7 +129,7 @@
   }
 }
 
-test("one instance reads, and the others know each change and each proof without a call", async (t) => {
+test("one instance reads, and the others receive each change and stay fresh without a call", async (t) => {
   const zone = new Zone();
   await zone.run(4);
   t.is(zone.getReaders().length, 1);
@@ -144,7 +144,7 @@
   zone.stop();
 });
 
-test("a drop that is told is known, and one that does not join on is read from the store", async (t) => {
+test("a relayed read that does not continue at an instance's offset makes it read the store", async (t) => {
   const zone = new Zone();
   await zone.run(4);
   const [reader = ""] = zone.getReaders();
@@ -160,7 +160,7 @@
   zone.stop();
 });
 
-test("when the store turns a reader away, all others know of a leaving endpoint within two seconds", async (t) => {
+test("when the store is unreachable for the reader, all others learn of a removed endpoint within two seconds", async (t) => {
   const zone = new Zone();
   zone.store.changes.push({ key: "x", value: createListed("x") });
   await zone.run(4);
@@ -172,7 +172,7 @@
   zone.stop();
 });
 
-test("a reader that the store turns away is followed by another, and proofs stay young everywhere else", async (t) => {
+test("a reader that does not reach the store is replaced, and all other instances stay fresh", async (t) => {
   const zone = new Zone();
   await zone.run(4);
   const [reader = ""] = zone.getReaders();
@@ -189,7 +189,7 @@
   zone.stop();
 });
 
-test("after the store was away for all, each instance learns that it is back before what it says", async (t) => {
+test("after the store was unreachable for all, each instance is notified that it has recovered", async (t) => {
   const zone = new Zone();
   await zone.run(4);
   for (const name of names) zone.store.cutOff.add(name);
@@ -200,7 +200,7 @@
   zone.stop();
 });
 
-test("an instance that stands in for its reader tells the others, which may not reach the store either", async (t) => {
+test("an instance that stands in for its reader relays to the others, which may not reach the store either", async (t) => {
   const zone = new Zone();
   zone.store.changes.push({ key: "x", value: createListed("x") });
   await zone.run(4);
@@ -213,17 +213,20 @@
   zone.stop();
 });
 
-test("what waited for an instance that stood still proves nothing newer than before its pause", async (t) => {
+test("reads that were buffered while an instance was suspended don't count as fresher than its suspension", async (t) => {
   const zone = new Zone();
   t.teardown(() => zone.stop());
   await zone.run(8);
-  const sleeper = names.find((name) => !zone.get(name).relay.isReader) ?? "";
-  const isAsleep = (name: string): boolean => name === sleeper;
-  zone.network.silence(sleeper);
-  await zone.run(30, isAsleep);
-  zone.network.restore(sleeper);
-  await zone.run(1, isAsleep);
-  t.true(zone.get(sleeper).follower.getProofAgeMs() >= 29 * tickMs, "read before its own first tick");
+  const suspended = names.find((name) => !zone.get(name).relay.isReader) ?? "";
+  const isSuspended = (name: string): boolean => name === suspended;
+  zone.network.silence(suspended);
+  await zone.run(30, isSuspended);
+  zone.network.restore(suspended);
+  await zone.run(1, isSuspended);
+  t.true(
+    zone.get(suspended).follower.getProofAgeMs() >= 29 * tickMs,
+    "processed before the first tick after the suspension",
+  );
   await zone.run(4);
-  t.true(zone.get(sleeper).follower.getProofAgeMs() <= 2 * tickMs);
+  t.true(zone.get(suspended).follower.getProofAgeMs() <= 2 * tickMs);
 });
--- a/packages/gateway/src/tests/peers/toMember.ts
+++ b/packages/gateway/src/tests/peers/toMember.ts
@@ -1,7 +1,6 @@
-/** Members as a membership lists them, where only their names and zones matter. */
 import type { Member, PeerIdentity } from "@shedtiller/membership";
 
-/** Gives a linked peer as a member. */
+/** Converts a linked peer to a member, for tests in which only its name and zone matter. */
 export function toMember(peer: PeerIdentity): Member {
   const unknown = {
     address: "",
