--- a/packages/gateway/src/configuration/ConfigurationHistory.ts
+++ b/packages/gateway/src/configuration/ConfigurationHistory.ts
@@ -1,56 +1,58 @@
-/** The last configurations in force at this instance, and what changed since each of them. */
-import { countParts, getDelta, type ConfigurationDelta } from "./configurationDelta.js";
+import { countItems, getDelta, type ConfigurationDelta } from "./configurationDelta.js";
 import type { ConfigurationKeeper } from "./ConfigurationKeeper.js";
 import type { GatewayConfiguration } from "./gatewayConfiguration.js";
 
 /**
- * Versions that are remembered. Their parts are mostly the same objects, so that one more takes 18 KB at 2,200 routes; while versions came
- * each 1.8 s, nothing but instances without any configuration was further behind.
+ * Number of retained versions. They share most of their items as objects, so one more version takes 18 KB at 2,200 routes. While a new
+ * version came every 1.8 s, only instances without any configuration were further behind than this.
  */
-const longestHistory = 8;
+const maxVersions = 8;
 /**
- * Changes with more parts than this are not told. A part takes some 300 bytes, so one that tells forty instances sends 0.4 MB at most: a
- * quarter of a second of a link of 14 Mbit/s, the smallest of the deployments at hand.
+ * Deltas with more items than this are not sent. An item takes about 300 bytes, so an instance that sends a delta to forty others sends at
+ * most 0.4 MB: a quarter of a second on a link of 14 Mbit/s, the slowest in the present deployments.
  */
-const mostToldParts = 32;
+const maxDeltaItems = 32;
 
-/** One history an instance. */
+/** Retains the last configurations that were in force at this instance, and computes the deltas from them to the newest one. */
 export class ConfigurationHistory {
-  /** The newest one is last. */
+  /** Retained configurations, the newest last. */
   private readonly _configurations: GatewayConfiguration[] = [];
-  /** Changes to the newest one that were asked for, by version: many peers ask for the same at once, and one takes 4 ms of a small core. */
-  private readonly _known = new Map<number, ConfigurationDelta | undefined>();
+  /**
+   * Cached deltas to the newest version, by base version. Many peers request the same delta at once, and computing it takes 4 ms on a
+   * small core.
+   */
+  private readonly _deltas = new Map<number, ConfigurationDelta | undefined>();
 
   constructor(keeper: ConfigurationKeeper) {
     keeper.onChanged(({ configuration }) => this._add(configuration));
   }
 
-  /** The one in force. */
+  /** The configuration in force. */
   get newest(): GatewayConfiguration | undefined {
     return this._configurations[this._configurations.length - 1];
   }
 
-  /** The one that was in force before. */
+  /** The configuration that was in force before the newest one. */
   get previous(): GatewayConfiguration | undefined {
     return this._configurations[this._configurations.length - 2];
   }
 
-  /** What changed from a version to the one in force; undefined where the version isn't remembered, or where it is too much to tell. */
+  /** Returns the delta from a version to the newest one, or undefined if the version is not retained or the delta is too large. */
   getDeltaFrom(version: number): ConfigurationDelta | undefined {
-    if (!this._known.has(version)) this._known.set(version, this._compareWith(version));
-    return this._known.get(version);
+    if (!this._deltas.has(version)) this._deltas.set(version, this._computeDeltaFrom(version));
+    return this._deltas.get(version);
   }
 
   private _add(configuration: GatewayConfiguration): void {
     this._configurations.push(configuration);
-    if (this._configurations.length > longestHistory) this._configurations.shift();
-    this._known.clear();
+    if (this._configurations.length > maxVersions) this._configurations.shift();
+    this._deltas.clear();
   }
 
-  private _compareWith(version: number): ConfigurationDelta | undefined {
+  private _computeDeltaFrom(version: number): ConfigurationDelta | undefined {
     const base = this._configurations.find((configuration) => configuration.version === version);
     if (base === undefined || this.newest === undefined) return undefined;
     const delta = getDelta(base, this.newest);
-    return delta === undefined || countParts(delta) > mostToldParts ? undefined : delta;
+    return delta === undefined || countItems(delta) > maxDeltaItems ? undefined : delta;
   }
 }
--- a/packages/gateway/src/configuration/ConfigurationKeeper.ts
+++ b/packages/gateway/src/configuration/ConfigurationKeeper.ts
@@ -1,45 +1,48 @@
-/** The configuration in force at this instance, and how fresh the proof is that nothing newer exists. */
 import { utils } from "@shedtiller/common";
 import type { GatewayConfiguration } from "./gatewayConfiguration.js";
 import { RouteTable } from "./RouteTable.js";
 
-/** Where a configuration came from: a read of the store, by this instance or told by the one that reads for its zone, or a peer's answer. */
+/** Source of a configuration: a read of the store, by this instance or relayed by the reader of its zone, or a response of a peer. */
 export type ConfigurationSource = "store" | "peer";
 
-/** Holds the newest configuration seen. Versions never go back within the life of a process. */
+/**
+ * Holds the configuration in force at this instance, and its freshness: the time at which the version was last known to be the newest in
+ * the store. Within the life of a process, versions never decrease.
+ */
 export class ConfigurationKeeper {
   private _table: RouteTable | undefined;
-  private _provenAtMs = Number.NEGATIVE_INFINITY;
+  private _freshAtMs = Number.NEGATIVE_INFINITY;
   private readonly _listeners: ((table: RouteTable, source: ConfigurationSource) => void)[] = [];
-  private readonly _known = new utils.Deferred<void>();
-  private _news = new utils.Deferred<void>();
+  private readonly _loaded = new utils.Deferred<void>();
+  private _update = new utils.Deferred<void>();
 
   /** @param nowMs - Monotonic clock, replaced in tests. */
   constructor(private readonly _nowMs: () => number = utils.monotonicMs) {}
 
-  /** Look-ups in the configuration in force; undefined until one is known. */
+  /** Look-ups in the configuration in force; undefined until the first one is loaded. */
   get table(): RouteTable | undefined {
     return this._table;
   }
 
+  /** Version in force, or -1 until the first one is loaded. */
   get version(): number {
     return this._table?.version ?? -1;
   }
 
-  /** How long ago the store is known to have held nothing newer; infinite before the first proof. */
+  /** Returns the age of the freshness, which is infinite until it is confirmed for the first time. */
   getProofAgeMs(): number {
-    return this._nowMs() - this._provenAtMs;
+    return this._nowMs() - this._freshAtMs;
   }
 
-  /** Resolves once a configuration is known, or after `patienceMs`. */
-  async waitUntilKnown(patienceMs: number): Promise<void> {
+  /** Resolves once a configuration is loaded, or after `timeoutMs`. */
+  async waitUntilKnown(timeoutMs: number): Promise<void> {
     if (this._table !== undefined) return;
-    await waitFor(this._known.promise, patienceMs);
+    await waitFor(this._loaded.promise, timeoutMs);
   }
 
-  /** Resolves with the next configuration or younger proof, or after `patienceMs`. */
-  waitForNews(patienceMs: number): Promise<void> {
-    return waitFor(this._news.promise, patienceMs);
+  /** Resolves with the next configuration or the next confirmation of freshness, or after `timeoutMs`. */
+  waitForNews(timeoutMs: number): Promise<void> {
+    return waitFor(this._update.promise, timeoutMs);
   }
 
   /** Calls `listener` for each version that comes into force. */
@@ -47,34 +50,34 @@
     this._listeners.push(listener);
   }
 
-  /** Takes a configuration; tells whether it is newer than the one in force. */
+  /** Puts a configuration into force if it is newer than the present one, and returns whether it is. */
   accept(configuration: GatewayConfiguration, source: ConfigurationSource = "store"): boolean {
     if (configuration.version <= this.version) return false;
     this._table = new RouteTable(configuration);
-    this._known.resolve();
+    this._loaded.resolve();
     for (const listener of this._listeners) listener(this._table, source);
-    this._tellNews();
+    this._notifyUpdate();
     return true;
   }
 
   /**
-   * Notes a proof that `version` was the newest at `atMs`. A proof for another version than ours proves nothing.
-   * @param atMs - Monotonic time before which the question was asked.
+   * Records that `version` was the newest in the store at `atMs`. This is ignored for versions other than the one in force.
+   * @param atMs - Monotonic time at which the read or request was sent.
    */
   confirm(version: number, atMs: number): void {
-    if (version !== this.version || atMs <= this._provenAtMs) return;
-    this._provenAtMs = atMs;
-    this._tellNews();
+    if (version !== this.version || atMs <= this._freshAtMs) return;
+    this._freshAtMs = atMs;
+    this._notifyUpdate();
   }
 
-  private _tellNews(): void {
-    this._news.resolve();
-    this._news = new utils.Deferred();
+  private _notifyUpdate(): void {
+    this._update.resolve();
+    this._update = new utils.Deferred();
   }
 }
 
-async function waitFor(event: Promise<void>, patienceMs: number): Promise<void> {
-  const patience = new AbortController();
-  await Promise.race([event, utils.sleep(patienceMs, patience.signal).catch(() => undefined)]);
-  patience.abort();
+async function waitFor(event: Promise<void>, timeoutMs: number): Promise<void> {
+  const timeout = new AbortController();
+  await Promise.race([event, utils.sleep(timeoutMs, timeout.signal).catch(() => undefined)]);
+  timeout.abort();
 }
--- a/packages/gateway/src/configuration/ConfigurationWatch.ts
+++ b/packages/gateway/src/configuration/ConfigurationWatch.ts
@@ -1,4 +1,3 @@
-/** Follows the operators' configuration in the store. */
 import type { Change, ChangeFeed, StoreError } from "../discovery/ChangeFeed.js";
 import { FeedFollower, type FollowOptions } from "../discovery/FeedFollower.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
@@ -9,13 +8,13 @@
 
 const retryMs = 250;
 
-/** One watch an instance. */
+/** Watches the operators' configuration in the store, and puts new versions into force. */
 export class ConfigurationWatch {
   readonly follower: FeedFollower<GatewayConfiguration>;
 
   /**
-   * @param deadlineMs - Within this of its acknowledgement a configuration has to be in force.
-   * @param clock - Monotonic clock and waits, replaced in tests.
+   * @param deadlineMs - Time after its acknowledgement by which a configuration has to be in force.
+   * @param clock - Monotonic clock and pauses, replaced in tests.
    */
   constructor(
     private readonly _keeper: ConfigurationKeeper,
@@ -26,9 +25,9 @@
   ) {
     const listener = {
       onSnapshot: (values: ReadonlyMap<string, GatewayConfiguration>, provenAtMs: number) =>
-        this._take([...values.values()], provenAtMs),
+        this._accept([...values.values()], provenAtMs),
       onChanges: (changes: readonly Change<GatewayConfiguration>[], provenAtMs: number) =>
-        this._take(
+        this._accept(
           changes.flatMap((change) => change.value ?? []),
           provenAtMs,
         ),
@@ -44,16 +43,17 @@
     _keeper.onChanged((table, source) => this._logInForce(table, source));
   }
 
+  /** Follows the feed until `signal` aborts. */
   run(signal: AbortSignal): Promise<void> {
     return this.follower.run(signal);
   }
 
-  private _take(configurations: readonly GatewayConfiguration[], provenAtMs: number): void {
+  private _accept(configurations: readonly GatewayConfiguration[], provenAtMs: number): void {
     for (const configuration of configurations) this._keeper.accept(configuration);
     this._keeper.confirm(this._keeper.version, provenAtMs);
   }
 
-  /** A held read without changes is no decision, and takes as long as it is held. */
+  /** Logs a read that returned changes. A long poll without changes is not worth a line, and its duration says nothing. */
   private _logRead(changes: number, nextOffset: number): void {
     if (changes === 0) return;
     const tookMs = Math.round(this.follower.getProofAgeMs());
--- a/packages/gateway/src/configuration/DenialProof.ts
+++ b/packages/gateway/src/configuration/DenialProof.ts
@@ -1,30 +1,30 @@
-/**
- * Whether this instance may say that a route or a key does not exist. Such an answer is final: callers don't come back. It is true only
- * if nothing newer has been in force for longer than the deadline, so it needs a proof that is younger than that; without one the caller
- * is told to come back. In the incident that led to this, callers got "no such route" 3.4 s after a configuration that has it.
- */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationKeeper } from "./ConfigurationKeeper.js";
 
-/** For the time between the check of a proof and the arrival of the answer, on links that are full. */
+/** Margin for the time between the check of the freshness and the arrival of the response on a congested link. */
 const marginMs = 500;
-/** What a proof takes from the instance that reads for its zone to the others. */
-const tellingMs = 100;
-/** Reads are held no longer than this, since a proof has to stay well below the bound on revoked keys, 5 s on the deployments at hand. */
-const longestHeldReadMs = 1_500;
+/** Time that a relayed read takes from the reader of a zone to the other instances. */
+const relayMs = 100;
+/** Maximum duration of a long poll. The age of the freshness has to stay well below the bound for revoked keys, 5 s in present deployments. */
+const maxLongPollMs = 1_500;
 
-/** What a proof of denials is made of. */
+/** Dependencies of {@link NotFoundFreshness}. */
 export interface DenialProofStructure {
   readonly keeper: Pick<ConfigurationKeeper, "getProofAgeMs" | "waitForNews">;
-  /** For how long a newer configuration has been known to exist that is not in force here. */
+  /** Returns for how long a newer configuration has been known to exist without being in force at this instance. */
   readonly getBehindMs: () => number;
-  /** Within this of its acknowledgement a configuration has to be in force. */
+  /** Returns the time after its acknowledgement by which a configuration has to be in force. */
   readonly getDeadlineMs: () => number;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: () => number;
 }
 
-/** One an instance. */
+/**
+ * Decides whether the configuration is fresh enough to respond that a route or a key does not exist. Callers don't retry after such a
+ * response, so it has to be true: a newer configuration must not have been in force for longer than the deadline. If the configuration is
+ * not fresh enough, callers are told to retry. Before this check existed, callers were told "no such route" 3.4 s after a configuration
+ * with that route.
+ */
 export class DenialProof {
   private readonly _nowMs: () => number;
 
@@ -32,36 +32,40 @@
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
-  /** Whether what is not in the configuration in force does not exist. */
+  /** Returns whether a route or key that is missing from the configuration in force does not exist. */
   isProven(): boolean {
     const { keeper, getBehindMs } = this._structure;
-    return getBehindMs() === 0 && keeper.getProofAgeMs() < this._getLongestAgeMs();
+    return getBehindMs() === 0 && keeper.getProofAgeMs() < this._getMaxAgeMs();
   }
 
-  /** Waits for a proof, or for a newer configuration, and tells whether there is a proof now. One that is long overdue isn't waited for. */
-  async wait(patienceMs: number): Promise<boolean> {
+  /**
+   * Waits until the configuration in force is fresh or a newer one is loaded, and returns whether it is fresh then. A freshness that is
+   * overdue by more than `timeoutMs` is not awaited.
+   */
+  async wait(timeoutMs: number): Promise<boolean> {
     const { keeper } = this._structure;
-    const endMs = this._nowMs() + patienceMs;
-    const isOverdue = keeper.getProofAgeMs() > this._getLongestAgeMs() + patienceMs;
+    const endMs = this._nowMs() + timeoutMs;
+    const isOverdue = keeper.getProofAgeMs() > this._getMaxAgeMs() + timeoutMs;
     while (!isOverdue && !this.isProven() && this._nowMs() < endMs) {
       await keeper.waitForNews(endMs - this._nowMs());
     }
     return this.isProven();
   }
 
-  private _getLongestAgeMs(): number {
-    return getLongestProofAgeMs(this._structure.getDeadlineMs());
+  private _getMaxAgeMs(): number {
+    return getMaxFreshnessAgeMs(this._structure.getDeadlineMs());
   }
 }
 
 /**
- * How long the store may hold a read of the configuration. A held read proves what was so when it was sent, so that a proof gets twice as
- * old as that: held for this long, proofs stay young enough for denials, and no request has to wait for one.
+ * Returns the duration of a long poll for the configuration. A long poll confirms the freshness as of the time when it was sent, so the age
+ * of the freshness reaches twice its duration. With this duration it stays fresh enough for "not found" responses, and no request has to
+ * wait.
  */
 export function getHeldReadMs(deadlineMs: number): number {
-  return Math.min(longestHeldReadMs, Math.max(0, getLongestProofAgeMs(deadlineMs) - tellingMs) / 2);
+  return Math.min(maxLongPollMs, Math.max(0, getMaxFreshnessAgeMs(deadlineMs) - relayMs) / 2);
 }
 
-function getLongestProofAgeMs(deadlineMs: number): number {
+function getMaxFreshnessAgeMs(deadlineMs: number): number {
   return Math.max(0, deadlineMs - marginMs);
 }
--- a/packages/gateway/src/configuration/RouteTable.ts
+++ b/packages/gateway/src/configuration/RouteTable.ts
@@ -1,4 +1,3 @@
-/** Look-ups in one version of the configuration. */
 import type {
   EngineProfile,
   GatewayAccount,
@@ -7,7 +6,7 @@
   Service,
 } from "./gatewayConfiguration.js";
 
-/** Finds routes by host and longest path prefix, services by name, and client accounts by key. */
+/** Indexes one version of the configuration: routes by host and longest path prefix, services by name, and client accounts by key. */
 export class RouteTable {
   readonly version: number;
   private readonly _routesByHost = new Map<string, Map<string, Route>>();
@@ -23,15 +22,15 @@
     }
   }
 
-  /** Whether requests need a key at all. */
+  /** Whether requests need an API key at all. */
   get hasAccounts(): boolean {
     return this.configuration.accounts !== undefined;
   }
 
   /**
-   * Finds the route of a request.
-   * @param host - Host without port.
-   * @param path - Path, with or without query.
+   * Returns the route of a request.
+   * @param host - Host name without the port.
+   * @param path - Path with or without a query.
    */
   getRoute(host: string, path: string): Route | undefined {
     const routes = this._routesByHost.get(host.toLowerCase());
@@ -46,12 +45,12 @@
     return undefined;
   }
 
-  /** How the engines of a service compute; undefined where its endpoints are no engines. */
+  /** Returns the performance profile of a service's engines, or undefined if its endpoints are no engines. */
   getEngineProfile(service: string): EngineProfile | undefined {
     return this._services.get(service)?.engine;
   }
 
-  /** The client account that a key belongs to. */
+  /** Returns the client account that an API key belongs to. */
   getAccount(apiKey: string): GatewayAccount | undefined {
     return this._accountsByKey.get(apiKey);
   }
--- a/packages/gateway/src/configuration/configurationDelta.ts
+++ b/packages/gateway/src/configuration/configurationDelta.ts
@@ -1,4 +1,4 @@
-/** What changes from one configuration to the next: versions have mostly the parts of the one before, some hundred or thousand. */
+/** Deltas between versions of the configuration. A version shares most of its hundreds or thousands of items with the previous one. */
 import * as zod from "zod";
 import {
   callerLimitsSchema,
@@ -8,18 +8,18 @@
   type GatewayConfiguration,
 } from "./gatewayConfiguration.js";
 
-/** Parts that were added or changed, and the names of those that were removed. */
-function createPartsSchema<T>(partSchema: zod.ZodType<T>) {
-  return zod.object({ set: zod.array(partSchema), removed: zod.array(zod.string()) });
+/** Creates the schema of a delta of named items: those added or changed, and the names of those removed. */
+function createItemsSchema<T>(itemSchema: zod.ZodType<T>) {
+  return zod.object({ set: zod.array(itemSchema), removed: zod.array(zod.string()) });
 }
 
 export const configurationDeltaSchema = zod.object({
   baseVersion: zod.number().int(),
   version: zod.number().int().nonnegative(),
-  routes: createPartsSchema(routeSchema),
-  services: createPartsSchema(serviceSchema),
-  /** Undefined where neither version has keys. */
-  accounts: createPartsSchema(gatewayAccountSchema).optional(),
+  routes: createItemsSchema(routeSchema),
+  services: createItemsSchema(serviceSchema),
+  /** Undefined if neither version has client accounts. */
+  accounts: createItemsSchema(gatewayAccountSchema).optional(),
   limits: callerLimitsSchema,
 });
 export type ConfigurationDelta = zod.infer<typeof configurationDeltaSchema>;
@@ -28,20 +28,20 @@
   readonly name: string;
 }
 
-interface PartsDelta<T> {
+interface ItemsDelta<T> {
   readonly set: T[];
   readonly removed: string[];
 }
 
-/** Gives what changes from `base` to `next`; undefined where names are not unique, or where keys come or go altogether. */
+/** Returns the delta from `base` to `next`, or undefined if names are not unique or only one of the versions has client accounts. */
 export function getDelta(
   base: GatewayConfiguration,
   next: GatewayConfiguration,
 ): ConfigurationDelta | undefined {
   if ((base.accounts === undefined) !== (next.accounts === undefined)) return undefined;
-  const routes = getPartsDelta(base.routes, next.routes);
-  const services = getPartsDelta(base.services, next.services);
-  const accounts = getPartsDelta(base.accounts ?? [], next.accounts ?? []);
+  const routes = getItemsDelta(base.routes, next.routes);
+  const services = getItemsDelta(base.services, next.services);
+  const accounts = getItemsDelta(base.accounts ?? [], next.accounts ?? []);
   if (routes === undefined || services === undefined || accounts === undefined) return undefined;
   return {
     baseVersion: base.version,
@@ -53,41 +53,41 @@
   };
 }
 
-/** Gives the configuration that a change leads to. Unchanged parts keep their order, and new ones follow. */
+/** Applies a delta to its base version. Unchanged items keep their order, and new ones follow. */
 export function applyDelta(base: GatewayConfiguration, delta: ConfigurationDelta): GatewayConfiguration {
   return {
     version: delta.version,
-    routes: applyParts(base.routes, delta.routes),
-    services: applyParts(base.services, delta.services),
-    accounts: delta.accounts === undefined ? undefined : applyParts(base.accounts ?? [], delta.accounts),
+    routes: applyItems(base.routes, delta.routes),
+    services: applyItems(base.services, delta.services),
+    accounts: delta.accounts === undefined ? undefined : applyItems(base.accounts ?? [], delta.accounts),
     limits: delta.limits,
   };
 }
 
-/** Parts that a change names. */
-export function countParts({ routes, services, accounts }: ConfigurationDelta): number {
-  const parts = [routes, services, accounts ?? { set: [], removed: [] }];
-  return parts.reduce((sum, { set, removed }) => sum + set.length + removed.length, 0);
+/** Returns the number of items that a delta sets or removes. */
+export function countItems({ routes, services, accounts }: ConfigurationDelta): number {
+  const deltas = [routes, services, accounts ?? { set: [], removed: [] }];
+  return deltas.reduce((sum, { set, removed }) => sum + set.length + removed.length, 0);
 }
 
-function getPartsDelta<T extends Named>(base: readonly T[], next: readonly T[]): PartsDelta<T> | undefined {
-  const before = new Map(base.map((part) => [part.name, part]));
-  const after = new Map(next.map((part) => [part.name, part]));
+function getItemsDelta<T extends Named>(base: readonly T[], next: readonly T[]): ItemsDelta<T> | undefined {
+  const before = new Map(base.map((item) => [item.name, item]));
+  const after = new Map(next.map((item) => [item.name, item]));
   if (before.size !== base.length || after.size !== next.length) return undefined;
   return {
-    set: next.filter((part) => !isSame(part, before.get(part.name))),
+    set: next.filter((item) => !isSame(item, before.get(item.name))),
     removed: [...before.keys()].filter((name) => !after.has(name)),
   };
 }
 
-function applyParts<T extends Named>(base: readonly T[], { set, removed }: PartsDelta<T>): T[] {
-  const parts = new Map(base.map((part) => [part.name, part]));
-  for (const name of removed) parts.delete(name);
-  for (const part of set) parts.set(part.name, part);
-  return [...parts.values()];
+function applyItems<T extends Named>(base: readonly T[], { set, removed }: ItemsDelta<T>): T[] {
+  const items = new Map(base.map((item) => [item.name, item]));
+  for (const name of removed) items.delete(name);
+  for (const item of set) items.set(item.name, item);
+  return [...items.values()];
 }
 
-/** Parts that did not change are mostly the same object, since decoders keep those of the version before. */
-function isSame(part: Named, other: Named | undefined): boolean {
-  return part === other || JSON.stringify(part) === JSON.stringify(other);
+/** Compares two items. Unchanged items are mostly the same object, since decoders reuse those of the previous version. */
+function isSame(item: Named, other: Named | undefined): boolean {
+  return item === other || JSON.stringify(item) === JSON.stringify(other);
 }
--- a/packages/gateway/src/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/configuration/gatewayConfiguration.ts
@@ -1,14 +1,14 @@
-/** The configuration of a gateway: routes, services, client accounts and limits, as checked data. */
+/** Schemas of the configuration of a gateway: routes, services, client accounts and limits. */
 import * as zod from "zod";
 
 const name = zod.string().min(1);
 const milliseconds = zod.number().nonnegative();
 
-/** A share of a route's requests that goes to a service. */
+/** A service that a share of a route's requests goes to. */
 export const routeTargetSchema = zod.object({ service: name, weight: zod.number().nonnegative() });
 export type RouteTarget = zod.infer<typeof routeTargetSchema>;
 
-/** What may be done with a request: sent again freely, sent once, or answered as a stream of events. */
+/** Kinds of routes: requests that may run repeatedly, requests that may run only once, and requests answered by an event stream. */
 export const routeKindSchema = zod.enum(["safe", "unsafe", "streaming"]);
 
 export const routeSchema = zod.object({
@@ -18,18 +18,18 @@
   pathPrefix: name,
   kind: routeKindSchema,
   targets: zod.array(routeTargetSchema).min(1),
-  /** Longest time that a request may be held. */
+  /** Maximum time from the arrival of a request to the end of its response. */
   timeoutMs: milliseconds,
-  /** Time to the first byte that counts as good. */
+  /** Latency objective for the first byte. */
   targetLatencyMs: milliseconds,
-  /** Longest pause between events of a stream that counts as good. */
+  /** Latency objective for the pause between two events of a stream. */
   targetPauseMs: milliseconds,
-  /** Most endpoints that one request may be sent to. */
+  /** Maximum number of endpoints that one request is sent to. */
   maxAttempts: zod.number().int().positive(),
   /** 0 is the most urgent. */
   priority: zod.number().int().nonnegative(),
   isAnonymousAllowed: zod.boolean(),
-  /** Whether a stream may go on at another endpoint after the last event that the caller has. */
+  /** Whether a stream may be resumed at another endpoint after the last event that the caller has received. */
   isResumable: zod.boolean(),
 });
 export type Route = zod.infer<typeof routeSchema>;
@@ -45,27 +45,27 @@
 });
 export type AcceleratorKind = zod.infer<typeof acceleratorKindSchema>;
 
-/** How the engines of a service compute; times hold for all layers on an accelerator of factor 1. */
+/** Performance profile of the engines of a service. Times hold for all layers on an accelerator of factor 1. */
 export const engineProfileSchema = zod.object({
-  /** Requests that an engine runs at once, counted at the first engine of a chain. */
+  /** Maximum number of requests that an engine runs at once, counted at the first engine of a chain. */
   slots: zod.number().int().positive(),
   layerCount: zod.number().int().positive(),
   layerMb: zod.number().positive(),
-  /** KV cache of one token over all layers. */
+  /** Size of the KV cache of one token over all layers. */
   kvBytesPerToken: zod.number().positive(),
-  /** Activations of one token at a boundary between stages. */
+  /** Size of the activations of one token at a boundary between stages. */
   activationBytes: zod.number().nonnegative(),
   stepMs: milliseconds,
   stepMsPerSequence: milliseconds,
   stepMsPerKiloToken: milliseconds,
   prefillTokensPerSecond: zod.number().positive(),
-  /** Time to load all layers. */
-  /** Token steps that each stream gets in a pass over all that waits at an engine. */
+  /** Token steps of each stream in one scheduling pass of an engine. */
   stepsPerPass: zod.number().positive(),
-  /** Tokens of prompts that one pass reads at most. */
+  /** Maximum number of prompt tokens that one scheduling pass processes. */
   promptTokensPerPass: zod.number().positive(),
+  /** Time to load all layers. */
   loadMs: milliseconds,
-  /** Loads that run side by side at full speed. */
+  /** Number of loads that run concurrently at full speed. */
   concurrentLoads: zod.number().int().positive(),
   usualPromptTokens: zod.number().positive(),
   usualAnswerTokens: zod.number().positive(),
@@ -78,12 +78,12 @@
   name,
   healthPath: zod.string(),
   maxConnections: zod.number().int().positive(),
-  /** Present where the endpoints are engines that hold layer ranges. */
+  /** Present if the endpoints are engines that load layer ranges. */
   engine: engineProfileSchema.optional(),
 });
 export type Service = zod.infer<typeof serviceSchema>;
 
-/** Bounds on what a caller may send and how long it may take or rest. */
+/** Limits on the size of callers' requests, and on the time that callers may take or stay idle. */
 export const callerLimitsSchema = zod.object({
   maxHeaderBytes: zod.number().int().positive(),
   maxBodyBytes: zod.number().int().positive(),
@@ -95,7 +95,7 @@
 export const gatewayAccountSchema = zod.object({
   name,
   apiKeys: zod.array(zod.string()),
-  /** Goes before the priority of the route. */
+  /** Overrides the priority of the route. */
   priority: zod.number().int().nonnegative().optional(),
 });
 export type GatewayAccount = zod.infer<typeof gatewayAccountSchema>;
@@ -105,7 +105,7 @@
   routes: zod.array(routeSchema),
   services: zod.array(serviceSchema),
   limits: callerLimitsSchema,
-  /** Undefined where the deployment has no keys at all. */
+  /** Undefined if the deployment has no API keys at all. */
   accounts: zod.array(gatewayAccountSchema).optional(),
 });
 export type GatewayConfiguration = zod.infer<typeof gatewayConfigurationSchema>;
--- a/packages/gateway/src/logs/DecisionLog.ts
+++ b/packages/gateway/src/logs/DecisionLog.ts
@@ -1,18 +1,16 @@
-/** Structured logs: one object a line for each decision, bounded in volume, never blocking. */
-
-/** Fields of a line; values are plain data. */
+/** Fields of a log line; their values are plain data. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined | readonly string[]>>;
 
 export type LogLevel = "info" | "warn" | "error";
 
-/** Takes lines that are within the budget. */
+/** Writes the log lines that are within the budget. */
 export abstract class LogSink {
-  /** Whether the reader of the output has fallen behind. */
+  /** Returns whether the consumer of the output has fallen behind. */
   abstract isBehind(): boolean;
   abstract write(level: LogLevel, event: string, fields: LogFields): void;
 }
 
-/** Lines a second for each event name; one failed request has about five lines. Measured: a line costs about 20 µs. */
+/** Maximum lines per second for each event name. A failed request causes about five lines, and a line takes about 20 µs. */
 const linesPerSecond: Readonly<Record<LogLevel, number>> = { info: 20, warn: 60, error: 60 };
 const windowMs = 1_000;
 
@@ -22,7 +20,10 @@
   leftOut: number;
 }
 
-/** Writes decisions within a budget for each kind, and says how many lines were left out. */
+/**
+ * Logs decisions as structured lines within a rate limit for each event name, and counts the lines that were left out. Logging never
+ * blocks: lines are left out while the consumer of the output is behind.
+ */
 export class DecisionLog {
   private readonly _usages = new Map<string, Usage>();
 
--- a/packages/gateway/src/logs/WinstonSink.ts
+++ b/packages/gateway/src/logs/WinstonSink.ts
@@ -1,11 +1,10 @@
-/** Writes log lines to the standard output through winston, one JSON object a line. */
 import * as winston from "winston";
 import { LogSink, type LogFields, type LogLevel } from "./DecisionLog.js";
 
-/** Lines are left out while this much waits for a reader of the output. */
-const maxWaitingBytes = 64 * 1024;
+/** Lines are left out while more than this is buffered for the consumer of the output. */
+const maxBufferedBytes = 64 * 1024;
 
-/** The sink of a process. */
+/** Writes log lines to the standard output through winston, one JSON object per line. */
 export class WinstonSink extends LogSink {
   private readonly _logger: winston.Logger;
 
@@ -24,7 +23,7 @@
   }
 
   override isBehind(): boolean {
-    return this._output.writableLength > maxWaitingBytes;
+    return this._output.writableLength > maxBufferedBytes;
   }
 
   override write(level: LogLevel, event: string, fields: LogFields): void {
--- a/packages/gateway/src/tests/configuration/ConfigurationKeeperTests.ts
+++ b/packages/gateway/src/tests/configuration/ConfigurationKeeperTests.ts
@@ -1,10 +1,10 @@
-/** Versions never go back, and a proof of freshness is worth what it proves. */
+/** Tests that versions never decrease, that freshness is confirmed only for the version in force, and look-ups of routes and keys. */
 import test from "ava";
 import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
 import { RouteTable } from "../../configuration/RouteTable.js";
 import { createConfiguration, createRoute } from "../createParts.js";
 
-test("an older version is not taken", (t) => {
+test("an older version is not accepted", (t) => {
   const keeper = new ConfigurationKeeper(() => 0);
   t.true(keeper.accept(createConfiguration(5)));
   t.false(keeper.accept(createConfiguration(4)));
@@ -12,7 +12,7 @@
   t.is(keeper.version, 5);
 });
 
-test("a proof counts from its question and only for the version in force", (t) => {
+test("freshness counts from the time of the request, and only for the version in force", (t) => {
   let nowMs = 1_000;
   const keeper = new ConfigurationKeeper(() => nowMs);
   t.is(keeper.getProofAgeMs(), Number.POSITIVE_INFINITY);
@@ -23,7 +23,7 @@
   nowMs = 2_000;
   t.is(keeper.getProofAgeMs(), 1_100);
   keeper.confirm(5, 100);
-  t.is(keeper.getProofAgeMs(), 1_100, "an older proof takes nothing away");
+  t.is(keeper.getProofAgeMs(), 1_100, "an older confirmation changes nothing");
 });
 
 test("the longest prefix of the host wins, whatever the query", (t) => {
@@ -39,7 +39,7 @@
   t.is(table.getRoute("notes.example", "/a"), undefined);
 });
 
-test("a key that was taken away is unknown in the next version", (t) => {
+test("a revoked key is unknown in the next version", (t) => {
   const before = new RouteTable(createConfiguration(1));
   const after = new RouteTable({ ...createConfiguration(2), accounts: [{ name: "farm", apiKeys: [] }] });
   t.is(before.getAccount("k1")?.name, "farm");
--- a/packages/gateway/src/tests/configuration/configurationDeltaTests.ts
+++ b/packages/gateway/src/tests/configuration/configurationDeltaTests.ts
@@ -1,10 +1,10 @@
-/** A change that is told leads to the same configuration as a read of the whole. */
+/** Tests that applying a delta leads to the same configuration as reading the whole one. */
 import test from "ava";
 import * as fc from "fast-check";
 import {
   applyDelta,
   configurationDeltaSchema,
-  countParts,
+  countItems,
   getDelta,
 } from "../../configuration/configurationDelta.js";
 import type { GatewayConfiguration, Route } from "../../configuration/gatewayConfiguration.js";
@@ -21,15 +21,15 @@
   }),
   { selector: ({ name }) => name },
 );
-const configurations = fc.record({ routes, accounts }).map((parts) => ({
+const configurations = fc.record({ routes, accounts }).map((items) => ({
   ...createConfiguration(
     1,
-    parts.routes.map((part): Route => createRoute(part)),
+    items.routes.map((route): Route => createRoute(route)),
   ),
-  accounts: parts.accounts,
+  accounts: items.accounts,
 }));
 
-/** Neither the order of routes nor that of accounts means anything: the longest prefix and the key decide. */
+/** Sorts routes and accounts. Their order has no meaning, since the longest prefix and the key decide. */
 function sort(configuration: GatewayConfiguration): unknown {
   const byName = (a: { name: string }, b: { name: string }): number => (a.name < b.name ? -1 : 1);
   return {
@@ -39,26 +39,26 @@
   };
 }
 
-test("a change joins on to its base, over the wire and back", (t) => {
+test("a delta that was serialized and parsed applies to its base", (t) => {
   const property = fc.property(configurations, configurations, (base, changed) => {
     const next = { ...changed, version: 2 };
     const delta = getDelta(base, next);
-    const told = configurationDeltaSchema.parse(JSON.parse(JSON.stringify(delta)));
-    t.deepEqual(sort(applyDelta(base, told)), sort(next));
+    const parsed = configurationDeltaSchema.parse(JSON.parse(JSON.stringify(delta)));
+    t.deepEqual(sort(applyDelta(base, parsed)), sort(next));
   });
   t.notThrows(() => fc.assert(property, { seed: 11, numRuns: 300 }));
 });
 
-test("only what changes is told", (t) => {
+test("a delta contains only the changed items", (t) => {
   const many = Array.from({ length: 1_000 }, (_value, index) => createRoute({ name: `r${index}` }));
   const next = [...many.slice(1), createRoute({ name: "new" })];
   const delta = getDelta(createConfiguration(1, many), createConfiguration(2, next));
-  t.is(delta === undefined ? undefined : countParts(delta), 2);
+  t.is(delta === undefined ? undefined : countItems(delta), 2);
 });
 
-test("names that stand twice, and keys that come altogether, are not told as a change", (t) => {
+test("there is no delta for duplicate names, or if only one version has client accounts", (t) => {
   const base = createConfiguration(1);
-  const twice = createConfiguration(2, [createRoute(), createRoute()]);
-  t.is(getDelta(base, twice), undefined);
+  const duplicate = createConfiguration(2, [createRoute(), createRoute()]);
+  t.is(getDelta(base, duplicate), undefined);
   t.is(getDelta({ ...base, accounts: undefined }, createConfiguration(2)), undefined);
 });
--- a/packages/gateway/src/tests/logs/DecisionLogTests.ts
+++ b/packages/gateway/src/tests/logs/DecisionLogTests.ts
@@ -1,4 +1,4 @@
-/** The volume of the log is bounded, and what was left out is counted. */
+/** Tests that the volume of the log is bounded, and that lines that were left out are counted. */
 import test from "ava";
 import { DecisionLog, LogSink, type LogFields, type LogLevel } from "../../logs/DecisionLog.js";
 
@@ -15,7 +15,7 @@
   }
 }
 
-test("lines beyond the budget of their kind are left out and counted", (t) => {
+test("lines beyond the rate limit of their event name are left out and counted", (t) => {
   const sink = new CollectingSink();
   let nowMs = 0;
   const log = new DecisionLog(sink, () => nowMs);
@@ -29,7 +29,7 @@
   t.is(sink.lines.at(-1)?.fields["leftOut"], 1_000 - often);
 });
 
-test("nothing is written while the reader of the output is behind", (t) => {
+test("nothing is written while the consumer of the output is behind", (t) => {
   const sink = new CollectingSink();
   const log = new DecisionLog(sink, () => 0);
   sink.isSlow = true;
