--- a/packages/admission/src/AccountLimits.ts
+++ b/packages/admission/src/AccountLimits.ts
@@ -1,4 +1,3 @@
-/** Limits of client accounts, held over all instances by shares. */
 import { results, utils } from "@shedtiller/common";
 import { RateMeter } from "./RateMeter.js";
 import { AdmissionRefusedError } from "./refusals.js";
@@ -6,39 +5,43 @@
 
 const demandTimeConstantMs = 2_000;
 const secondsPerMinute = 60;
-/** A bucket holds this much of its share, so that a short burst passes. */
+/** Capacity of a token bucket, as the time that its share of the limit takes to fill it. It lets short bursts pass. */
 const burstSeconds = 2;
 const concurrencyRetryMs = 500;
-const longestRetryMs = 60_000;
-const accountsExchanged = 32;
-const usageWorthTelling = 0.05;
+const maxRetryMs = 60_000;
+const maxExchangedAccounts = 32;
+/** Demands below this, as the sum of concurrency and tokens per second, are not sent to other instances. */
+const minExchangedDemand = 0.05;
 
-/** The limits that the configuration gives an account. */
+/** The limits of an account in the configuration. */
 export interface AccountLimit {
   readonly concurrency?: number | undefined;
   readonly tokensPerMinute?: number | undefined;
 }
 
-/** Demand of one account at one instance, as it is told to the others. */
+/** Demand of one account at one instance, as sent to the others. */
 export type AccountDemand = [account: string, concurrency: number, tokensPerSecond: number];
 
 interface AccountUsage {
   active: number;
-  readonly wantedStarts: RateMeter;
-  readonly wantedTokens: RateMeter;
-  /** Tokens that may be used now; refilled by the share of the limit. */
+  readonly demandedStarts: RateMeter;
+  readonly demandedTokens: RateMeter;
+  /** Tokens in the bucket, which is refilled at the instance's share of the limit. */
   balanceTokens: number;
   balanceAtMs: number;
   durationMs: number;
 }
 
-/** What is held for a request while it runs. */
+/** The concurrency slot and the tokens that are reserved for a request while it runs. */
 export interface AccountPermit {
-  /** Ends the request, giving back what it did not use. */
+  /** Ends the request, and returns the tokens that it did not use to the bucket. */
   release(usedTokens: number): void;
 }
 
-/** Admits by the account's shares at this instance. */
+/**
+ * Enforces the concurrency and token limits of client accounts. Each instance admits requests within its own share of a limit, which it
+ * computes from the demands of all instances.
+ */
 export class AccountLimits {
   private readonly _usages = new Map<string, AccountUsage>();
   private readonly _otherDemands = new Map<
@@ -51,20 +54,20 @@
   /** @param _nowMs - Monotonic clock, replaced in tests. */
   constructor(private readonly _nowMs: () => number = utils.monotonicMs) {}
 
-  /** Takes how the number of all instances is found, this one included, whether or not they have told their demands. */
+  /** Sets the source of the number of all instances, including this one and those that have not sent their demands. */
   setInstanceCounter(getInstanceCount: () => number): void {
     this._getInstanceCount = getInstanceCount;
   }
 
-  /** Admits a request of `tokens` (prompt and the longest answer), or tells when to come back. */
+  /** Admits a request of `tokens` (prompt and maximum response), or returns an error with the time after which to retry. */
   tryAdmit(
     account: string,
     limit: AccountLimit,
     tokens: number,
   ): results.Result<AccountPermit, AdmissionRefusedError> {
     const usage = this._getUsage(account, limit);
-    usage.wantedStarts.add(1);
-    usage.wantedTokens.add(tokens);
+    usage.demandedStarts.add(1);
+    usage.demandedTokens.add(tokens);
     if (
       limit.concurrency !== undefined &&
       usage.active + 1 > this._getConcurrencyShare(account, usage, limit.concurrency)
@@ -78,22 +81,22 @@
     return results.Ok(this._createPermit(usage, tokens));
   }
 
-  /** The demands that other instances should know, the largest first. */
+  /** Returns the demands to send to other instances, the largest first. */
   getDemands(): AccountDemand[] {
     const demands: AccountDemand[] = [];
     for (const [account, usage] of this._usages) {
       const demand: AccountDemand = [
         account,
         round(this._getConcurrencyDemand(usage)),
-        round(usage.wantedTokens.getPerSecond()),
+        round(usage.demandedTokens.getPerSecond()),
       ];
-      if (demand[1] + demand[2] > usageWorthTelling) demands.push(demand);
+      if (demand[1] + demand[2] > minExchangedDemand) demands.push(demand);
       else if (usage.active === 0) this._usages.delete(account);
     }
-    return demands.sort((a, b) => b[2] - a[2] || b[1] - a[1]).slice(0, accountsExchanged);
+    return demands.sort((a, b) => b[2] - a[2] || b[1] - a[1]).slice(0, maxExchangedAccounts);
   }
 
-  /** Demands of this instance and of the named others, in sum, for other zones. */
+  /** Returns the total demands of this instance and of the named others, for other zones. */
   getZoneDemands(names: ReadonlySet<string>): AccountDemand[] {
     const sums = new Map<string, AccountDemand>();
     const add = ([account, concurrency, tokens]: AccountDemand): void => {
@@ -103,19 +106,19 @@
     this.getDemands().forEach(add);
     for (const [source, { demands }] of this._otherDemands)
       if (names.has(source)) [...demands.values()].forEach(add);
-    return [...sums.values()].sort((a, b) => b[2] - a[2]).slice(0, accountsExchanged);
+    return [...sums.values()].sort((a, b) => b[2] - a[2]).slice(0, maxExchangedAccounts);
   }
 
   /**
-   * Takes the demands that another instance, or another zone in sum, told. They stand until the next ones, also while
-   * it is cut off.
+   * Sets the demands of another instance, or the total demands of another zone. They remain in effect until the next ones, also while the
+   * source is disconnected.
    */
   setDemands(source: string, demands: readonly AccountDemand[], instanceCount = 1): void {
     const byAccount = new Map(demands.map((demand) => [demand[0], demand]));
     this._otherDemands.set(source, { demands: byAccount, instanceCount });
   }
 
-  /** Forgets sources that are gone for good. */
+  /** Drops the demands of sources that are not in the given set. */
   keepSources(sources: ReadonlySet<string>): void {
     for (const name of this._otherDemands.keys()) if (!sources.has(name)) this._otherDemands.delete(name);
   }
@@ -126,10 +129,10 @@
     const perSecond = (limit.tokensPerMinute ?? 0) / secondsPerMinute;
     const usage: AccountUsage = {
       active: 0,
-      wantedStarts: new RateMeter(demandTimeConstantMs, this._nowMs),
-      wantedTokens: new RateMeter(demandTimeConstantMs, this._nowMs),
+      demandedStarts: new RateMeter(demandTimeConstantMs, this._nowMs),
+      demandedTokens: new RateMeter(demandTimeConstantMs, this._nowMs),
       balanceTokens:
-        (perSecond * burstSeconds) / Math.max(this._countHeard(account), this._getInstanceCount()),
+        (perSecond * burstSeconds) / Math.max(this._countReporting(account), this._getInstanceCount()),
       balanceAtMs: this._nowMs(),
       durationMs: utils.msPerSecond,
     };
@@ -137,10 +140,10 @@
     return usage;
   }
 
-  /** Requests that would be under way if none were refused (Little's law), and never fewer than there are. */
+  /** Returns the requests that would be active if none were rejected (Little's law), but at least the active ones. */
   private _getConcurrencyDemand(usage: AccountUsage): number {
-    const wanted = (usage.wantedStarts.getPerSecond() * usage.durationMs) / utils.msPerSecond;
-    return Math.max(usage.active, wanted);
+    const demanded = (usage.demandedStarts.getPerSecond() * usage.durationMs) / utils.msPerSecond;
+    return Math.max(usage.active, demanded);
   }
 
   private _getConcurrencyShare(account: string, usage: AccountUsage, limit: number): number {
@@ -148,10 +151,10 @@
     return Math.max(1, this._getShare(limit, this._getConcurrencyDemand(usage), otherDemands));
   }
 
-  /** Takes tokens from the balance; gives the time until there will be enough, or 0. */
+  /** Takes tokens from the bucket and returns 0, or returns the time until the bucket will contain enough. */
   private _tryTake(account: string, usage: AccountUsage, limitPerMinute: number, tokens: number): number {
     const limit = limitPerMinute / secondsPerMinute;
-    const ownDemand = usage.wantedTokens.getPerSecond();
+    const ownDemand = usage.demandedTokens.getPerSecond();
     const perSecond = this._getShare(limit, ownDemand, this._getOthers(account, 2));
     const nowMs = this._nowMs();
     const earned = ((nowMs - usage.balanceAtMs) / utils.msPerSecond) * perSecond;
@@ -160,21 +163,21 @@
     if (usage.balanceTokens < tokens) {
       const waitMs =
         ((tokens - usage.balanceTokens) / Math.max(perSecond, Number.EPSILON)) * utils.msPerSecond;
-      return Math.min(longestRetryMs, Math.max(1, waitMs));
+      return Math.min(maxRetryMs, Math.max(1, waitMs));
     }
     usage.balanceTokens -= tokens;
     return 0;
   }
 
-  private _countHeard(account: string): number {
+  private _countReporting(account: string): number {
     return this._getOthers(account, 1).length + 1;
   }
 
-  /** Instances that have told nothing may want as much as any other: an equal part of the limit stays with each of them. */
+  /** Returns this instance's share of a limit. Instances that have sent no demands may have any demand, so each of them keeps an equal share. */
   private _getShare(limit: number, ownDemand: number, otherDemands: readonly number[]): number {
-    const heard = 1 + otherDemands.length;
-    const known = Math.max(heard, this._getInstanceCount());
-    return getShare({ limit: (limit * heard) / known, ownDemand, otherDemands });
+    const reporting = 1 + otherDemands.length;
+    const known = Math.max(reporting, this._getInstanceCount());
+    return getShare({ limit: (limit * reporting) / known, ownDemand, otherDemands });
   }
 
   private _getOthers(account: string, field: 1 | 2): number[] {
--- a/packages/admission/src/Admission.ts
+++ b/packages/admission/src/Admission.ts
@@ -1,36 +1,35 @@
-/** What a queue in front of a pipeline is asked for, and the base of all queues. */
 import type { results } from "@shedtiller/common";
 import type { AdmissionRefusedError } from "./refusals.js";
 
-/** What a request asks the queue for. */
+/** A request for admission to a pipeline. */
 export interface AdmissionRequest {
   readonly requestId: string;
   readonly account: string;
-  /** Rank of its class; 1 is the highest. */
+  /** Rank of the priority class; 1 is the highest. */
   readonly rank: number;
-  /** Share of the grants that its class gets even while higher ones wait. */
+  /** Minimum share of the grants that the class receives even while higher classes wait. */
   readonly floorShare: number;
-  /** Prompt and longest answer. */
+  /** Tokens of the prompt and the maximum response. */
   readonly tokens: number;
-  /** Monotonic milliseconds after which nobody wants the answer. */
+  /** Monotonic time after which the response is no longer needed. */
   readonly deadlineMs: number;
   readonly signal: AbortSignal;
 }
 
-/** The right to run, given back with `release`. */
+/** Permission to run, returned with `release`. */
 export interface AdmissionPermit {
   readonly waitedMs: number;
   release(): void;
 }
 
-/** The base of queues, so that the bench can put another one in its place. */
+/** Admission control in front of a pipeline. The class is abstract so that benchmarks can replace the queue. */
 export abstract class Admission {
-  /** Waits for the right to run. */
+  /** Waits until the request may run, or rejects it. */
   abstract acquire(
     request: AdmissionRequest,
   ): Promise<results.Result<AdmissionPermit, AdmissionRefusedError>>;
-  /** Streams under way. */
+  /** Number of active streams. */
   abstract readonly active: number;
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   abstract readonly waiting: number;
 }
--- a/packages/admission/src/AdmissionQueue.ts
+++ b/packages/admission/src/AdmissionQueue.ts
@@ -1,14 +1,13 @@
-/** The queue in front of a pipeline: by priority class, fair between accounts by tokens, shedding early. */
 import { results, utils } from "@shedtiller/common";
 import { Admission, type AdmissionPermit, type AdmissionRequest } from "./Admission.js";
 import { RateMeter } from "./RateMeter.js";
 import { AdmissionRefusedError } from "./refusals.js";
 
-/** Settings of the queue. */
+/** Options of {@link AdmissionQueue}. */
 export interface AdmissionOptions {
-  /** Longest wait that still makes sense; a request that would wait longer is refused at once. */
+  /** Maximum wait; a request that would wait longer is rejected at once. */
   readonly longestWaitMs: number;
-  /** Part of the capacity that each rank below the highest leaves free for the ranks above it. */
+  /** Share of the capacity that each rank below the highest leaves free for the ranks above it. */
   readonly reservePerRank: number;
 }
 
@@ -16,19 +15,22 @@
 
 const rateTimeConstantMs = 2_000;
 const grantTimeConstantMs = 10_000;
-const shortestRetryMs = 200;
-const longestRetryMs = 30_000;
-const lowestLimitPart = 0.5;
+const minRetryMs = 200;
+const maxRetryMs = 30_000;
+const minLimitShare = 0.5;
 
 interface Waiting {
   readonly request: AdmissionRequest;
-  /** Virtual start time within its class (start-time fair queuing; Goyal, Vin and Cheng, 1996). */
+  /** Virtual start time within the priority class (start-time fair queuing; Goyal, Vin and Cheng, 1996). */
   readonly startTag: number;
   readonly sinceMs: number;
   readonly done: utils.Deferred<results.Result<AdmissionPermit, AdmissionRefusedError>>;
 }
 
-/** Grants the highest rank first, with floors for the others, and refuses early what could not be served in time. */
+/**
+ * Queues requests in front of a pipeline. The highest priority class is granted first, with a minimum share for each of the others; within
+ * a class, accounts share the capacity fairly by tokens. Requests that could not be served in time are rejected early (load shedding).
+ */
 export class AdmissionQueue extends Admission {
   private readonly _waiting: Waiting[] = [];
   private _active = 0;
@@ -38,7 +40,7 @@
   private _virtualTime = 0;
 
   /**
-   * @param _getLimit - Streams that may be under way now.
+   * @param _getLimit - Returns the maximum number of active streams.
    * @param _nowMs - Monotonic clock, replaced in tests.
    */
   constructor(
@@ -63,13 +65,13 @@
   ): Promise<results.Result<AdmissionPermit, AdmissionRefusedError>> {
     const waiting = this._createWaiting(request);
     this._waiting.push(waiting);
-    request.signal.addEventListener("abort", () => this._refuse(waiting, "cancelled", 0), { once: true });
+    request.signal.addEventListener("abort", () => this._reject(waiting, "cancelled", 0), { once: true });
     this._grantAll();
     if (this._waiting.includes(waiting)) this._shed();
     return waiting.done.promise;
   }
 
-  /** Looks again whether more may run, after the limit has changed. */
+  /** Grants further requests after the limit has changed. */
   refresh(): void {
     this._grantAll();
   }
@@ -83,17 +85,17 @@
 
   private _grantAll(): void {
     for (;;) {
-      const next = this._pickNext();
+      const next = this._getNext();
       if (next === undefined) return;
       this._grant(next);
     }
   }
 
-  /** The next to run: a class below its floor first, then the highest rank; within it the smallest start tag. */
-  private _pickNext(): Waiting | undefined {
+  /** Returns the next request to grant: first from classes below their minimum share, then by rank, and within a rank by start tag. */
+  private _getNext(): Waiting | undefined {
     const starved = this._waiting.filter((w) => this._isBelowFloor(w) && this._active < this._getLimit());
     const candidates =
-      starved.length > 0 ? starved : this._waiting.filter((w) => this._hasRoom(w.request.rank));
+      starved.length > 0 ? starved : this._waiting.filter((w) => this._hasCapacity(w.request.rank));
     return candidates.reduce<Waiting | undefined>(
       (best, w) => (best === undefined || isBefore(w, best) ? w : best),
       undefined,
@@ -108,10 +110,10 @@
     return own < floorShare * all;
   }
 
-  /** Lower ranks leave some room free, so that a higher one need not wait for an end. */
-  private _hasRoom(rank: number): boolean {
-    const part = Math.max(lowestLimitPart, 1 - this._options.reservePerRank * (rank - 1));
-    return this._active < Math.max(1, Math.floor(this._getLimit() * part));
+  /** Returns whether a rank has capacity. Lower ranks leave some capacity free, so that higher ones need not wait for a stream to end. */
+  private _hasCapacity(rank: number): boolean {
+    const share = Math.max(minLimitShare, 1 - this._options.reservePerRank * (rank - 1));
+    return this._active < Math.max(1, Math.floor(this._getLimit() * share));
   }
 
   private _grant(waiting: Waiting): void {
@@ -134,12 +136,12 @@
     waiting.done.resolve(results.Ok({ waitedMs: this._nowMs() - waiting.sinceMs, release }));
   }
 
-  /** Refuses, the lowest class and the youngest first, until those that stay can be served in time. */
+  /** Rejects requests, the lowest class and the newest first, until the remaining ones can be served in time. */
   private _shed(): void {
     for (;;) {
       const late = this._findLate();
       if (late === undefined) return;
-      this._refuse(late, "overload", this._getRetryAfterMs());
+      this._reject(late, "overload", this._getRetryAfterMs());
     }
   }
 
@@ -150,26 +152,26 @@
       const waiting = ordered[index];
       if (waiting === undefined) continue;
       const waitMs = ((index + 1) / perSecond) * utils.msPerSecond;
-      const patienceMs = Math.min(this._options.longestWaitMs, waiting.request.deadlineMs - this._nowMs());
-      if (waitMs > patienceMs) return waiting;
+      const maxWaitMs = Math.min(this._options.longestWaitMs, waiting.request.deadlineMs - this._nowMs());
+      if (waitMs > maxWaitMs) return waiting;
     }
     return undefined;
   }
 
-  /** Ends a second; before any was seen, as many as streams may be under way, since most take about a second. */
+  /** Returns the streams that end per second. Before any has ended, this is the limit of active streams, since most take about a second. */
   private _getEndsPerSecond(): number {
     const measured = this._ends.getSeenPerSecond();
     return measured > 0 ? Math.max(1, measured) : Math.max(1, this._getLimit());
   }
 
-  /** By when the queue that stands now will have been served. */
+  /** Returns the time that it takes to serve the present queue, within bounds. */
   private _getRetryAfterMs(): number {
     const perSecond = this._getEndsPerSecond();
     const drainMs = (this._waiting.length / perSecond) * utils.msPerSecond;
-    return Math.min(longestRetryMs, Math.max(shortestRetryMs, drainMs));
+    return Math.min(maxRetryMs, Math.max(minRetryMs, drainMs));
   }
 
-  private _refuse(waiting: Waiting, reason: "overload" | "cancelled", retryAfterMs: number): void {
+  private _reject(waiting: Waiting, reason: "overload" | "cancelled", retryAfterMs: number): void {
     if (!this._remove(waiting)) return;
     waiting.done.resolve(results.Err(new AdmissionRefusedError(reason, retryAfterMs)));
   }
@@ -181,7 +183,7 @@
     return true;
   }
 
-  /** Tags behind the virtual time say nothing any more. */
+  /** Drops finish tags that the virtual time has passed, since they no longer affect start tags. */
   private _dropOldTags(): void {
     const tagsBeforeSweep = 1_000;
     if (this._finishTags.size < tagsBeforeSweep) return;
--- a/packages/admission/src/ArrivalOrderAdmission.ts
+++ b/packages/admission/src/ArrivalOrderAdmission.ts
@@ -1,9 +1,8 @@
-/** The baseline that the bench compares against. */
 import { results, utils } from "@shedtiller/common";
 import { Admission, type AdmissionPermit, type AdmissionRequest } from "./Admission.js";
 import { AdmissionRefusedError } from "./refusals.js";
 
-/** First come, first served, without shedding: the baseline that the bench compares against. */
+/** Admits requests in the order of their arrival, without load shedding. Benchmarks use it as the baseline. */
 export class ArrivalOrderAdmission extends Admission {
   private readonly _queue: {
     request: AdmissionRequest;
--- a/packages/admission/src/RateMeter.ts
+++ b/packages/admission/src/RateMeter.ts
@@ -1,16 +1,16 @@
-/** A rate that forgets: an exponentially weighted sum over a time constant. */
 import { utils } from "@shedtiller/common";
 
-const youngestMs = 500;
+/** Minimum age that is assumed of a new meter, so that its first events don't give an excessive rate. */
+const minAgeMs = 500;
 
-/** Measures events a second. */
+/** Measures a rate as an exponentially decaying sum over a time constant. */
 export class RateMeter {
   private _sum = 0;
   private _atMs: number;
   private readonly _startedAtMs: number;
 
   /**
-   * @param timeConstantMs - After this time an event counts 1/e.
+   * @param timeConstantMs - Time after which the weight of an event has decayed to 1/e.
    * @param _nowMs - Monotonic clock, replaced in tests.
    */
   constructor(
@@ -26,15 +26,15 @@
     this._sum += amount;
   }
 
-  /** Amount a second, as if nothing had been before the meter was made. Fit for comparing meters of different ages. */
+  /** Returns the amount per second, assuming no events before the meter was created. Suited to comparing meters of different ages. */
   getPerSecond(): number {
     this._decay();
     return (this._sum / this.timeConstantMs) * utils.msPerSecond;
   }
 
-  /** Amount a second over what a young meter has seen. Fit for predicting. */
+  /** Returns the amount per second over the lifetime of a young meter. Suited to predictions. */
   getSeenPerSecond(): number {
-    const ageMs = Math.max(youngestMs, this._nowMs() - this._startedAtMs);
+    const ageMs = Math.max(minAgeMs, this._nowMs() - this._startedAtMs);
     return this.getPerSecond() / (1 - Math.exp(-ageMs / this.timeConstantMs));
   }
 
--- a/packages/admission/src/permits/LentParts.ts
+++ b/packages/admission/src/permits/LentParts.ts
@@ -1,81 +1,80 @@
-/**
- * The parts of limits that instances and zones have lent to one coordinator. Each instance has an equal part of every limit; a part is lent
- * with each ask, and counts once no other coordinator can have it any more.
- */
 import { utils } from "@shedtiller/common";
 import type { PermitAsk } from "./permitMessages.js";
 
-/** A part that is lent comes back after this without another ask. */
+/** Duration for which a quota share is lent. Each permit request renews it; otherwise it returns to the lender. */
 export const loanMs = 1_000;
-/** Parts of instances that are gone for this long are handed out again, where more than half of all parts are present. */
+/** Quota shares of instances that are absent for this long are granted again, if more than half of all shares are present. */
 const absentMs = 10_000;
 const majority = 0.5;
-/** Sums of parts are compared with the whole up to this. */
-const partTolerance = 0.01;
-/** Instances that there are taken to be until somebody knows their number; too many is the safe side. */
+/** Tolerance with which a sum of quota shares counts as the whole. */
+const shareTolerance = 0.01;
+/** Assumed number of instances until it is known. An overestimate is safe, since it makes the shares smaller. */
 const assumedInstances = 100;
 
-/** What the parts are found by. */
+/** Dependencies of {@link LentQuotas}. */
 export interface LentPartsStructure {
-  /** Since when an instance is known to take this one for its coordinator; undefined where it is not. */
+  /** Returns the time since which an instance is known to use this one as its coordinator, or undefined if it does not. */
   readonly getKnownSinceMs: (name: string) => number | undefined;
   readonly nowMs: () => number;
 }
 
-/** An instance of the own zone, or the coordinator of another one. */
+/** An instance of this zone, or the coordinator of another zone. */
 interface Lender extends Omit<PermitAsk, "wants"> {
-  /** Since when it asks this coordinator and no other. */
+  /** Time since which the lender has been using this coordinator and no other. */
   readonly sinceMs: number;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
-/** One for each coordinator. */
+/**
+ * Tracks the quota shares that instances and zones have lent to one coordinator. Each instance owns an equal share of every limit and lends
+ * it with each permit request. A share counts only once no other coordinator can still have it.
+ */
 export class LentParts {
   private readonly _lenders = new Map<string, Lender>();
-  /** When the parts of this zone were last lent to the coordinator that hands out for another one. */
+  /** Time at which the shares of this zone were last lent to another coordinator, by the zone of the endpoints. */
   private readonly _lentAtMs = new Map<string, number>();
-  /** Since when less than the whole is present, by the zone of endpoints. */
-  private readonly _lackingSinceMs = new Map<string, number>();
+  /** Time since which less than the whole is present, by the zone of the endpoints. */
+  private readonly _incompleteSinceMs = new Map<string, number>();
 
   constructor(private readonly _structure: LentPartsStructure) {}
 
-  /** Whether somebody lends its part now. */
+  /** Returns whether an instance or coordinator is a lender now. */
   has(name: string): boolean {
     return this._lenders.has(name);
   }
 
-  /** Takes what somebody lends with an ask. */
-  note(name: string, { lending, known, zones }: Omit<PermitAsk, "wants">): void {
-    this._forgetSilent();
-    const heardAtMs = this._structure.nowMs();
-    const sinceMs = this._lenders.get(name)?.sinceMs ?? this._structure.getKnownSinceMs(name) ?? heardAtMs;
-    this._lenders.set(name, { lending, known, zones, sinceMs, heardAtMs });
+  /** Records the quota shares that are lent with a permit request. */
+  addLoan(name: string, { lending, known, zones }: Omit<PermitAsk, "wants">): void {
+    this._dropExpired();
+    const receivedAtMs = this._structure.nowMs();
+    const sinceMs = this._lenders.get(name)?.sinceMs ?? this._structure.getKnownSinceMs(name) ?? receivedAtMs;
+    this._lenders.set(name, { lending, known, zones, sinceMs, receivedAtMs });
   }
 
-  /** Lends the parts of the own zone to another coordinator, for endpoints of some zones; gives what is lent. */
+  /** Lends the quota shares of this zone to another coordinator, for endpoints of the given zones, and returns what is lent. */
   lend(zones: readonly string[]): Pick<PermitAsk, "lending" | "known"> {
-    this._forgetSilent();
+    this._dropExpired();
     const nowMs = this._structure.nowMs();
     for (const zone of zones) this._lentAtMs.set(zone, nowMs);
     return { lending: this._countPresent(undefined), known: this._getKnownByOwnZone() };
   }
 
-  /** The part of the limits of a zone's endpoints that is handed out here. */
-  getPart(zone: string): number {
+  /** Returns the share of the limits of a zone's endpoints that this coordinator may grant, from 0 to 1. */
+  getShare(zone: string): number {
     const nowMs = this._structure.nowMs();
-    // What was lent may still be handed out elsewhere.
+    // Another coordinator may still grant the shares that were lent to it.
     if (nowMs - (this._lentAtMs.get(zone) ?? Number.NEGATIVE_INFINITY) < loanMs) return 0;
     const present = Math.min(1, this._countPresent(zone) / this.countInstances());
-    if (present >= 1 - partTolerance) {
-      this._lackingSinceMs.delete(zone);
+    if (present >= 1 - shareTolerance) {
+      this._incompleteSinceMs.delete(zone);
       return present;
     }
-    const sinceMs = this._lackingSinceMs.get(zone) ?? nowMs;
-    this._lackingSinceMs.set(zone, sinceMs);
+    const sinceMs = this._incompleteSinceMs.get(zone) ?? nowMs;
+    this._incompleteSinceMs.set(zone, sinceMs);
     return present > majority && nowMs - sinceMs >= absentMs ? 1 : present;
   }
 
-  /** All instances that there are, as far as any lender knows: an instance that has just started may have met few of them. */
+  /** Returns the highest number of instances that a lender reports, since an instance that has just started may know few of them. */
   countInstances(): number {
     const lenders = [...this._lenders.values()];
     const known = Math.max(0, ...lenders.map((lender) => lender.known));
@@ -85,28 +84,32 @@
   }
 
   /**
-   * Counts instances whose parts are lent to this one and surely to no other.
-   * @param zone - Zone of the endpoints that the parts are lent for; left out, only instances of the own zone count.
+   * Counts the instances whose quota shares are certainly lent to this coordinator and to no other.
+   * @param zone - Zone of the endpoints; if undefined, only instances of this coordinator's zone count.
    */
   private _countPresent(zone: string | undefined): number {
     const nowMs = this._structure.nowMs();
     let sum = 0;
-    for (const { lending, zones, sinceMs, heardAtMs } of this._lenders.values()) {
+    for (const { lending, zones, sinceMs, receivedAtMs } of this._lenders.values()) {
       const isLent = zones === undefined || (zone !== undefined && zones.includes(zone));
-      const isSure = nowMs - sinceMs >= loanMs && nowMs - heardAtMs < loanMs;
-      if (isLent && isSure) sum += lending;
+      const isCertain = nowMs - sinceMs >= loanMs && nowMs - receivedAtMs < loanMs;
+      if (isLent && isCertain) sum += lending;
     }
     return sum;
   }
 
-  /** What the instances of this zone know, without what other zones told: that would be told back and forth for ever. */
+  /**
+   * Returns the number of instances that the instances of this zone know. Numbers from other zones are excluded, since zones would otherwise
+   * send them back and forth for ever.
+   */
   private _getKnownByOwnZone(): number {
     const own = [...this._lenders.values()].filter(({ zones }) => zones === undefined);
     return Math.max(0, ...own.map(({ known }) => known));
   }
 
-  private _forgetSilent(): void {
+  private _dropExpired(): void {
     const oldestMs = this._structure.nowMs() - loanMs;
-    for (const [name, { heardAtMs }] of this._lenders) if (heardAtMs < oldestMs) this._lenders.delete(name);
+    for (const [name, { receivedAtMs }] of this._lenders)
+      if (receivedAtMs < oldestMs) this._lenders.delete(name);
   }
 }
--- a/packages/admission/src/permits/PermitCoordinator.ts
+++ b/packages/admission/src/permits/PermitCoordinator.ts
@@ -1,17 +1,11 @@
-/**
- * Hands out the permits of rate limits that many instances keep together. Each instance has an equal part of every limit and lends it to
- * the coordinator of its availability zone, which hands the parts out again by demand; the coordinators of the zones lend what they have to
- * that of the endpoint's own zone in the same way. A part is with one of them at a time, so that what all hand out sums to the limit
- * whatever they believe of each other.
- */
 import { LentParts, type LentPartsStructure } from "./LentParts.js";
 import type { GrantedPermits, PermitAsk, WantedPermits } from "./permitMessages.js";
 import { PermitPool } from "./PermitPool.js";
 
-/** Requests before a limit was known count against it only beyond what the limit allows in this time. */
+/** Requests that were sent before a limit was known are charged only beyond what the limit allows in this time. */
 const chargedSeconds = 1;
-/** An endpoint that takes nothing is asked this often whether that still holds. */
-const leastPerSecond = 0.1;
+/** Minimum rate of permits, so that an endpoint whose limit is 0 still receives requests that show whether the limit holds. */
+const minPerSecond = 0.1;
 
 /** A limit in force, and the availability zone of its endpoint. */
 export interface ZonedLimit {
@@ -19,107 +13,114 @@
   readonly availabilityZone: string;
 }
 
-/** What a coordinator works with. */
+/** Dependencies of {@link PermitCoordinator}. */
 export interface PermitCoordinatorStructure extends LentPartsStructure {
   readonly availabilityZone: string;
   readonly getLimit: (key: string) => ZonedLimit | undefined;
-  /** Zones of all endpoints with a limit in force. */
+  /** Returns the zones of all endpoints with a limit in force. */
   readonly getLimitedZones: () => ReadonlySet<string>;
-  /** Coordinators of other zones that are heard now, by zone. */
+  /** Returns the reachable coordinators of other zones, by zone. */
   readonly getCoordinators: () => ReadonlyMap<string, string>;
 }
 
-/** What became of permits, and of sends without one. */
-type PermitAccount = Pick<WantedPermits, "used" | "returned" | "charged">;
+/** Numbers of permits that were used or returned, and of requests that were sent without one. */
+type PermitUsage = Pick<WantedPermits, "used" | "returned" | "charged">;
 
-const emptyAccount: PermitAccount = { used: 0, returned: 0, charged: 0 };
+const noUsage: PermitUsage = { used: 0, returned: 0, charged: 0 };
 
-/** One an instance; it is asked only while others take it for their coordinator. */
+/**
+ * Grants the permits of rate limits that many instances share. Each instance owns an equal quota share of every limit and lends it to the
+ * coordinator of its availability zone, which grants permits by demand. In the same way, the coordinators of the zones lend their shares to
+ * the coordinator of the endpoint's zone. Only one coordinator has a share at a time, so all grants together stay within the limit even if
+ * instances disagree on which of them are coordinators.
+ *
+ * Every instance has a coordinator, which receives requests only while other instances use it.
+ */
 export class PermitCoordinator {
-  private readonly _parts: LentParts;
+  private readonly _quotas: LentParts;
   private readonly _pools = new Map<string, PermitPool>();
-  /** What the coordinator of the endpoint's zone is still to be told of, by limit. */
-  private readonly _accounts = new Map<string, PermitAccount>();
+  /** Usage that is not yet reported to the coordinator of the endpoint's zone, by limit. */
+  private readonly _usages = new Map<string, PermitUsage>();
   private readonly _groups = new Map<string, string>();
-  /** Asks of the coordinators of other zones so far. */
-  private _asks = 0;
+  /** Number of permit requests to the coordinators of other zones so far. */
+  private _requests = 0;
 
   constructor(private readonly _structure: PermitCoordinatorStructure) {
-    this._parts = new LentParts(_structure);
+    this._quotas = new LentParts(_structure);
   }
 
-  /** Answers an instance of this zone, or the coordinator of another one. */
-  answer(name: string, ask: PermitAsk): GrantedPermits {
-    this._forgetEnded();
-    this._parts.note(name, ask);
-    const wantedKeys = new Set(ask.wants.map(({ key }) => key));
-    for (const [key, pool] of this._pools) if (!wantedKeys.has(key)) pool.drop(name);
+  /** Responds to a permit request of an instance of this zone, or of the coordinator of another zone. */
+  respond(name: string, request: PermitAsk): GrantedPermits {
+    this._removeEnded();
+    this._quotas.addLoan(name, request);
+    const demandedKeys = new Set(request.wants.map(({ key }) => key));
+    for (const [key, pool] of this._pools) if (!demandedKeys.has(key)) pool.removeParticipant(name);
     const granted: GrantedPermits = [];
     const grantedByGroup = new Map<string, number>();
-    for (const wanted of ask.wants) {
-      const pool = this._getPool(wanted.key);
+    for (const demand of request.wants) {
+      const pool = this._getPool(demand.key);
       if (pool === undefined) continue;
-      this._take(name, wanted, pool, ask.lending / this._parts.countInstances());
-      const before = grantedByGroup.get(wanted.group) ?? 0;
-      const count = pool.take(name, Math.max(0, wanted.count - before));
-      grantedByGroup.set(wanted.group, before + count);
-      if (count > 0) granted.push({ key: wanted.key, count });
+      this._applyDemand(name, demand, pool, request.lending / this._quotas.countInstances());
+      const before = grantedByGroup.get(demand.group) ?? 0;
+      const count = pool.grant(name, Math.max(0, demand.count - before));
+      grantedByGroup.set(demand.group, before + count);
+      if (count > 0) granted.push({ key: demand.key, count });
     }
     return granted;
   }
 
-  /** Takes permits that another coordinator handed out to this zone. */
+  /** Adds permits that another coordinator has granted to this zone. */
   deposit(granted: GrantedPermits): void {
     for (const { key, count } of granted) this._getPool(key)?.deposit(count);
   }
 
-  /** What is due from the coordinators of other zones, by their names. */
-  getOutgoingAsks(): Map<string, PermitAsk> {
-    this._forgetEnded();
-    const asks = new Map<string, PermitAsk>();
+  /** Returns the permit requests that are due to the coordinators of other zones, by their names. */
+  getOutgoingRequests(): Map<string, PermitAsk> {
+    this._removeEnded();
+    const requests = new Map<string, PermitAsk>();
     for (const [zone, name] of this._structure.getCoordinators()) {
-      const zones = this._getZonesHandedOutBy(zone);
+      const zones = this._getZonesGrantedBy(zone);
       if (zones.length === 0) continue;
-      asks.set(name, { ...this._parts.lend(zones), zones, wants: this._getWants(zones) });
+      requests.set(name, { ...this._quotas.lend(zones), zones, wants: this._getDemands(zones) });
     }
-    return asks;
+    return requests;
   }
 
-  private _take(name: string, wanted: WantedPermits, pool: PermitPool, weight: number): void {
-    const limit = this._structure.getLimit(wanted.key);
+  private _applyDemand(name: string, demand: WantedPermits, pool: PermitPool, weight: number): void {
+    const limit = this._structure.getLimit(demand.key);
     if (limit === undefined) return;
-    pool.keep((participant) => this._parts.has(participant));
+    pool.retainParticipants((participant) => this._quotas.has(participant));
     this._fill(pool, limit);
-    this._groups.set(wanted.key, wanted.group);
-    this._settle(wanted, pool, limit, weight);
-    pool.setWant(name, { count: wanted.count, waiting: wanted.waiting });
+    this._groups.set(demand.key, demand.group);
+    this._settle(demand, pool, limit, weight);
+    pool.setDemand(name, { count: demand.count, waiting: demand.waiting });
   }
 
-  /** Permits are accounted for where they were handed out first. */
-  private _settle(wanted: WantedPermits, pool: PermitPool, limit: ZonedLimit, weight: number): void {
-    const { key, used, returned, charged } = wanted;
-    if (this._isHandedOutHere(limit.availabilityZone)) {
+  /** Settles usage with the pool that granted the permits: the local one, or that of the coordinator of the endpoint's zone. */
+  private _settle(demand: WantedPermits, pool: PermitPool, limit: ZonedLimit, weight: number): void {
+    const { key, used, returned, charged } = demand;
+    if (this._isGrantedHere(limit.availabilityZone)) {
       pool.settle(used, returned);
       return pool.charge(Math.max(0, charged - limit.perSecond * chargedSeconds * weight));
     }
-    const account = this._accounts.get(key) ?? emptyAccount;
-    this._accounts.set(key, {
-      used: account.used + used,
-      returned: account.returned + returned,
-      charged: account.charged + charged,
+    const usage = this._usages.get(key) ?? noUsage;
+    this._usages.set(key, {
+      used: usage.used + used,
+      returned: usage.returned + returned,
+      charged: usage.charged + charged,
     });
   }
 
   private _fill(pool: PermitPool, { availabilityZone }: ZonedLimit): void {
-    pool.fill(this._isHandedOutHere(availabilityZone) ? this._parts.getPart(availabilityZone) : 0);
+    pool.fill(this._isGrantedHere(availabilityZone) ? this._quotas.getShare(availabilityZone) : 0);
   }
 
-  /** Forgets limits that have ended. */
-  private _forgetEnded(): void {
+  /** Removes the state of limits that have ended. */
+  private _removeEnded(): void {
     for (const key of this._pools.keys()) {
       if (this._structure.getLimit(key) !== undefined) continue;
       this._pools.delete(key);
-      this._accounts.delete(key);
+      this._usages.delete(key);
       this._groups.delete(key);
     }
   }
@@ -127,44 +128,47 @@
   private _getPool(key: string): PermitPool | undefined {
     const limit = this._structure.getLimit(key);
     if (limit === undefined) return undefined;
-    const perSecond = Math.max(leastPerSecond, limit.perSecond);
+    const perSecond = Math.max(minPerSecond, limit.perSecond);
     const pool = this._pools.get(key) ?? new PermitPool(perSecond, this._structure.nowMs);
     this._pools.set(key, pool);
     pool.setPerSecond(perSecond);
     return pool;
   }
 
-  private _getWants(zones: readonly string[]): WantedPermits[] {
+  private _getDemands(zones: readonly string[]): WantedPermits[] {
     const wants: WantedPermits[] = [];
     for (const [key, pool] of this._pools) {
       const zone = this._structure.getLimit(key)?.availabilityZone;
       if (zone === undefined || !zones.includes(zone)) continue;
-      pool.keep((participant) => this._parts.has(participant));
-      const account = this._accounts.get(key) ?? emptyAccount;
-      this._accounts.delete(key);
-      const returned = account.returned + pool.withdraw();
-      wants.push({ key, group: this._groups.get(key) ?? key, ...pool.getUnfilled(), ...account, returned });
+      pool.retainParticipants((participant) => this._quotas.has(participant));
+      const usage = this._usages.get(key) ?? noUsage;
+      this._usages.delete(key);
+      const returned = usage.returned + pool.withdraw();
+      wants.push({ key, group: this._groups.get(key) ?? key, ...pool.getUnmetDemand(), ...usage, returned });
     }
-    // Limits of one group are asked for in turn.
-    this._asks += 1;
-    const first = wants.length === 0 ? 0 : this._asks % wants.length;
+    // The first demand of a group is granted first, so the order rotates.
+    this._requests += 1;
+    const first = wants.length === 0 ? 0 : this._requests % wants.length;
     return [...wants.slice(first), ...wants.slice(0, first)];
   }
 
-  private _isHandedOutHere(zone: string): boolean {
+  private _isGrantedHere(zone: string): boolean {
     return this._getHomeZone(zone) === this._structure.availabilityZone;
   }
 
-  /** The zone whose coordinator hands out for endpoints of a zone: that one, or the first that is heard where nobody is there. */
+  /**
+   * Returns the zone whose coordinator grants permits for the endpoints of a zone: the same zone, or the first zone by name with a reachable
+   * coordinator if the same zone has none.
+   */
   private _getHomeZone(zone: string): string {
     const { availabilityZone, getCoordinators } = this._structure;
-    const heard = getCoordinators();
-    if (zone === availabilityZone || heard.has(zone)) return zone;
-    return [availabilityZone, ...heard.keys()].sort()[0] ?? availabilityZone;
+    const coordinators = getCoordinators();
+    if (zone === availabilityZone || coordinators.has(zone)) return zone;
+    return [availabilityZone, ...coordinators.keys()].sort()[0] ?? availabilityZone;
   }
 
-  /** Zones with limited endpoints for which the coordinator of another zone hands out. */
-  private _getZonesHandedOutBy(home: string): string[] {
+  /** Returns the zones of limited endpoints for which the coordinator of the zone `home` grants permits. */
+  private _getZonesGrantedBy(home: string): string[] {
     return [...this._structure.getLimitedZones()].filter((zone) => this._getHomeZone(zone) === home);
   }
 }
--- a/packages/admission/src/permits/PermitPool.ts
+++ b/packages/admission/src/permits/PermitPool.ts
@@ -1,46 +1,45 @@
-/**
- * The permits of one rate limit, at the instance that hands them out: a token bucket that fills by the limit, and turns between those
- * that want permits. No network and no timers.
- */
-
 const msPerSecond = 1_000;
-/** The bucket fills at this share of the limit; the rest covers what the bucket holds, over a window of four seconds. */
-const filledShare = 0.94;
+/** Share of the limit at which the bucket is filled. The rest covers the capacity of the bucket over a window of four seconds. */
+const fillShare = 0.94;
 const bucketSeconds = 0.1;
-const longestFillSeconds = 0.5;
-/** Permits that are handed out and not known to be used: what the limit allows in this time, beside the bucket. */
-const inHandSeconds = 0.25;
-/** Permits of which nothing is heard for this long were used, or their holder is gone. */
+const maxFillSeconds = 0.5;
+/** Maximum of outstanding permits, which are granted and not reported as used, in seconds of the limit and in addition to the bucket. */
+const maxOutstandingSeconds = 0.25;
+/** Permits that are not reported for this long count as used, or as lost with the instance that they were granted to. */
 const unsettledMs = 1_500;
-/** An endpoint that got too much before its limit was known gets nothing for this long at most. */
-const longestDebtSeconds = 2;
+/** Maximum time without permits for an endpoint that received too many requests before its limit was known. */
+const maxDebtSeconds = 2;
 
-/** Permits that somebody wants. */
+/** Demand of a participant for permits. */
 export interface PermitWant {
   readonly count: number;
-  /** Of these, for requests that wait for one. */
+  /** Number of these permits that are for waiting requests. */
   readonly waiting: number;
 }
 
 interface Participant {
-  want: PermitWant;
-  /** What it wanted when it last asked, and how many of its requests waited then. */
+  /** Demand that is not covered by reserved permits. */
+  unmet: PermitWant;
+  /** Demand in the last permit request, and how many requests waited then. */
   demand: number;
   waiting: number;
-  /** Permits that wait for its next ask. */
+  /** Permits that are granted with the next permit request. */
   reserved: number;
-  /** Virtual start time of its next permit (start-time fair queuing; Goyal, Vin and Cheng, 1996). */
+  /** Virtual start time of the next permit (start-time fair queuing; Goyal, Vin and Cheng, 1996). */
   startTag: number;
 }
 
-/** One pool for each limit. */
+/**
+ * Grants the permits of one rate limit: a token bucket that fills at the rate of the limit, and fair queuing between the participants that
+ * demand permits. It uses neither the network nor timers.
+ */
 export class PermitPool {
   private readonly _participants = new Map<string, Participant>();
   private _balance = 0;
-  /** Permits handed out for requests that wait, of which it is not told yet that they are used. */
+  /** Permits that were granted for waiting requests and are not reported as used yet. */
   private _spent = 0;
-  /** Other permits handed out that are not settled yet, the oldest first. */
-  private _inHand: { count: number; readonly atMs: number }[] = [];
+  /** Other granted permits that are not settled yet, the oldest first. */
+  private _outstanding: { count: number; readonly atMs: number }[] = [];
   private _virtualTime = 0;
   private _filledAtMs: number;
 
@@ -51,119 +50,120 @@
     this._filledAtMs = _nowMs();
   }
 
-  /** Takes another limit. */
+  /** Changes the limit. */
   setPerSecond(perSecond: number): void {
     this._perSecond = perSecond;
-    this._balance = Math.min(this._balance, this._bucket);
+    this._balance = Math.min(this._balance, this._capacity);
   }
 
   /**
    * Fills the bucket for the time that has passed.
-   * @param weight - The part of the limit that this pool hands out, from 0 to 1.
+   * @param weight - Share of the limit that this pool grants, from 0 to 1.
    */
   fill(weight: number): void {
     const nowMs = this._nowMs();
-    // After a pause of its own this instance would hand out at once what was meant for all of that time.
-    const seconds = Math.min(longestFillSeconds, (nowMs - this._filledAtMs) / msPerSecond);
+    // Without this bound, an instance that was suspended would grant the permits of all of that time at once.
+    const seconds = Math.min(maxFillSeconds, (nowMs - this._filledAtMs) / msPerSecond);
     this._filledAtMs = nowMs;
-    // Permits in hand may all be used at one moment, so that there are never many of them.
-    const room = this._bucket + this._perSecond * inHandSeconds - this._balance - this._countInHand(nowMs);
-    this._balance += Math.max(0, Math.min(room, seconds * this._perSecond * filledShare * weight));
-    this._allot();
-    this._balance = Math.min(this._bucket, this._balance);
+    // All outstanding permits may be used at the same moment, so their number is bounded.
+    const room =
+      this._capacity + this._perSecond * maxOutstandingSeconds - this._balance - this._countOutstanding(nowMs);
+    this._balance += Math.max(0, Math.min(room, seconds * this._perSecond * fillShare * weight));
+    this._reserve();
+    this._balance = Math.min(this._capacity, this._balance);
   }
 
-  /** Takes note that permits which were handed out are used, or have come back. */
+  /** Settles granted permits that were used, or returned unused. */
   settle(used: number, returned: number): void {
-    // What another pool handed out does not come back to this one.
-    const own = Math.min(returned, this._spent + this._countInHand(this._nowMs()));
+    // Permits that another pool granted don't return to this one.
+    const own = Math.min(returned, this._spent + this._countOutstanding(this._nowMs()));
     const expected = Math.min(used + returned, this._spent);
     this._spent -= expected;
     let left = used + returned - expected;
     while (left > 0) {
-      const [oldest] = this._inHand;
+      const [oldest] = this._outstanding;
       if (oldest === undefined) break;
       const count = Math.min(left, oldest.count);
       oldest.count -= count;
       left -= count;
-      if (oldest.count === 0) this._inHand.shift();
+      if (oldest.count === 0) this._outstanding.shift();
     }
     this.deposit(own);
   }
 
-  /** Adds permits that another pool handed out, or that came back. */
+  /** Adds permits that another pool granted, or that were returned. */
   deposit(count: number): void {
     this._balance += count;
-    this._allot();
+    this._reserve();
   }
 
-  /** Gives all permits that nobody wants, for the pool that handed them out. */
+  /** Removes and returns all permits without demand, so that they go back to the pool that granted them. */
   withdraw(): number {
     const count = Math.max(0, Math.floor(this._balance));
     this._balance -= count;
     return count;
   }
 
-  /** Takes sends into account that had no permit. */
+  /** Deducts requests that were sent without a permit. */
   charge(count: number): void {
-    if (count > 0) this._balance = Math.max(-this._perSecond * longestDebtSeconds, this._balance - count);
+    if (count > 0) this._balance = Math.max(-this._perSecond * maxDebtSeconds, this._balance - count);
   }
 
-  /** Takes what a participant wants now, in place of what it wanted before. */
-  setWant(name: string, want: PermitWant): void {
+  /** Sets the demand of a participant, replacing its previous one. */
+  setDemand(name: string, demand: PermitWant): void {
     const known = this._participants.get(name) ?? this._createParticipant();
-    // One that wanted nothing for a while has saved up no turns.
-    if (known.want.count === 0) known.startTag = Math.max(known.startTag, this._virtualTime);
-    known.want = { ...want, count: Math.max(0, want.count - known.reserved) };
-    known.demand = want.count;
-    known.waiting = want.waiting;
+    // A participant that had no demand for a while must not have accumulated turns.
+    if (known.unmet.count === 0) known.startTag = Math.max(known.startTag, this._virtualTime);
+    known.unmet = { ...demand, count: Math.max(0, demand.count - known.reserved) };
+    known.demand = demand.count;
+    known.waiting = demand.waiting;
     this._participants.set(name, known);
-    this._allot();
+    this._reserve();
   }
 
-  /** Hands out what a participant may have now, up to `most`; the rest goes to the others. */
-  take(name: string, most: number): number {
+  /** Grants a participant its reserved permits, up to `max`; the rest goes to the others. */
+  grant(name: string, max: number): number {
     const participant = this._participants.get(name);
     if (participant === undefined) return 0;
     const { reserved } = participant;
-    const count = Math.min(reserved, most);
+    const count = Math.min(reserved, max);
     participant.reserved = 0;
-    // What requests wait for is used at once.
+    // Permits for waiting requests are used at once.
     const spent = Math.min(count, participant.waiting);
     this._spent += spent;
-    if (count > spent) this._inHand.push({ count: count - spent, atMs: this._nowMs() });
+    if (count > spent) this._outstanding.push({ count: count - spent, atMs: this._nowMs() });
     if (count < reserved) this._giveToOthers(name, reserved - count);
     return count;
   }
 
-  /** Takes note that a participant wants nothing any more. */
-  drop(name: string): void {
-    this.keep((participant) => participant !== name);
+  /** Removes a participant. */
+  removeParticipant(name: string): void {
+    this.retainParticipants((participant) => participant !== name);
   }
 
-  /** Forgets participants that are gone; what waited for them goes to the others. */
-  keep(isKept: (name: string) => boolean): void {
+  /** Removes the participants for which `isRetained` returns false; the permits reserved for them go to the remaining ones. */
+  retainParticipants(isRetained: (name: string) => boolean): void {
     for (const [name, { reserved }] of this._participants) {
-      if (isKept(name)) continue;
+      if (isRetained(name)) continue;
       this._participants.delete(name);
       this.deposit(reserved);
     }
   }
 
-  /** What is wanted beyond the permits at hand. */
-  getUnfilled(): PermitWant {
+  /** Returns the total demand that is not covered by reserved permits. */
+  getUnmetDemand(): PermitWant {
     let count = 0;
     let waiting = 0;
-    for (const { want } of this._participants.values()) {
-      count += want.count;
-      waiting += want.waiting;
+    for (const { unmet } of this._participants.values()) {
+      count += unmet.count;
+      waiting += unmet.waiting;
     }
     return { count, waiting };
   }
 
   private _createParticipant(): Participant {
-    const want = { count: 0, waiting: 0 };
-    return { want, demand: 0, waiting: 0, reserved: 0, startTag: this._virtualTime };
+    const unmet = { count: 0, waiting: 0 };
+    return { unmet, demand: 0, waiting: 0, reserved: 0, startTag: this._virtualTime };
   }
 
   private _giveToOthers(name: string, count: number): void {
@@ -171,40 +171,40 @@
     this.deposit(count);
   }
 
-  private get _bucket(): number {
+  private get _capacity(): number {
     return Math.max(1, this._perSecond * bucketSeconds);
   }
 
-  private _countInHand(nowMs: number): number {
-    this._inHand = this._inHand.filter(({ atMs }) => nowMs - atMs < unsettledMs);
-    return this._inHand.reduce((sum, { count }) => sum + count, 0);
+  private _countOutstanding(nowMs: number): number {
+    this._outstanding = this._outstanding.filter(({ atMs }) => nowMs - atMs < unsettledMs);
+    return this._outstanding.reduce((sum, { count }) => sum + count, 0);
   }
 
-  private _allot(): void {
+  private _reserve(): void {
     while (this._balance >= 1) {
-      const next = this._pickNext();
+      const next = this._getNext();
       if (next === undefined) return;
       this._virtualTime = next.startTag;
       next.startTag += 1 / Math.max(1, next.demand);
-      next.want = { count: next.want.count - 1, waiting: Math.max(0, next.want.waiting - 1) };
+      next.unmet = { count: next.unmet.count - 1, waiting: Math.max(0, next.unmet.waiting - 1) };
       next.reserved += 1;
       this._balance -= 1;
     }
   }
 
-  /** Requests that wait go first; otherwise permits are shared by demand. */
-  private _pickNext(): Participant | undefined {
+  /** Returns the participant that the next permit is reserved for. Waiting requests go first; otherwise permits are shared by demand. */
+  private _getNext(): Participant | undefined {
     let best: Participant | undefined;
     for (const participant of this._participants.values()) {
-      if (participant.want.count <= 0) continue;
+      if (participant.unmet.count <= 0) continue;
       if (best === undefined || this._isBefore(participant, best)) best = participant;
     }
     return best;
   }
 
-  private _isBefore(one: Participant, other: Participant): boolean {
-    const isWaiting = one.want.waiting > 0;
-    if (isWaiting !== other.want.waiting > 0) return isWaiting;
-    return one.startTag < other.startTag;
+  private _isBefore(first: Participant, second: Participant): boolean {
+    const isWaiting = first.unmet.waiting > 0;
+    if (isWaiting !== second.unmet.waiting > 0) return isWaiting;
+    return first.startTag < second.startTag;
   }
 }
--- a/packages/admission/src/permits/permitMessages.ts
+++ b/packages/admission/src/permits/permitMessages.ts
@@ -1,41 +1,41 @@
-/** What instances say to each other about permits. */
+/** Schemas of the messages that instances exchange about permits. */
 import * as zod from "zod";
 
-const mostLimits = 4_096;
-const mostPermits = 1_000_000;
+const maxLimits = 4_096;
+const maxPermits = 1_000_000;
 const key = zod.string().min(1).max(256);
-const count = zod.number().int().nonnegative().max(mostPermits);
+const count = zod.number().int().nonnegative().max(maxPermits);
 
-/** What an instance, or a zone, wants of one limit. */
+/** Demand of an instance or a zone for permits of one limit, and its usage since the last permit request. */
 export const wantedPermitsSchema = zod.object({
   key,
-  /** Limits of one group serve the same requests: of all of them together no more is handed out than is wanted of one. */
+  /** Limits of one group serve the same requests: all of them together grant no more permits than are demanded of one. */
   group: zod.string().max(256),
-  /** Permits wanted beyond those in hand. */
+  /** Permits demanded in addition to the local ones. */
   count,
-  /** Of these, for requests that wait. */
+  /** Number of these permits that are for waiting requests. */
   waiting: count,
-  /** Permits that were used since the last ask. */
+  /** Permits that were used since the last permit request. */
   used: count,
-  /** Permits that ran out unused. */
+  /** Permits that expired unused. */
   returned: count,
-  /** Sends that had no permit, since the limit was not known yet. */
+  /** Requests that were sent without a permit because the limit was not known yet. */
   charged: count,
 });
 export type WantedPermits = zod.infer<typeof wantedPermitsSchema>;
 
-/** A question for permits. Whoever asks lends what it has of the limits to the one that it asks, until its loan runs out. */
+/** A permit request. The sender lends its quota shares of the limits to the receiver until the loan expires. */
 export const permitAskSchema = zod.object({
-  /** Instances whose equal parts of the limits it lends. */
+  /** Number of instances whose equal quota shares are lent. */
   lending: count,
-  /** Number of all instances, as far as it knows; 0 where it does not. */
+  /** Number of all instances that the sender knows, or 0 if it is unknown. */
   known: count,
-  /** Availability zones of the endpoints whose limits it lends; all where it is left out. */
-  zones: zod.array(zod.string()).max(mostLimits).optional(),
-  wants: zod.array(wantedPermitsSchema).max(mostLimits),
+  /** Availability zones of the endpoints for whose limits the shares are lent; all zones if it is left out. */
+  zones: zod.array(zod.string()).max(maxLimits).optional(),
+  wants: zod.array(wantedPermitsSchema).max(maxLimits),
 });
 export type PermitAsk = zod.infer<typeof permitAskSchema>;
 
-/** Permits handed out. */
-export const grantedPermitsSchema = zod.array(zod.object({ key, count })).max(mostLimits);
+/** Granted permits. */
+export const grantedPermitsSchema = zod.array(zod.object({ key, count })).max(maxLimits);
 export type GrantedPermits = zod.infer<typeof grantedPermitsSchema>;
--- a/packages/admission/src/refusals.ts
+++ b/packages/admission/src/refusals.ts
@@ -1,17 +1,16 @@
-/** Refusals before any work was done. All of them are truthful: nothing ran. */
 import { errors, type Ran } from "@shedtiller/common";
 
-/** Why a request was not admitted; the label of the refusal metric. */
+/** Reason why a request was not admitted, used as a label of the refusal metric. */
 export type RefusalReason = "account-concurrency" | "account-tokens" | "overload" | "deadline" | "cancelled";
 
-/** The request was not admitted. */
+/** Error for a request that was not admitted. It was rejected before any work was done, so it did not run. */
 export class AdmissionRefusedError extends errors.ShedtillerError {
   readonly code = "not_admitted";
   readonly ran: Ran = "no";
 
   /**
-   * @param reason - Why.
-   * @param retryAfterMs - When it makes sense to come back.
+   * @param reason - Reason for the rejection.
+   * @param retryAfterMs - Time after which the caller should retry.
    */
   constructor(
     readonly reason: RefusalReason,
@@ -24,14 +23,14 @@
 function describe(reason: RefusalReason): string {
   switch (reason) {
     case "account-concurrency":
-      return "the client account has as many requests under way as it may";
+      return "the client account has reached its limit of concurrent requests";
     case "account-tokens":
-      return "the client account has used the tokens that it may for now";
+      return "the client account has reached its limit of tokens per minute";
     case "overload":
-      return "capacity is short and requests of higher priority go first";
+      return "the service is overloaded, and requests of higher priority are served first";
     case "deadline":
-      return "it could not begin before its deadline";
+      return "the request could not start before its deadline";
     case "cancelled":
-      return "its caller went away while it waited";
+      return "the caller disconnected while the request waited";
   }
 }
--- a/packages/admission/src/sharedLimit.ts
+++ b/packages/admission/src/sharedLimit.ts
@@ -1,25 +1,25 @@
 /**
- * One limit over many instances without a round trip: each takes a share by its own demand and the demands that it last
- * heard of the others. All that see the same demands take shares that sum to the limit.
+ * Divides one limit among many instances without a round trip: each computes its share from its own demand and the last received demands
+ * of the others. The shares of instances that have the same demands add up to the limit.
  */
 
-/** Part of the limit that is spread evenly whatever the demands, so that no instance stands at nothing. */
-const floorPart = 0.1;
+/** Share of the limit that is distributed evenly regardless of the demands, so that no instance is left with nothing. */
+const evenShare = 0.1;
 
-/** What a share is computed from. */
+/** Options of {@link getShare}. */
 export interface ShareOptions {
   readonly limit: number;
   readonly ownDemand: number;
-  /** Demands of the other instances, as last heard. */
+  /** Last received demands of the other instances. */
   readonly otherDemands: readonly number[];
 }
 
-/** This instance's share of a limit, in the limit's unit. */
+/** Returns this instance's share of a limit, in the unit of the limit. */
 export function getShare(options: ShareOptions): number {
   const { limit, ownDemand, otherDemands } = options;
   const count = otherDemands.length + 1;
   const total = otherDemands.reduce((sum, demand) => sum + demand, ownDemand);
   if (total <= limit) return ownDemand + (limit - total) / count;
-  const floor = (limit * floorPart) / count;
+  const floor = (limit * evenShare) / count;
   return floor + (limit - floor * count) * (ownDemand / total);
 }
--- a/packages/admission/src/tests/admissionTests.ts
+++ b/packages/admission/src/tests/admissionTests.ts
@@ -22,9 +22,9 @@
   };
 }
 
-const patient = { longestWaitMs: 1_000_000, reservePerRank: 0 };
+const withoutShedding = { longestWaitMs: 1_000_000, reservePerRank: 0 };
 
-test("shares of instances that see the same demands sum to no more than the limit, and to all of it under pressure", (t) => {
+test("the shares of instances that have the same demands add up to the limit", (t) => {
   const demands = fc.array(fc.double({ min: 0, max: 500, noNaN: true }), { minLength: 1, maxLength: 12 });
   fc.assert(
     fc.property(demands, fc.double({ min: 1, max: 300, noNaN: true }), (list, limit) => {
@@ -38,8 +38,8 @@
   );
 });
 
-test("the highest class goes first, whoever came first", async (t) => {
-  const queue = new AdmissionQueue(() => 1, patient, clock);
+test("the highest class is granted first, regardless of the order of arrival", async (t) => {
+  const queue = new AdmissionQueue(() => 1, withoutShedding, clock);
   const running = (await queue.acquire(createRequest({}))).unwrap();
   const order: string[] = [];
   const waits = [3, 1, 2].map(async (rank) => {
@@ -52,8 +52,8 @@
   t.deepEqual(order, ["rank 1", "rank 2", "rank 3"]);
 });
 
-test("within a class, an account that used many tokens waits for one that used few", async (t) => {
-  const queue = new AdmissionQueue(() => 1, patient, clock);
+test("within a class, an account that has used many tokens waits for an account that has used few", async (t) => {
+  const queue = new AdmissionQueue(() => 1, withoutShedding, clock);
   const running = (await queue.acquire(createRequest({ account: "big", tokens: 1_000 }))).unwrap();
   const order: string[] = [];
   const waits = ["big", "big", "small", "small"].map(async (account) => {
@@ -68,8 +68,8 @@
   t.deepEqual(order, ["small", "small", "big", "big"]);
 });
 
-test("a class with a floor gets its share although a higher one would take everything", async (t) => {
-  const queue = new AdmissionQueue(() => 1, patient, clock);
+test("a class with a minimum share receives it although a higher class would use the whole capacity", async (t) => {
+  const queue = new AdmissionQueue(() => 1, withoutShedding, clock);
   const granted = { high: 0, low: 0 };
   let running: AdmissionPermit = (await queue.acquire(createRequest({}))).unwrap();
   const add = (rank: number, floorShare: number): void => {
@@ -92,7 +92,7 @@
   t.true(granted.low >= 15 && granted.low <= 30, `low got ${granted.low}`);
 });
 
-test("under overload the lowest class is refused at once, with the time to come back", async (t) => {
+test("under overload the lowest class is rejected at once, with a time after which to retry", async (t) => {
   const queue = new AdmissionQueue(() => 1, { longestWaitMs: 2_000, reservePerRank: 0 }, clock);
   await queue.acquire(createRequest({}));
   const high = [1, 2].map(() => queue.acquire(createRequest({ rank: 1 })));
@@ -103,7 +103,7 @@
   t.is(high.length, 2);
 });
 
-test("before any request has ended, a short queue is not taken for a long wait", async (t) => {
+test("before any request has ended, a short queue does not count as a long wait", async (t) => {
   const queue = new AdmissionQueue(() => 8, { longestWaitMs: 2_000, reservePerRank: 0 }, clock);
   const granted = Array.from({ length: 8 }, () => queue.acquire(createRequest({})));
   await Promise.all(granted);
@@ -111,8 +111,8 @@
   t.is(queue.waiting, 8);
 });
 
-test("a request whose caller goes away leaves the queue", async (t) => {
-  const queue = new AdmissionQueue(() => 1, patient, clock);
+test("a request whose caller disconnects leaves the queue", async (t) => {
+  const queue = new AdmissionQueue(() => 1, withoutShedding, clock);
   await queue.acquire(createRequest({}));
   const caller = new AbortController();
   const waiting = queue.acquire(createRequest({ signal: caller.signal }));
@@ -122,7 +122,7 @@
   t.is(queue.waiting, 0);
 });
 
-test("an account's requests at once are held to its share, and the refusal says when to come back", (t) => {
+test("an account's concurrent requests are limited to its share, and a rejection contains a time after which to retry", (t) => {
   const limits = new AccountLimits(clock);
   limits.setDemands("e2", [["crews", 30, 0]]);
   const admitted = Array.from({ length: 20 }, () => limits.tryAdmit("crews", { concurrency: 8 }, 10)).filter(
@@ -133,7 +133,7 @@
   t.true(refused.err && refused.val.reason === "account-concurrency" && refused.val.retryAfterMs > 0);
 });
 
-test("an account's tokens a minute are held, and come back with time", (t) => {
+test("an account's tokens per minute are limited, and its bucket is refilled with time", (t) => {
   const limits = new AccountLimits(clock);
   const limit = { tokensPerMinute: 600 };
   let admitted = 0;
@@ -144,17 +144,17 @@
   t.true(admitted >= 570 && admitted <= 630, `admitted ${admitted}`);
 });
 
-// Guards against instances that have heard of no other and take the whole of a limit each.
-test("instances that have not heard each other's demands take no more than the limit together", (t) => {
+// Guards against instances that have received no demands of others and therefore each use the whole limit.
+test("instances that have not received each other's demands stay within the limit together", (t) => {
   const limit = { concurrency: 80, tokensPerMinute: 4_800 };
   const instances = Array.from({ length: 8 }, () => new AccountLimits(clock));
   for (const limits of instances) limits.setInstanceCounter(() => instances.length);
-  let atOnce = 0;
+  let concurrent = 0;
   for (const limits of instances) {
     for (let call = 0; call < 200; call++)
-      if (limits.tryAdmit("office", { concurrency: 80 }, 1).ok) atOnce += 1;
+      if (limits.tryAdmit("office", { concurrency: 80 }, 1).ok) concurrent += 1;
   }
-  t.is(atOnce, limit.concurrency);
+  t.is(concurrent, limit.concurrency);
   let tokens = 0;
   for (let second = 0; second < 60; second++) {
     nowMs += 1_000;
--- a/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
+++ b/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
@@ -1,4 +1,4 @@
-/** Parts of limits are with one coordinator at a time, whoever believes to be one. */
+/** Tests that a quota share is granted by one coordinator at a time, even if instances disagree on which of them is the coordinator. */
 import test from "ava";
 import type { PermitAsk } from "../../permits/permitMessages.js";
 import { loanMs } from "../../permits/LentParts.js";
@@ -8,19 +8,19 @@
 const perSecond = 10;
 const key = "engine";
 
-interface SceneOptions {
+interface FixtureOptions {
   readonly zone?: string;
   readonly endpointZone?: string;
   readonly coordinators?: Readonly<Record<string, string>>;
 }
 
-class Scene {
+class Fixture {
   nowMs = 10_000;
   readonly coordinators: Map<string, string>;
   readonly coordinator: PermitCoordinator;
   knownSinceMs: number | undefined = 0;
 
-  constructor({ zone = "east", endpointZone = "east", coordinators = {} }: SceneOptions = {}) {
+  constructor({ zone = "east", endpointZone = "east", coordinators = {} }: FixtureOptions = {}) {
     this.coordinators = new Map(Object.entries(coordinators));
     this.coordinator = new PermitCoordinator({
       availabilityZone: zone,
@@ -32,20 +32,20 @@
     });
   }
 
-  /** Lets time pass, while the named instances ask; gives how much all of them got. */
+  /** Advances the clock while the named instances request permits, and returns the number of permits granted to all of them. */
   run(durationMs: number, names: readonly string[], known: number): number {
-    let got = 0;
+    let granted = 0;
     for (const endMs = this.nowMs + durationMs; this.nowMs < endMs;) {
       this.nowMs += tickMs;
-      this.coordinator.getOutgoingAsks();
-      for (const name of names) got += this.ask(name, known);
+      this.coordinator.getOutgoingRequests();
+      for (const name of names) granted += this.request(name, known);
     }
-    return got;
+    return granted;
   }
 
-  ask(name: string, known: number, more: Partial<PermitAsk> = {}): number {
+  request(name: string, known: number, more: Partial<PermitAsk> = {}): number {
     const wants = [{ key, group: "g", count: 20, waiting: 20, used: 0, returned: 0, charged: 0 }];
-    const granted = this.coordinator.answer(name, { lending: 1, known, wants, ...more });
+    const granted = this.coordinator.respond(name, { lending: 1, known, wants, ...more });
     return granted.reduce((sum, { count }) => sum + count, 0);
   }
 }
@@ -54,57 +54,57 @@
 const spanMs = seconds * 1_000;
 const whole = perSecond * seconds;
 
-test("with all instances present the whole limit is handed out", (t) => {
-  const got = new Scene().run(spanMs, ["a", "b"], 2);
+test("if all instances are present, the whole limit is granted", (t) => {
+  const got = new Fixture().run(spanMs, ["a", "b"], 2);
   t.true(got <= whole && got > whole * 0.9, String(got));
 });
 
-test("where others are missing, only the parts that are present are handed out", (t) => {
-  const got = new Scene().run(spanMs, ["a", "b"], 8);
+test("if instances are missing, only the quota shares that are present are granted", (t) => {
+  const got = new Fixture().run(spanMs, ["a", "b"], 8);
   t.true(got <= whole / 4 + 1, String(got));
 });
 
-test("two coordinators of one zone hand out the whole limit together, and no more", (t) => {
-  const scenes = [new Scene(), new Scene()];
-  const got = scenes.map((scene, index) => scene.run(spanMs, [`a${index}`, `b${index}`], 4));
-  const sum = got.reduce((total, one) => total + one, 0);
+test("two coordinators of one zone together grant the whole limit, and no more", (t) => {
+  const fixtures = [new Fixture(), new Fixture()];
+  const got = fixtures.map((fixture, index) => fixture.run(spanMs, [`a${index}`, `b${index}`], 4));
+  const sum = got.reduce((total, count) => total + count, 0);
   t.true(sum <= whole + 2 && sum > whole * 0.9, got.join(" and "));
 });
 
-test("parts of instances that are gone for long are handed out by the majority only", (t) => {
-  const majority = new Scene();
+test("quota shares of instances that have been absent for long are granted only by the majority", (t) => {
+  const majority = new Fixture();
   majority.run(12_000, ["a", "b", "c"], 4);
   t.true(majority.run(spanMs, ["a", "b", "c"], 4) > whole * 0.9);
-  const minority = new Scene();
+  const minority = new Fixture();
   minority.run(12_000, ["a"], 4);
   t.true(minority.run(spanMs, ["a"], 4) <= whole / 4 + 1);
 });
 
-test("until the number of instances is known there are taken to be many", (t) => {
-  t.true(new Scene().run(spanMs, ["a"], 0) <= 2);
+test("until the number of instances is known, a high number is assumed", (t) => {
+  t.true(new Fixture().run(spanMs, ["a"], 0) <= 2);
 });
 
-test("an instance that may still have lent its part to another coordinator counts once that loan has run out", (t) => {
-  const scene = new Scene();
-  scene.knownSinceMs = undefined;
-  t.is(scene.run(loanMs, ["a"], 1), 0);
-  t.true(scene.run(loanMs, ["a"], 1) > 0);
+test("an instance that may still have lent its quota share to another coordinator counts once that loan has expired", (t) => {
+  const fixture = new Fixture();
+  fixture.knownSinceMs = undefined;
+  t.is(fixture.run(loanMs, ["a"], 1), 0);
+  t.true(fixture.run(loanMs, ["a"], 1) > 0);
 });
 
-test("parts for endpoints of another zone are lent to its coordinator, and come back once it is lost", (t) => {
-  const scene = new Scene({ endpointZone: "west", coordinators: { west: "w" } });
-  t.is(scene.run(spanMs, ["a"], 2), 0);
-  const [name, ask] = [...scene.coordinator.getOutgoingAsks()][0] ?? [];
+test("quota shares for endpoints of another zone are lent to its coordinator, and return once it is lost", (t) => {
+  const fixture = new Fixture({ endpointZone: "west", coordinators: { west: "w" } });
+  t.is(fixture.run(spanMs, ["a"], 2), 0);
+  const [name, request] = [...fixture.coordinator.getOutgoingRequests()][0] ?? [];
   t.is(name, "w");
-  t.is(ask?.lending, 1);
-  t.deepEqual(ask?.zones, ["west"]);
-  scene.coordinators.clear();
-  t.is(scene.run(loanMs - tickMs, ["a"], 2), 0, "the loan has not run out");
-  const got = scene.run(spanMs, ["a"], 2);
+  t.is(request?.lending, 1);
+  t.deepEqual(request?.zones, ["west"]);
+  fixture.coordinators.clear();
+  t.is(fixture.run(loanMs - tickMs, ["a"], 2), 0, "the loan has not expired");
+  const got = fixture.run(spanMs, ["a"], 2);
   t.true(got > whole * 0.4 && got <= whole / 2 + 2, String(got));
 });
 
-test("limits that serve the same requests hand out no more together than is wanted", (t) => {
+test("limits that serve the same requests together grant no more permits than are demanded", (t) => {
   const nowMs = 10_000;
   let laterMs = nowMs;
   const coordinator = new PermitCoordinator({
@@ -119,10 +119,10 @@
     ...{ key: name, group: "g", count: 1, waiting: 1 },
     ...{ used: 0, returned: 0, charged: 0 },
   }));
-  const ask = (): number => coordinator.answer("a", { lending: 1, known: 1, wants }).length;
-  ask();
+  const request = (): number => coordinator.respond("a", { lending: 1, known: 1, wants }).length;
+  request();
   laterMs += 500;
-  ask();
+  request();
   laterMs += tickMs;
-  t.is(ask(), 1);
+  t.is(request(), 1);
 });
--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -107,7 +107,7 @@
   /** Lends the quota shares of this zone to the coordinators of the zones that contain the endpoints, and deposits the granted permits. */
   private async _requestForZone(): Promise<void> {
     if (!this._structure.loads.isCollector) return;
-    const requests = [...this._coordinator.getOutgoingAsks()];
+    const requests = [...this._coordinator.getOutgoingRequests()];
     await Promise.all(
       requests.map(async ([name, request]) => this._coordinator.deposit(await this._request(name, request))),
     );
@@ -126,7 +126,7 @@
     });
     const request = { lending: 1, known: getInstanceCount() ?? 0, wants };
     const granted = loads.isCollector
-      ? this._coordinator.answer(membership.self.name, request)
+      ? this._coordinator.respond(membership.self.name, request)
       : await this._request(loads.collector, request);
     this._addGranted(granted, nowMs + permitLifeMs);
   }
@@ -147,7 +147,7 @@
 
   private _respond(body: unknown, from: PeerIdentity): GrantedPermits {
     const request = permitAskSchema.safeParse(body);
-    if (request.success) return this._coordinator.answer(from.name, request.data);
+    if (request.success) return this._coordinator.respond(from.name, request.data);
     notePeerMessageInvalid(this._structure.log, peerTopics.permits, from);
     return [];
   }
