--- a/packages/claims/src/AtMostOnce.ts
+++ b/packages/claims/src/AtMostOnce.ts
@@ -1,11 +1,10 @@
-/** Runs work at most once for each key, over all instances and for ever. */
 import { errors, results, utils, type Ran } from "@shedtiller/common";
 import type { Timeline } from "@shedtiller/timeline";
 import type { ClaimBatcher } from "./ClaimBatcher.js";
-import type { ClaimFold, Verdict } from "./ClaimFold.js";
+import type { ClaimFold, ClaimOutcome } from "./ClaimFold.js";
 import type { Claim } from "./claimRecords.js";
 
-/** The claim could not be made, and nothing ran for this call. */
+/** Error for a call whose key could not be claimed. Nothing ran for this call. */
 export class ClaimRefusedError extends errors.ShedtillerError {
   readonly code = "claim_refused";
   readonly ran: Ran = "no";
@@ -15,7 +14,7 @@
   }
 }
 
-/** The key was used before, and its first answer is not known here. */
+/** Error for a call whose key was used before, while the outcome of that call is not available. */
 export class OutcomeUnknownError extends errors.ShedtillerError {
   readonly code = "outcome_unknown";
   readonly ran: Ran = "unknown";
@@ -25,39 +24,45 @@
   }
 }
 
-/** Failure of the work itself, with what is known of its having run. */
+/** Failure of the work itself. */
 export interface WorkError extends errors.ShedtillerError {
+  /** Whether the work ran, as far as this is known. */
   readonly ran: Ran;
 }
 
 export type OnceError = ClaimRefusedError | OutcomeUnknownError | WorkError;
 type Once<A> = results.Result<A, OnceError>;
 
-/** What the parts around it do for `AtMostOnce`. */
+/** Dependencies of {@link AtMostOnce}. */
 export interface AtMostOnceStructure<A> {
   readonly fold: ClaimFold;
   readonly batcher: ClaimBatcher;
   readonly timeline: Timeline;
   /** Name of this instance. */
   readonly holder: string;
+  /** Maximum number of outcomes in the cache. */
   readonly answersKept: number;
-  /** Asks the instance that holds a key for its answer; undefined where it can't be had. */
+  /** Requests the response of a key from the instance that holds it, and returns undefined if it is not available. */
   readonly askHolder: (holder: string, key: string, timeoutMs: number) => Promise<A | undefined>;
 }
 
-/** How one call is run. */
+/** Options of {@link AtMostOnce.run}. */
 export interface OnceOptions<A> {
   readonly requestId: string;
-  /** Monotonic milliseconds after which the work must not begin. */
+  /** Monotonic time after which the work must not start. */
   readonly deadlineMs: number;
   readonly signal: AbortSignal;
+  /** Runs the work. */
   readonly run: () => Promise<results.Result<A, WorkError>>;
 }
 
-const longestClaimMs = 3_000;
-const askHolderMs = 2_000;
+const claimTimeoutMs = 3_000;
+const holderTimeoutMs = 2_000;
 
-/** Claims keys, runs the work of those that were won, and keeps answers for later calls with the same key. */
+/**
+ * Runs work at most once for each idempotency key, across all instances and for ever. It claims a key in the log, runs the work if the claim
+ * was won, and caches the outcome for later calls with the same key.
+ */
 export class AtMostOnce<A> {
   private readonly _outcomes: utils.KeyedCache<Promise<Once<A>>>;
 
@@ -65,7 +70,7 @@
     this._outcomes = new utils.KeyedCache(_structure.answersKept);
   }
 
-  /** Runs the work of a key, or gives the outcome of its earlier call. */
+  /** Runs the work of a key, or returns the outcome of an earlier call with the same key. */
   async run(key: string, options: OnceOptions<A>): Promise<Once<A>> {
     const known = this._outcomes.get(key);
     if (known !== undefined) return known;
@@ -75,13 +80,14 @@
     });
     this._outcomes.set(key, outcome);
     const settled = await outcome;
-    // Kept is what this instance ran. What did not run, or is another's to know, is found out anew by the next call.
-    const isKept = isOurs && (settled.ok || settled.val.ran === "unknown");
-    if (!isKept && this._outcomes.get(key) === outcome) this._outcomes.remove(key);
+    // Only outcomes of work that this instance ran stay in the cache. If the work did not run or another instance holds the key, the next
+    // call tries again.
+    const isCached = isOurs && (settled.ok || settled.val.ran === "unknown");
+    if (!isCached && this._outcomes.get(key) === outcome) this._outcomes.remove(key);
     return settled;
   }
 
-  /** Answers a peer that asks for the answer of a key which this instance holds. */
+  /** Returns the response of a key that this instance holds, for a peer that requests it. */
   async getAnswer(key: string): Promise<A | undefined> {
     const outcome = await this._outcomes.get(key);
     return outcome?.ok === true ? outcome.val : undefined;
@@ -90,57 +96,59 @@
   private async _claimAndRun(key: string, options: OnceOptions<A>, onWon: () => void): Promise<Once<A>> {
     const holder = this._structure.fold.getHolder(key);
     const isFree = holder === undefined || this._structure.batcher.isAbandoning(key);
-    if (!isFree) return this._askHolder(holder, key);
+    if (!isFree) return this._requestFromHolder(holder, key);
     const claim: Claim = { key, claimId: utils.newId() };
-    const verdict = await this._claim(claim, options);
-    if (verdict === undefined) return this._giveUp(claim, "the claim could not be made in time");
-    if (verdict.kind === "lost") return this._askHolder(verdict.holder, key);
-    if (verdict.kind === "out-of-window") {
-      return results.Err(new OutcomeUnknownError("the key is older than the horizon or ahead of time"));
+    const claimOutcome = await this._claim(claim, options);
+    if (claimOutcome === undefined) return this._abandon(claim, "the key could not be claimed in time");
+    if (claimOutcome.kind === "lost") return this._requestFromHolder(claimOutcome.holder, key);
+    if (claimOutcome.kind === "out-of-window") {
+      return results.Err(
+        new OutcomeUnknownError("the key is older than the claims horizon, or its time is in the future"),
+      );
     }
     this._structure.timeline.add("claimed", { requestId: options.requestId, subject: key });
     onWon();
     return this._runWon(claim, options);
   }
 
-  /** From here on the claim is ours for ever, however long we stand still before the work begins. */
+  /** Runs the work of a won claim. The claim belongs to this instance for ever, even if it is suspended before the work starts. */
   private async _runWon(claim: Claim, options: OnceOptions<A>): Promise<Once<A>> {
     if (options.signal.aborted || utils.monotonicMs() >= options.deadlineMs) {
-      return this._giveUp(claim, "its caller or its deadline had gone before it began");
+      return this._abandon(claim, "the caller disconnected or the deadline passed before the work started");
     }
     const outcome = await options.run();
     if (outcome.err && outcome.val.ran === "no") this._structure.batcher.abandon(claim);
     return outcome;
   }
 
-  private async _claim(claim: Claim, options: OnceOptions<A>): Promise<Verdict | undefined> {
+  private async _claim(claim: Claim, options: OnceOptions<A>): Promise<ClaimOutcome | undefined> {
     const { fold, batcher } = this._structure;
-    const verdict = fold.waitForVerdict(claim.claimId);
+    const claimOutcome = fold.waitForOutcome(claim.claimId);
     batcher.addClaim(claim);
-    const waitMs = Math.min(longestClaimMs, options.deadlineMs - utils.monotonicMs());
+    const waitMs = Math.min(claimTimeoutMs, options.deadlineMs - utils.monotonicMs());
     try {
-      return await utils.withDeadline(verdict, Math.max(0, waitMs), "A claim");
+      return await utils.withDeadline(claimOutcome, Math.max(0, waitMs), "A claim");
     } catch {
       return undefined;
     } finally {
-      fold.forgetVerdict(claim.claimId);
+      fold.stopWaiting(claim.claimId);
     }
   }
 
-  private _giveUp(claim: Claim, reason: string): Once<A> {
+  private _abandon(claim: Claim, reason: string): Once<A> {
     this._structure.batcher.abandon(claim);
     return results.Err(new ClaimRefusedError(reason));
   }
 
-  private async _askHolder(holder: string, key: string): Promise<Once<A>> {
+  private async _requestFromHolder(holder: string, key: string): Promise<Once<A>> {
     this._structure.timeline.add("claim-lost", { subject: key, detail: `held by ${holder}` });
     if (holder === this._structure.holder) {
       return results.Err(
-        new OutcomeUnknownError("it was claimed by this instance, which no longer knows it"),
+        new OutcomeUnknownError("the key was claimed by this instance, which no longer has the outcome"),
       );
     }
-    const answer = await this._structure.askHolder(holder, key, askHolderMs);
+    const answer = await this._structure.askHolder(holder, key, holderTimeoutMs);
     if (answer !== undefined) return results.Ok(answer);
-    return results.Err(new OutcomeUnknownError(`it was claimed by ${holder}, which gives no answer`));
+    return results.Err(new OutcomeUnknownError(`the key was claimed by ${holder}, which does not respond`));
   }
 }
--- a/packages/claims/src/ClaimBatcher.ts
+++ b/packages/claims/src/ClaimBatcher.ts
@@ -1,30 +1,32 @@
-/** Gathers claims into few appends, paced so that all instances together stay within the log's rate. */
 import { errors, utils } from "@shedtiller/common";
 import type { LogService } from "@shedtiller/logservice";
 import { claimRecordVersion, claimsStream, type Claim, type ClaimRecord } from "./claimRecords.js";
 
-/** The part of the log's rate that claims may use. */
+/** Share of the log's append rate that claims may use. */
 const claimsShare = 0.8;
-const largestBatch = 500;
-const appendAgainMs = 200;
+const maxBatchSize = 500;
+const retryDelayMs = 200;
 
-/** What a batcher is made of. */
+/** Dependencies of {@link ClaimBatcher}. */
 export interface ClaimBatcherStructure {
   readonly log: LogService;
   /** Name of this instance. */
   readonly holder: string;
-  /** Appends a second that the log takes, from everybody. */
+  /** Appends per second that the log accepts from all instances together. */
   readonly appendsPerSecond: number;
-  /** How many instances append claims now. */
+  /** Returns the number of instances that append claims now. */
   readonly countAppenders: () => number;
 }
 
-/** One append is under way at a time; whatever comes meanwhile goes into the next. */
+/**
+ * Appends claims to the log in batches, paced so that all instances together stay within the append rate of the log. One append is in flight
+ * at a time; claims that are added in the meantime go into the next one.
+ */
 export class ClaimBatcher {
   private _claims: Claim[] = [];
   private _abandoned: Claim[] = [];
-  /** Ids of claims whose append failed in a way that does not prove that it took no effect. */
-  private readonly _perhapsSent = new Set<string>();
+  /** Ids of claims whose append failed, but may have taken effect. */
+  private readonly _possiblySent = new Set<string>();
   private readonly _abandoningKeys = new Set<string>();
   private _isRunning = false;
   private _lastAppendMs = Number.NEGATIVE_INFINITY;
@@ -34,35 +36,35 @@
     private readonly _signal: AbortSignal,
   ) {}
 
-  /** Puts a claim into the next append. */
+  /** Adds a claim to the next append. */
   addClaim(claim: Claim): void {
     this._claims.push(claim);
-    this._wake();
+    this._ensureRunning();
   }
 
-  /** Gives a claim back that never ran and never will. One that was never sent is just forgotten. */
+  /** Abandons a claim whose work did not run and never will. A claim that was never sent is just removed from the queue. */
   abandon(claim: Claim): void {
     const index = this._claims.indexOf(claim);
     if (index >= 0) this._claims.splice(index, 1);
-    // A claim that waits to be sent again may be in the log already, if only a reply was lost.
-    if (index >= 0 && !this._perhapsSent.has(claim.claimId)) return;
+    // A claim that waits to be sent again may already be in the log if only the reply was lost.
+    if (index >= 0 && !this._possiblySent.has(claim.claimId)) return;
     this._abandoned.push(claim);
     this._abandoningKeys.add(claim.key);
-    this._wake();
+    this._ensureRunning();
   }
 
-  /** Whether a claim of a key was given back here and the log has not confirmed that yet. */
+  /** Returns whether this instance has abandoned a claim of a key and the log has not confirmed that yet. */
   isAbandoning(key: string): boolean {
     return this._abandoningKeys.has(key);
   }
 
-  /** Time between appends, by which all appenders together keep to their share of the rate. */
+  /** Time between two appends that keeps all instances together within the share of the rate. */
   get intervalMs(): number {
     const { appendsPerSecond, countAppenders } = this._structure;
     return (utils.msPerSecond * Math.max(1, countAppenders())) / (appendsPerSecond * claimsShare);
   }
 
-  private _wake(): void {
+  private _ensureRunning(): void {
     if (this._isRunning) return;
     this._isRunning = true;
     void this._run().finally(() => {
@@ -80,30 +82,30 @@
   }
 
   private async _appendBatch(): Promise<void> {
-    const abandoned = this._abandoned.splice(0, largestBatch);
+    const abandoned = this._abandoned.splice(0, maxBatchSize);
     const abandonedIds = new Set(abandoned.map((claim) => claim.claimId));
-    // A claim that was given back while an append of it failed must not be sent again.
+    // A claim that was abandoned while its append failed must not be sent again.
     this._claims = this._claims.filter((claim) => !abandonedIds.has(claim.claimId));
     const record: ClaimRecord = {
       version: claimRecordVersion,
       type: "claims",
       holder: this._structure.holder,
-      claims: this._claims.splice(0, largestBatch),
+      claims: this._claims.splice(0, maxBatchSize),
       abandoned,
     };
     this._lastAppendMs = utils.monotonicMs();
     const appended = await this._structure.log.append(claimsStream, utils.newId(), record);
     if (appended.ok) {
       for (const claim of abandoned) this._abandoningKeys.delete(claim.key);
-      for (const claim of [...record.claims, ...abandoned]) this._perhapsSent.delete(claim.claimId);
+      for (const claim of [...record.claims, ...abandoned]) this._possiblySent.delete(claim.claimId);
       return;
     }
     const isProvenUnsent = errors.hasCode(appended.val, "log_refused", "not_reached");
-    if (!isProvenUnsent) for (const claim of record.claims) this._perhapsSent.add(claim.claimId);
-    // A claim that is in the log twice counts once, so that whatever may be missing is sent again.
+    if (!isProvenUnsent) for (const claim of record.claims) this._possiblySent.add(claim.claimId);
+    // A claim that is in the log twice counts once, so everything that may be missing can be sent again.
     this._claims.unshift(...record.claims);
     this._abandoned.unshift(...abandoned);
-    const backOffMs = errors.hasCode(appended.val, "log_refused") ? appendAgainMs : appendAgainMs * 2;
+    const backOffMs = errors.hasCode(appended.val, "log_refused") ? retryDelayMs : retryDelayMs * 2;
     await utils.sleep(backOffMs, this._signal).catch(() => undefined);
   }
 }
--- a/packages/claims/src/ClaimFold.ts
+++ b/packages/claims/src/ClaimFold.ts
@@ -1,16 +1,15 @@
-/** The fold of the claims stream: which claim holds each key. The same on every instance, at every offset. */
 import { utils } from "@shedtiller/common";
 import type { LogRecord, LogSink } from "@shedtiller/logservice";
 import { claimRecordSchema, type Claim } from "./claimRecords.js";
 
-/** How far a key's time may lie ahead of the log's. */
-export const largestSkewMs = 60_000;
+/** Maximum time by which the timestamp of a key may be ahead of the log's time. */
+export const maxSkewMs = 60_000;
 
-/** What became of a claim. */
-export type Verdict =
+/** Outcome of a claim. */
+export type ClaimOutcome =
   | { readonly kind: "won" }
   | { readonly kind: "lost"; readonly holder: string }
-  /** The key is past the horizon, or its time lies ahead: whether it ran is no longer known. */
+  /** The key is older than the horizon or its timestamp is in the future, so it is not known whether its work ran. */
   | { readonly kind: "out-of-window" };
 
 interface HeldKey {
@@ -22,44 +21,47 @@
 const sweepEveryRecords = 64;
 
 /**
- * Keys newer than the horizon are held; older ones are refused, so that memory stays bounded and "at most once" holds
- * for ever. The horizon is the latest time that the log gave a record, less the window: no instance's clock counts.
- * It is safe as long as the log keeps records for longer than window + `largestSkewMs`.
+ * Projection of the claims stream: which claim holds each key. It is the same on every instance at every offset.
+ *
+ * Keys that are newer than the horizon are stored, and older ones are rejected, so memory stays bounded and "at most once" holds for ever.
+ * The horizon is the latest timestamp that the log assigned to a record, minus the window, and does not depend on the clock of any instance.
+ * It is safe as long as the log retains records for longer than the window plus {@link maxSkewMs}.
  */
 export class ClaimFold implements LogSink {
-  /** Records that could not be read. */
+  /** Number of records that could not be parsed. */
   unknownRecords = 0;
   private readonly _keys = new Map<string, HeldKey>();
-  private readonly _waiting = new Map<string, utils.Deferred<Verdict>>();
+  private readonly _waiting = new Map<string, utils.Deferred<ClaimOutcome>>();
   private _latestMs = 0;
   private _recordsSinceSweep = 0;
 
-  /** @param windowMs - How old a key may be. */
+  /** @param windowMs - Maximum age of a key. */
   constructor(readonly windowMs: number) {}
 
-  /** Keys at or before this time are refused. */
+  /** Time at or before which keys are rejected. */
   get horizonMs(): number {
     return this._latestMs - this.windowMs;
   }
 
+  /** Number of stored keys. */
   get size(): number {
     return this._keys.size;
   }
 
-  /** Who holds a key, as far as the log has been read. */
+  /** Returns the instance that holds a key, as far as the log has been read. */
   getHolder(key: string): string | undefined {
     return this._keys.get(key)?.holder;
   }
 
-  /** Waits until the fold has met a claim. */
-  waitForVerdict(claimId: string): Promise<Verdict> {
-    const known = this._waiting.get(claimId) ?? new utils.Deferred<Verdict>();
+  /** Waits until the projection has processed a claim. */
+  waitForOutcome(claimId: string): Promise<ClaimOutcome> {
+    const known = this._waiting.get(claimId) ?? new utils.Deferred<ClaimOutcome>();
     this._waiting.set(claimId, known);
     return known.promise;
   }
 
-  /** Ends the waiting for a claim. */
-  forgetVerdict(claimId: string): void {
+  /** Stops waiting for a claim. */
+  stopWaiting(claimId: string): void {
     this._waiting.delete(claimId);
   }
 
@@ -75,18 +77,21 @@
     for (const claim of parsed.data.claims) this._decide(claim, parsed.data.holder);
   }
 
-  /** Claims in records that aged out unread are older than the horizon, by the condition above. */
+  /**
+   * Clears all keys when unread records have expired from the log. The claims in these records are older than the horizon, by the condition
+   * on the retention of the log.
+   */
   skipTo(): void {
     this._keys.clear();
   }
 
   private _decide(claim: Claim, holder: string): void {
     const known = this._keys.get(claim.key);
-    // The same record can be in the log twice, when its first reply was lost.
+    // The same record can be in the log twice if the first reply was lost.
     if (known?.claimId === claim.claimId) return;
     const timeMs = utils.getIdTimeMs(claim.key);
     if (known !== undefined) return this._settle(claim, { kind: "lost", holder: known.holder });
-    if (timeMs === undefined || timeMs <= this.horizonMs || timeMs > this._latestMs + largestSkewMs) {
+    if (timeMs === undefined || timeMs <= this.horizonMs || timeMs > this._latestMs + maxSkewMs) {
       return this._settle(claim, { kind: "out-of-window" });
     }
     this._keys.set(claim.key, { claimId: claim.claimId, holder, timeMs });
@@ -97,8 +102,8 @@
     if (this._keys.get(claim.key)?.claimId === claim.claimId) this._keys.delete(claim.key);
   }
 
-  private _settle(claim: Claim, verdict: Verdict): void {
-    this._waiting.get(claim.claimId)?.resolve(verdict);
+  private _settle(claim: Claim, outcome: ClaimOutcome): void {
+    this._waiting.get(claim.claimId)?.resolve(outcome);
   }
 
   private _sweep(): void {
--- a/packages/claims/src/claimRecords.ts
+++ b/packages/claims/src/claimRecords.ts
@@ -1,7 +1,7 @@
-/** Records of the claims stream of the log. One record carries many claims. */
+/** Schemas of the records of the claims stream. One record contains many claims. */
 import * as zod from "zod";
 
-/** Name of the stream. */
+/** Name of the stream in the log. */
 export const claimsStream = "claims";
 export const claimRecordVersion = 1;
 
@@ -15,10 +15,10 @@
 export const claimRecordSchema = zod.object({
   version: zod.literal(claimRecordVersion),
   type: zod.literal("claims"),
-  /** Instance that makes the claims. */
+  /** Instance that has made the claims. */
   holder: zod.string(),
   claims: zod.array(claimSchema),
-  /** Claims of the holder's that never ran and never will. */
+  /** Claims of the holder whose work did not run and never will. */
   abandoned: zod.array(claimSchema),
 });
 
--- a/packages/claims/src/service/ServiceCaller.ts
+++ b/packages/claims/src/service/ServiceCaller.ts
@@ -1,4 +1,3 @@
-/** Calls to plain services, retried only where that is safe. */
 import { errors, results, utils, type Ran } from "@shedtiller/common";
 import { classifyHttpError } from "@shedtiller/logservice";
 import {
@@ -11,32 +10,32 @@
 } from "@shedtiller/routing";
 import got from "got";
 
-/** A call as the caller made it. */
+/** A call of a service, as received from the caller. */
 export interface ServiceCall {
   readonly service: string;
   readonly requestId: string;
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
-  /** Path and query behind the service's name. */
+  /** Path and query after the name of the service. */
   readonly path: string;
   readonly contentType: string | undefined;
   readonly body: Uint8Array;
   readonly idempotencyKey: string | undefined;
   readonly isRepeatable: boolean;
-  /** What is left until nobody wants the answer. */
+  /** Remaining time until the response is no longer needed. */
   readonly timeoutMs: number;
   readonly signal: AbortSignal;
 }
 
-/** The service's answer, passed on as it is. */
+/** The response of the service, passed on unchanged. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly contentType: string | undefined;
   readonly body: Uint8Array;
-  /** Endpoint that gave it. */
+  /** Name of the endpoint that responded. */
   readonly endpoint: string;
 }
 
-/** The service gave no answer. */
+/** Error for a call to which the service did not respond. */
 export class ServiceError extends errors.ShedtillerError {
   readonly code: "service_unreachable" | "service_lost";
 
@@ -46,7 +45,7 @@
     cause?: unknown,
   ) {
     super(
-      ran === "no" ? `The service ${service} can't be reached.` : `The service ${service} gave no answer.`,
+      ran === "no" ? `The service ${service} can't be reached.` : `The service ${service} did not respond.`,
       { cause },
     );
     this.code = ran === "no" ? "service_unreachable" : "service_lost";
@@ -55,65 +54,67 @@
 
 const connectTimeoutMs = 1_000;
 
-/** Calls one endpoint of a service after the other until one answers or it may have run. */
+/** Calls the endpoints of a plain service one after the other, and retries only if the call did not run or is repeatable. */
 export class ServiceCaller {
+  /** Counter of the round-robin selection. */
   private _turn = 0;
-  /** Rests that endpoints asked for, by their names; those that are over are dropped. */
-  private readonly _rests = new Map<string, EndpointRest>();
+  /** Back-offs that endpoints requested, by endpoint name; those that have ended are dropped. */
+  private readonly _backoffs = new Map<string, EndpointRest>();
 
   constructor(
     private readonly _directory: EndpointDirectory,
     private readonly _retries: RetryBudget,
   ) {}
 
+  /** Calls the service, and returns the first response. */
   async call(call: ServiceCall): Promise<results.Result<ServiceAnswer, ServiceError>> {
     this._retries.recordRequest();
     const tried = new Set<string>();
     let ran: Ran = "no";
     for (;;) {
-      const endpoint = this._pickEndpoint(call.service, tried);
+      const endpoint = this._selectEndpoint(call.service, tried);
       if (endpoint === undefined) return results.Err(new ServiceError(call.service, ran));
       if (tried.size > 0 && !this._retries.tryTake()) return results.Err(new ServiceError(call.service, ran));
       tried.add(endpoint.name);
       const sentAtMs = utils.monotonicMs();
-      this._rests.get(endpoint.name)?.noteSent(sentAtMs);
+      this._backoffs.get(endpoint.name)?.noteSent(sentAtMs);
       const answer = await callEndpoint(endpoint, call);
       if (answer.ok) this._noteAnswer(endpoint, answer.val, sentAtMs);
       if (answer.ok) return answer;
       this._noteFailure(endpoint, answer.val);
       if (answer.val.code !== "not_reached") ran = "unknown";
-      // Whatever may have run is called again only if the service says that this does no harm.
+      // A call that may have run is retried only if it is declared repeatable.
       if (ran === "unknown" && !call.isRepeatable)
         return results.Err(new ServiceError(call.service, ran, answer.val));
       if (call.signal.aborted) return results.Err(new ServiceError(call.service, ran, answer.val));
     }
   }
 
-  private _pickEndpoint(service: string, tried: ReadonlySet<string>): EndpointEntry | undefined {
+  private _selectEndpoint(service: string, tried: ReadonlySet<string>): EndpointEntry | undefined {
     const nowMs = utils.monotonicMs();
-    const open = this._directory
+    const available = this._directory
       .getServiceEndpoints(service)
-      .filter(({ name }) => !tried.has(name) && this._rests.get(name)?.mayBegin(nowMs) !== false);
+      .filter(({ name }) => !tried.has(name) && this._backoffs.get(name)?.mayBegin(nowMs) !== false);
     this._turn += 1;
-    return open[this._turn % Math.max(1, open.length)];
+    return available[this._turn % Math.max(1, available.length)];
   }
 
-  /** An endpoint that turns calls away and names a time gets nothing until then, and few calls at first. */
+  /** Starts a back-off if the endpoint rejects a call with a Retry-After time; after it the endpoint receives few calls at first. */
   private _noteAnswer(
     { name }: EndpointEntry,
-    { status, retryAfterMs }: HeardAnswer,
+    { status, retryAfterMs }: ReceivedAnswer,
     sentAtMs: number,
   ): void {
     const nowMs = utils.monotonicMs();
-    const rest = this._rests.get(name) ?? new EndpointRest();
+    const backoff = this._backoffs.get(name) ?? new EndpointRest();
     if (!turnedAwayStatuses.includes(status)) {
-      rest.noteAnswered(sentAtMs);
-      if (!rest.isUnproven(nowMs)) this._rests.delete(name);
+      backoff.noteAnswered(sentAtMs);
+      if (!backoff.isUnproven(nowMs)) this._backoffs.delete(name);
       return;
     }
     if (retryAfterMs === undefined) return;
-    rest.note(nowMs + Math.min(retryAfterMs, longestRestMs), nowMs);
-    this._rests.set(name, rest);
+    backoff.note(nowMs + Math.min(retryAfterMs, longestRestMs), nowMs);
+    this._backoffs.set(name, backoff);
   }
 
   private _noteFailure(endpoint: EndpointEntry, error: errors.ShedtillerError): void {
@@ -122,18 +123,18 @@
   }
 }
 
-/** An answer, and when the endpoint wants to be asked again, if it names a time. */
-interface HeardAnswer extends ServiceAnswer {
+/** A response, and the time after which the endpoint accepts calls again, if it names one. */
+interface ReceivedAnswer extends ServiceAnswer {
   readonly retryAfterMs: number | undefined;
 }
 
 type CallError = errors.NotReachedError | errors.ConnectionLostError;
 
-/** Each call has a connection of its own, so that a refused connection proves that nothing was written. */
+/** Calls an endpoint over a connection of its own, so that a refused connection proves that nothing was written. */
 async function callEndpoint(
   endpoint: EndpointEntry,
   call: ServiceCall,
-): Promise<results.Result<HeardAnswer, CallError>> {
+): Promise<results.Result<ReceivedAnswer, CallError>> {
   try {
     const response = await got(`http://${endpoint.address}${call.path}`, {
       method: call.method,
@@ -151,7 +152,7 @@
       contentType: response.headers["content-type"],
       body: response.rawBody,
       endpoint: endpoint.name,
-      retryAfterMs: readSeconds(response.headers["retry-after"]),
+      retryAfterMs: parseSeconds(response.headers["retry-after"]),
     });
   } catch (error) {
     return results.Err(classifyHttpError(endpoint.address, error));
@@ -165,7 +166,7 @@
   return headers;
 }
 
-/** Whole or decimal seconds in ms; undefined for anything else. */
-function readSeconds(text: string | undefined): number | undefined {
+/** Parses integer or decimal seconds to milliseconds, and returns undefined for anything else. */
+function parseSeconds(text: string | undefined): number | undefined {
   return text !== undefined && /^\d+(\.\d+)?$/.test(text) ? Number(text) * utils.msPerSecond : undefined;
 }
--- a/packages/claims/src/tests/FakeLog.ts
+++ b/packages/claims/src/tests/FakeLog.ts
@@ -1,4 +1,3 @@
-/** A log service in memory, with faults at chosen appends. */
 import { errors, results, utils } from "@shedtiller/common";
 import {
   LogRefusedError,
@@ -9,17 +8,17 @@
   type LogRecord,
 } from "@shedtiller/logservice";
 
-/** What happens at an append. */
+/** Fault that an append is subject to. */
 export type AppendFault = "refused" | "reply-lost" | "lost" | "twice";
 
-const okFault = undefined;
+const noFault = undefined;
 const unavailableStatus = 503;
 const pollMs = 2;
 
-/** Keeps records; the n-th append meets the n-th fault. */
+/** An in-memory log service that injects the n-th fault into the n-th append. */
 export class FakeLog extends LogService {
   readonly records: LogRecord[] = [];
-  /** Records before this offset have aged out. */
+  /** Offset before which records have expired. */
   oldestOffset = 0;
   nowMs = utils.wallMs();
   private _appends = 0;
@@ -33,7 +32,7 @@
     id: string,
     payload: unknown,
   ): Promise<results.Result<AppendReceipt, LogError>> {
-    const fault = this._faults[this._appends++] ?? okFault;
+    const fault = this._faults[this._appends++] ?? noFault;
     await utils.sleep(1);
     if (fault === "refused") return results.Err(new LogRefusedError(unavailableStatus));
     if (fault === "lost") return results.Err(new errors.ConnectionLostError("log"));
@@ -55,7 +54,7 @@
     return results.Ok({ records, oldestOffset: this.oldestOffset, nextOffset: this.records.length });
   }
 
-  /** Adds a record at the log's own time. */
+  /** Adds a record with the log's timestamp. */
   add(id: string, payload: unknown): AppendReceipt {
     const record = { offset: this.records.length, atMs: this.nowMs, id, payload: structuredClone(payload) };
     this.records.push(record);
--- a/packages/claims/src/tests/ServiceCallerTests.ts
+++ b/packages/claims/src/tests/ServiceCallerTests.ts
@@ -1,4 +1,4 @@
-/** Which endpoints of a plain service are called, and which are left alone. */
+/** Tests which endpoints of a plain service receive calls. */
 import * as http from "node:http";
 import type * as net from "node:net";
 import { RetryBudget, type EndpointDirectory } from "@shedtiller/routing";
@@ -54,17 +54,17 @@
   return new ServiceCaller(directory, new RetryBudget());
 }
 
-// Guards against calls that go on reaching an endpoint in the time of rest that it asked for.
-test("an endpoint that asks for rest gets no call until it is over, and where all rest a call is refused at once", async (t) => {
-  const resting = await serve(t, "a", 503, { "Retry-After": "60" });
+// Guards against calls to an endpoint during the back-off that it has requested.
+test("an endpoint that requests a back-off receives no calls until it ends, and if all endpoints back off, calls fail at once", async (t) => {
+  const backingOff = await serve(t, "a", 503, { "Retry-After": "60" });
   const other = await serve(t, "b", 200, {});
-  const caller = createCaller([resting, other]);
+  const caller = createCaller([backingOff, other]);
   for (let call = 0; call < callCount; call++) t.true((await caller.call(createCall())).ok);
-  t.is(resting.calls, 1);
+  t.is(backingOff.calls, 1);
   t.is(other.calls, callCount - 1);
-  const alone = createCaller([resting]);
-  await alone.call(createCall());
-  const refused = await alone.call(createCall());
-  t.is(refused.err ? refused.val.ran : undefined, "no");
-  t.is(resting.calls, 2);
+  const callerOfOne = createCaller([backingOff]);
+  await callerOfOne.call(createCall());
+  const failed = await callerOfOne.call(createCall());
+  t.is(failed.err ? failed.val.ran : undefined, "no");
+  t.is(backingOff.calls, 2);
 });
