--- a/packages/admission/src/AccountLimits.ts
+++ b/packages/admission/src/AccountLimits.ts
@@ -119,7 +119,7 @@
   }
 
   /** Drops the demands of sources that are not in the given set. */
-  keepSources(sources: ReadonlySet<string>): void {
+  retainSources(sources: ReadonlySet<string>): void {
     for (const name of this._otherDemands.keys()) if (!sources.has(name)) this._otherDemands.delete(name);
   }
 
--- a/packages/admission/src/ArrivalOrderAdmission.ts
+++ b/packages/admission/src/FifoAdmission.ts
@@ -3,7 +3,7 @@
 import { AdmissionRefusedError } from "./refusals.js";
 
 /** Admits requests in the order of their arrival, without load shedding. Benchmarks use it as the baseline. */
-export class ArrivalOrderAdmission extends Admission {
+export class FifoAdmission extends Admission {
   private readonly _queue: {
     request: AdmissionRequest;
     sinceMs: number;
--- a/packages/admission/src/permits/LentParts.ts
+++ b/packages/admission/src/permits/LentQuotas.ts
@@ -1,5 +1,5 @@
 import { utils } from "@shedtiller/common";
-import type { PermitAsk } from "./permitMessages.js";
+import type { PermitRequest } from "./permitMessages.js";
 
 /** Duration for which a quota share is lent. Each permit request renews it; otherwise it returns to the lender. */
 export const loanMs = 1_000;
@@ -12,14 +12,14 @@
 const assumedInstances = 100;
 
 /** Dependencies of {@link LentQuotas}. */
-export interface LentPartsStructure {
+export interface LentQuotasStructure {
   /** Returns the time since which an instance is known to use this one as its coordinator, or undefined if it does not. */
   readonly getKnownSinceMs: (name: string) => number | undefined;
   readonly nowMs: () => number;
 }
 
 /** An instance of this zone, or the coordinator of another zone. */
-interface Lender extends Omit<PermitAsk, "wants"> {
+interface Lender extends Omit<PermitRequest, "wants"> {
   /** Time since which the lender has been using this coordinator and no other. */
   readonly sinceMs: number;
   readonly receivedAtMs: number;
@@ -29,14 +29,14 @@
  * Tracks the quota shares that instances and zones have lent to one coordinator. Each instance owns an equal share of every limit and lends
  * it with each permit request. A share counts only once no other coordinator can still have it.
  */
-export class LentParts {
+export class LentQuotas {
   private readonly _lenders = new Map<string, Lender>();
   /** Time at which the shares of this zone were last lent to another coordinator, by the zone of the endpoints. */
   private readonly _lentAtMs = new Map<string, number>();
   /** Time since which less than the whole is present, by the zone of the endpoints. */
   private readonly _incompleteSinceMs = new Map<string, number>();
 
-  constructor(private readonly _structure: LentPartsStructure) {}
+  constructor(private readonly _structure: LentQuotasStructure) {}
 
   /** Returns whether an instance or coordinator is a lender now. */
   has(name: string): boolean {
@@ -44,7 +44,7 @@
   }
 
   /** Records the quota shares that are lent with a permit request. */
-  addLoan(name: string, { lending, known, zones }: Omit<PermitAsk, "wants">): void {
+  addLoan(name: string, { lending, known, zones }: Omit<PermitRequest, "wants">): void {
     this._dropExpired();
     const receivedAtMs = this._structure.nowMs();
     const sinceMs = this._lenders.get(name)?.sinceMs ?? this._structure.getKnownSinceMs(name) ?? receivedAtMs;
@@ -52,7 +52,7 @@
   }
 
   /** Lends the quota shares of this zone to another coordinator, for endpoints of the given zones, and returns what is lent. */
-  lend(zones: readonly string[]): Pick<PermitAsk, "lending" | "known"> {
+  lend(zones: readonly string[]): Pick<PermitRequest, "lending" | "known"> {
     this._dropExpired();
     const nowMs = this._structure.nowMs();
     for (const zone of zones) this._lentAtMs.set(zone, nowMs);
--- a/packages/admission/src/permits/PermitCoordinator.ts
+++ b/packages/admission/src/permits/PermitCoordinator.ts
@@ -1,5 +1,5 @@
-import { LentParts, type LentPartsStructure } from "./LentParts.js";
-import type { GrantedPermits, PermitAsk, WantedPermits } from "./permitMessages.js";
+import { LentQuotas, type LentQuotasStructure } from "./LentQuotas.js";
+import type { GrantedPermits, PermitRequest, LimitDemand } from "./permitMessages.js";
 import { PermitPool } from "./PermitPool.js";
 
 /** Requests that were sent before a limit was known are charged only beyond what the limit allows in this time. */
@@ -14,7 +14,7 @@
 }
 
 /** Dependencies of {@link PermitCoordinator}. */
-export interface PermitCoordinatorStructure extends LentPartsStructure {
+export interface PermitCoordinatorStructure extends LentQuotasStructure {
   readonly availabilityZone: string;
   readonly getLimit: (key: string) => ZonedLimit | undefined;
   /** Returns the zones of all endpoints with a limit in force. */
@@ -24,7 +24,7 @@
 }
 
 /** Numbers of permits that were used or returned, and of requests that were sent without one. */
-type PermitUsage = Pick<WantedPermits, "used" | "returned" | "charged">;
+type PermitUsage = Pick<LimitDemand, "used" | "returned" | "charged">;
 
 const noUsage: PermitUsage = { used: 0, returned: 0, charged: 0 };
 
@@ -37,7 +37,7 @@
  * Every instance has a coordinator, which receives requests only while other instances use it.
  */
 export class PermitCoordinator {
-  private readonly _quotas: LentParts;
+  private readonly _quotas: LentQuotas;
   private readonly _pools = new Map<string, PermitPool>();
   /** Usage that is not yet reported to the coordinator of the endpoint's zone, by limit. */
   private readonly _usages = new Map<string, PermitUsage>();
@@ -46,11 +46,11 @@
   private _requests = 0;
 
   constructor(private readonly _structure: PermitCoordinatorStructure) {
-    this._quotas = new LentParts(_structure);
+    this._quotas = new LentQuotas(_structure);
   }
 
   /** Responds to a permit request of an instance of this zone, or of the coordinator of another zone. */
-  respond(name: string, request: PermitAsk): GrantedPermits {
+  respond(name: string, request: PermitRequest): GrantedPermits {
     this._removeEnded();
     this._quotas.addLoan(name, request);
     const demandedKeys = new Set(request.wants.map(({ key }) => key));
@@ -75,9 +75,9 @@
   }
 
   /** Returns the permit requests that are due to the coordinators of other zones, by their names. */
-  getOutgoingRequests(): Map<string, PermitAsk> {
+  getOutgoingRequests(): Map<string, PermitRequest> {
     this._removeEnded();
-    const requests = new Map<string, PermitAsk>();
+    const requests = new Map<string, PermitRequest>();
     for (const [zone, name] of this._structure.getCoordinators()) {
       const zones = this._getZonesGrantedBy(zone);
       if (zones.length === 0) continue;
@@ -86,7 +86,7 @@
     return requests;
   }
 
-  private _applyDemand(name: string, demand: WantedPermits, pool: PermitPool, weight: number): void {
+  private _applyDemand(name: string, demand: LimitDemand, pool: PermitPool, weight: number): void {
     const limit = this._structure.getLimit(demand.key);
     if (limit === undefined) return;
     pool.retainParticipants((participant) => this._quotas.has(participant));
@@ -97,7 +97,7 @@
   }
 
   /** Settles usage with the pool that granted the permits: the local one, or that of the coordinator of the endpoint's zone. */
-  private _settle(demand: WantedPermits, pool: PermitPool, limit: ZonedLimit, weight: number): void {
+  private _settle(demand: LimitDemand, pool: PermitPool, limit: ZonedLimit, weight: number): void {
     const { key, used, returned, charged } = demand;
     if (this._isGrantedHere(limit.availabilityZone)) {
       pool.settle(used, returned);
@@ -135,8 +135,8 @@
     return pool;
   }
 
-  private _getDemands(zones: readonly string[]): WantedPermits[] {
-    const wants: WantedPermits[] = [];
+  private _getDemands(zones: readonly string[]): LimitDemand[] {
+    const wants: LimitDemand[] = [];
     for (const [key, pool] of this._pools) {
       const zone = this._structure.getLimit(key)?.availabilityZone;
       if (zone === undefined || !zones.includes(zone)) continue;
--- a/packages/admission/src/permits/PermitPool.ts
+++ b/packages/admission/src/permits/PermitPool.ts
@@ -11,7 +11,7 @@
 const maxDebtSeconds = 2;
 
 /** Demand of a participant for permits. */
-export interface PermitWant {
+export interface PermitDemand {
   readonly count: number;
   /** Number of these permits that are for waiting requests. */
   readonly waiting: number;
@@ -19,7 +19,7 @@
 
 interface Participant {
   /** Demand that is not covered by reserved permits. */
-  unmet: PermitWant;
+  unmet: PermitDemand;
   /** Demand in the last permit request, and how many requests waited then. */
   demand: number;
   waiting: number;
@@ -67,7 +67,10 @@
     this._filledAtMs = nowMs;
     // All outstanding permits may be used at the same moment, so their number is bounded.
     const room =
-      this._capacity + this._perSecond * maxOutstandingSeconds - this._balance - this._countOutstanding(nowMs);
+      this._capacity +
+      this._perSecond * maxOutstandingSeconds -
+      this._balance -
+      this._countOutstanding(nowMs);
     this._balance += Math.max(0, Math.min(room, seconds * this._perSecond * fillShare * weight));
     this._reserve();
     this._balance = Math.min(this._capacity, this._balance);
@@ -110,7 +113,7 @@
   }
 
   /** Sets the demand of a participant, replacing its previous one. */
-  setDemand(name: string, demand: PermitWant): void {
+  setDemand(name: string, demand: PermitDemand): void {
     const known = this._participants.get(name) ?? this._createParticipant();
     // A participant that had no demand for a while must not have accumulated turns.
     if (known.unmet.count === 0) known.startTag = Math.max(known.startTag, this._virtualTime);
@@ -151,7 +154,7 @@
   }
 
   /** Returns the total demand that is not covered by reserved permits. */
-  getUnmetDemand(): PermitWant {
+  getUnmetDemand(): PermitDemand {
     let count = 0;
     let waiting = 0;
     for (const { unmet } of this._participants.values()) {
--- a/packages/admission/src/permits/permitMessages.ts
+++ b/packages/admission/src/permits/permitMessages.ts
@@ -7,7 +7,7 @@
 const count = zod.number().int().nonnegative().max(maxPermits);
 
 /** Demand of an instance or a zone for permits of one limit, and its usage since the last permit request. */
-export const wantedPermitsSchema = zod.object({
+export const limitDemandSchema = zod.object({
   key,
   /** Limits of one group serve the same requests: all of them together grant no more permits than are demanded of one. */
   group: zod.string().max(256),
@@ -22,19 +22,19 @@
   /** Requests that were sent without a permit because the limit was not known yet. */
   charged: count,
 });
-export type WantedPermits = zod.infer<typeof wantedPermitsSchema>;
+export type LimitDemand = zod.infer<typeof limitDemandSchema>;
 
 /** A permit request. The sender lends its quota shares of the limits to the receiver until the loan expires. */
-export const permitAskSchema = zod.object({
+export const permitRequestSchema = zod.object({
   /** Number of instances whose equal quota shares are lent. */
   lending: count,
   /** Number of all instances that the sender knows, or 0 if it is unknown. */
   known: count,
   /** Availability zones of the endpoints for whose limits the shares are lent; all zones if it is left out. */
   zones: zod.array(zod.string()).max(maxLimits).optional(),
-  wants: zod.array(wantedPermitsSchema).max(maxLimits),
+  wants: zod.array(limitDemandSchema).max(maxLimits),
 });
-export type PermitAsk = zod.infer<typeof permitAskSchema>;
+export type PermitRequest = zod.infer<typeof permitRequestSchema>;
 
 /** Granted permits. */
 export const grantedPermitsSchema = zod.array(zod.object({ key, count })).max(maxLimits);
--- a/packages/admission/src/refusals.ts
+++ b/packages/admission/src/refusals.ts
@@ -1,4 +1,4 @@
-import { errors, type Ran } from "@shedtiller/common";
+import { errors, type ExecutionStatus } from "@shedtiller/common";
 
 /** Reason why a request was not admitted, used as a label of the refusal metric. */
 export type RefusalReason = "account-concurrency" | "account-tokens" | "overload" | "deadline" | "cancelled";
@@ -6,7 +6,7 @@
 /** Error for a request that was not admitted. It was rejected before any work was done, so it did not run. */
 export class AdmissionRefusedError extends errors.ShedtillerError {
   readonly code = "not_admitted";
-  readonly ran: Ran = "no";
+  readonly ran: ExecutionStatus = "no";
 
   /**
    * @param reason - Reason for the rejection.
--- a/packages/claims/src/AtMostOnce.ts
+++ b/packages/claims/src/AtMostOnce.ts
@@ -1,13 +1,13 @@
-import { errors, results, utils, type Ran } from "@shedtiller/common";
+import { errors, results, utils, type ExecutionStatus } from "@shedtiller/common";
 import type { Timeline } from "@shedtiller/timeline";
 import type { ClaimBatcher } from "./ClaimBatcher.js";
-import type { ClaimFold, ClaimOutcome } from "./ClaimFold.js";
+import type { ClaimProjection, ClaimOutcome } from "./ClaimProjection.js";
 import type { Claim } from "./claimRecords.js";
 
 /** Error for a call whose key could not be claimed. Nothing ran for this call. */
 export class ClaimRefusedError extends errors.ShedtillerError {
   readonly code = "claim_refused";
-  readonly ran: Ran = "no";
+  readonly ran: ExecutionStatus = "no";
 
   constructor(readonly reason: string) {
     super(`The call was not run: ${reason}.`);
@@ -17,7 +17,7 @@
 /** Error for a call whose key was used before, while the outcome of that call is not available. */
 export class OutcomeUnknownError extends errors.ShedtillerError {
   readonly code = "outcome_unknown";
-  readonly ran: Ran = "unknown";
+  readonly ran: ExecutionStatus = "unknown";
 
   constructor(readonly reason: string) {
     super(`The outcome of this key is unknown: ${reason}.`);
@@ -27,7 +27,7 @@
 /** Failure of the work itself. */
 export interface WorkError extends errors.ShedtillerError {
   /** Whether the work ran, as far as this is known. */
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
 }
 
 export type OnceError = ClaimRefusedError | OutcomeUnknownError | WorkError;
@@ -35,7 +35,7 @@
 
 /** Dependencies of {@link AtMostOnce}. */
 export interface AtMostOnceStructure<A> {
-  readonly fold: ClaimFold;
+  readonly projection: ClaimProjection;
   readonly batcher: ClaimBatcher;
   readonly timeline: Timeline;
   /** Name of this instance. */
@@ -64,10 +64,10 @@
  * was won, and caches the outcome for later calls with the same key.
  */
 export class AtMostOnce<A> {
-  private readonly _outcomes: utils.KeyedCache<Promise<Once<A>>>;
+  private readonly _outcomes: utils.BoundedMap<Promise<Once<A>>>;
 
   constructor(private readonly _structure: AtMostOnceStructure<A>) {
-    this._outcomes = new utils.KeyedCache(_structure.answersKept);
+    this._outcomes = new utils.BoundedMap(_structure.answersKept);
   }
 
   /** Runs the work of a key, or returns the outcome of an earlier call with the same key. */
@@ -94,7 +94,7 @@
   }
 
   private async _claimAndRun(key: string, options: OnceOptions<A>, onWon: () => void): Promise<Once<A>> {
-    const holder = this._structure.fold.getHolder(key);
+    const holder = this._structure.projection.getHolder(key);
     const isFree = holder === undefined || this._structure.batcher.isAbandoning(key);
     if (!isFree) return this._requestFromHolder(holder, key);
     const claim: Claim = { key, claimId: utils.newId() };
@@ -122,7 +122,7 @@
   }
 
   private async _claim(claim: Claim, options: OnceOptions<A>): Promise<ClaimOutcome | undefined> {
-    const { fold, batcher } = this._structure;
+    const { projection: fold, batcher } = this._structure;
     const claimOutcome = fold.waitForOutcome(claim.claimId);
     batcher.addClaim(claim);
     const waitMs = Math.min(claimTimeoutMs, options.deadlineMs - utils.monotonicMs());
--- a/packages/claims/src/ClaimFold.ts
+++ b/packages/claims/src/ClaimProjection.ts
@@ -27,7 +27,7 @@
  * The horizon is the latest timestamp that the log assigned to a record, minus the window, and does not depend on the clock of any instance.
  * It is safe as long as the log retains records for longer than the window plus {@link maxSkewMs}.
  */
-export class ClaimFold implements LogSink {
+export class ClaimProjection implements LogSink {
   /** Number of records that could not be parsed. */
   unknownRecords = 0;
   private readonly _keys = new Map<string, HeldKey>();
--- a/packages/claims/src/service/ServiceCaller.ts
+++ b/packages/claims/src/service/ServiceCaller.ts
@@ -1,9 +1,9 @@
-import { errors, results, utils, type Ran } from "@shedtiller/common";
+import { errors, results, utils, type ExecutionStatus } from "@shedtiller/common";
 import { classifyHttpError } from "@shedtiller/logservice";
 import {
-  EndpointRest,
-  longestRestMs,
-  turnedAwayStatuses,
+  EndpointBackoff,
+  maxBackoffMs,
+  backoffStatuses,
   type EndpointDirectory,
   type EndpointEntry,
   type RetryBudget,
@@ -41,7 +41,7 @@
 
   constructor(
     readonly service: string,
-    readonly ran: Ran,
+    readonly ran: ExecutionStatus,
     cause?: unknown,
   ) {
     super(
@@ -59,7 +59,7 @@
   /** Counter of the round-robin selection. */
   private _turn = 0;
   /** Back-offs that endpoints requested, by endpoint name; those that have ended are dropped. */
-  private readonly _backoffs = new Map<string, EndpointRest>();
+  private readonly _backoffs = new Map<string, EndpointBackoff>();
 
   constructor(
     private readonly _directory: EndpointDirectory,
@@ -70,7 +70,7 @@
   async call(call: ServiceCall): Promise<results.Result<ServiceAnswer, ServiceError>> {
     this._retries.recordRequest();
     const tried = new Set<string>();
-    let ran: Ran = "no";
+    let ran: ExecutionStatus = "no";
     for (;;) {
       const endpoint = this._selectEndpoint(call.service, tried);
       if (endpoint === undefined) return results.Err(new ServiceError(call.service, ran));
@@ -94,7 +94,7 @@
     const nowMs = utils.monotonicMs();
     const available = this._directory
       .getServiceEndpoints(service)
-      .filter(({ name }) => !tried.has(name) && this._backoffs.get(name)?.mayBegin(nowMs) !== false);
+      .filter(({ name }) => !tried.has(name) && this._backoffs.get(name)?.maySend(nowMs) !== false);
     this._turn += 1;
     return available[this._turn % Math.max(1, available.length)];
   }
@@ -106,14 +106,14 @@
     sentAtMs: number,
   ): void {
     const nowMs = utils.monotonicMs();
-    const backoff = this._backoffs.get(name) ?? new EndpointRest();
-    if (!turnedAwayStatuses.includes(status)) {
+    const backoff = this._backoffs.get(name) ?? new EndpointBackoff();
+    if (!backoffStatuses.includes(status)) {
       backoff.noteAnswered(sentAtMs);
       if (!backoff.isUnproven(nowMs)) this._backoffs.delete(name);
       return;
     }
     if (retryAfterMs === undefined) return;
-    backoff.note(nowMs + Math.min(retryAfterMs, longestRestMs), nowMs);
+    backoff.extendTo(nowMs + Math.min(retryAfterMs, maxBackoffMs), nowMs);
     this._backoffs.set(name, backoff);
   }
 
--- a/packages/gateway/src/configuration/ConfigurationKeeper.ts
+++ b/packages/gateway/src/configuration/ActiveConfiguration.ts
@@ -9,7 +9,7 @@
  * Holds the configuration in force at this instance, and its freshness: the time at which the version was last known to be the newest in
  * the store. Within the life of a process, versions never decrease.
  */
-export class ConfigurationKeeper {
+export class ActiveConfiguration {
   private _table: RouteTable | undefined;
   private _freshAtMs = Number.NEGATIVE_INFINITY;
   private readonly _listeners: ((table: RouteTable, source: ConfigurationSource) => void)[] = [];
@@ -30,7 +30,7 @@
   }
 
   /** Returns the age of the freshness, which is infinite until it is confirmed for the first time. */
-  getProofAgeMs(): number {
+  getFreshnessAgeMs(): number {
     return this._nowMs() - this._freshAtMs;
   }
 
@@ -41,7 +41,7 @@
   }
 
   /** Resolves with the next configuration or the next confirmation of freshness, or after `timeoutMs`. */
-  waitForNews(timeoutMs: number): Promise<void> {
+  waitForUpdate(timeoutMs: number): Promise<void> {
     return waitFor(this._update.promise, timeoutMs);
   }
 
@@ -64,7 +64,7 @@
    * Records that `version` was the newest in the store at `atMs`. This is ignored for versions other than the one in force.
    * @param atMs - Monotonic time at which the read or request was sent.
    */
-  confirm(version: number, atMs: number): void {
+  confirmFreshness(version: number, atMs: number): void {
     if (version !== this.version || atMs <= this._freshAtMs) return;
     this._freshAtMs = atMs;
     this._notifyUpdate();
--- a/packages/gateway/src/configuration/ConfigurationHistory.ts
+++ b/packages/gateway/src/configuration/ConfigurationHistory.ts
@@ -1,5 +1,5 @@
 import { countItems, getDelta, type ConfigurationDelta } from "./configurationDelta.js";
-import type { ConfigurationKeeper } from "./ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "./ActiveConfiguration.js";
 import type { GatewayConfiguration } from "./gatewayConfiguration.js";
 
 /**
@@ -23,7 +23,7 @@
    */
   private readonly _deltas = new Map<number, ConfigurationDelta | undefined>();
 
-  constructor(keeper: ConfigurationKeeper) {
+  constructor(keeper: ActiveConfiguration) {
     keeper.onChanged(({ configuration }) => this._add(configuration));
   }
 
--- a/packages/gateway/src/configuration/DenialProof.ts
+++ b/packages/gateway/src/configuration/DenialFreshness.ts
@@ -1,5 +1,5 @@
 import { utils } from "@shedtiller/common";
-import type { ConfigurationKeeper } from "./ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "./ActiveConfiguration.js";
 
 /** Margin for the time between the check of the freshness and the arrival of the response on a congested link. */
 const marginMs = 500;
@@ -8,9 +8,9 @@
 /** Maximum duration of a long poll. The age of the freshness has to stay well below the bound for revoked keys, 5 s in present deployments. */
 const maxLongPollMs = 1_500;
 
-/** Dependencies of {@link NotFoundFreshness}. */
-export interface DenialProofStructure {
-  readonly keeper: Pick<ConfigurationKeeper, "getProofAgeMs" | "waitForNews">;
+/** Dependencies of {@link DenialFreshness}. */
+export interface DenialFreshnessStructure {
+  readonly activeConfiguration: Pick<ActiveConfiguration, "getFreshnessAgeMs" | "waitForUpdate">;
   /** Returns for how long a newer configuration has been known to exist without being in force at this instance. */
   readonly getBehindMs: () => number;
   /** Returns the time after its acknowledgement by which a configuration has to be in force. */
@@ -25,31 +25,31 @@
  * not fresh enough, callers are told to retry. Before this check existed, callers were told "no such route" 3.4 s after a configuration
  * with that route.
  */
-export class DenialProof {
+export class DenialFreshness {
   private readonly _nowMs: () => number;
 
-  constructor(private readonly _structure: DenialProofStructure) {
+  constructor(private readonly _structure: DenialFreshnessStructure) {
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
   /** Returns whether a route or key that is missing from the configuration in force does not exist. */
-  isProven(): boolean {
-    const { keeper, getBehindMs } = this._structure;
-    return getBehindMs() === 0 && keeper.getProofAgeMs() < this._getMaxAgeMs();
+  isFresh(): boolean {
+    const { activeConfiguration: keeper, getBehindMs } = this._structure;
+    return getBehindMs() === 0 && keeper.getFreshnessAgeMs() < this._getMaxAgeMs();
   }
 
   /**
    * Waits until the configuration in force is fresh or a newer one is loaded, and returns whether it is fresh then. A freshness that is
    * overdue by more than `timeoutMs` is not awaited.
    */
-  async wait(timeoutMs: number): Promise<boolean> {
-    const { keeper } = this._structure;
+  async waitUntilFresh(timeoutMs: number): Promise<boolean> {
+    const { activeConfiguration: keeper } = this._structure;
     const endMs = this._nowMs() + timeoutMs;
-    const isOverdue = keeper.getProofAgeMs() > this._getMaxAgeMs() + timeoutMs;
-    while (!isOverdue && !this.isProven() && this._nowMs() < endMs) {
-      await keeper.waitForNews(endMs - this._nowMs());
+    const isOverdue = keeper.getFreshnessAgeMs() > this._getMaxAgeMs() + timeoutMs;
+    while (!isOverdue && !this.isFresh() && this._nowMs() < endMs) {
+      await keeper.waitForUpdate(endMs - this._nowMs());
     }
-    return this.isProven();
+    return this.isFresh();
   }
 
   private _getMaxAgeMs(): number {
@@ -62,7 +62,7 @@
  * of the freshness reaches twice its duration. With this duration it stays fresh enough for "not found" responses, and no request has to
  * wait.
  */
-export function getHeldReadMs(deadlineMs: number): number {
+export function getLongPollMs(deadlineMs: number): number {
   return Math.min(maxLongPollMs, Math.max(0, getMaxFreshnessAgeMs(deadlineMs) - relayMs) / 2);
 }
 
--- a/packages/gateway/src/peers/RelayedChanges.ts
+++ b/packages/gateway/src/peers/ChangeCodec.ts
@@ -5,14 +5,14 @@
 import type { Change } from "../discovery/ChangeFeed.js";
 
 /** Converts the changes of one feed to and from the format in which instances relay them. */
-export abstract class RelayedChanges<T, TEncoded> {
+export abstract class ChangeCodec<T, TEncoded> {
   abstract readonly schema: zod.ZodType<TEncoded>;
 
   /** Returns the encoded changes, or undefined if each instance has to read the changes from the store by itself. */
-  abstract toTold(changes: readonly Change<T>[]): TEncoded | undefined;
+  abstract encode(changes: readonly Change<T>[]): TEncoded | undefined;
 
   /** Returns the decoded changes, or undefined if they don't apply to the state of this instance. */
-  abstract fromTold(encoded: TEncoded): readonly Change<T>[] | undefined;
+  abstract decode(encoded: TEncoded): readonly Change<T>[] | undefined;
 }
 
 /** A change with its whole value, as it is sent. */
@@ -23,7 +23,7 @@
 }
 
 /** Sends changes with their whole values, for small values that don't depend on each other. */
-export class WholeChanges<T> extends RelayedChanges<T, WholeChange<T>[]> {
+export class WholeChangeCodec<T> extends ChangeCodec<T, WholeChange<T>[]> {
   readonly schema;
 
   constructor(valueSchema: zod.ZodType<T>) {
@@ -32,11 +32,11 @@
     this.schema = zod.array(zod.object({ key: zod.string(), value: valueSchema.optional(), isUnreadable }));
   }
 
-  override toTold(changes: readonly Change<T>[]): WholeChange<T>[] {
+  override encode(changes: readonly Change<T>[]): WholeChange<T>[] {
     return [...changes];
   }
 
-  override fromTold(encoded: WholeChange<T>[]): readonly Change<T>[] {
+  override decode(encoded: WholeChange<T>[]): readonly Change<T>[] {
     return encoded.map(({ key, value, isUnreadable }) => ({ key, value, isUnreadable }));
   }
 }
@@ -48,14 +48,14 @@
  * Sends a configuration as the delta from the previous version. A version has 50 to 450 KB, and each instance that reads it by itself
  * makes a call to the store: with 195 instances, nine versions within 25 s caused 1,750 calls, a fifth of all calls.
  */
-export class ConfigurationChanges extends RelayedChanges<GatewayConfiguration, EncodedConfiguration> {
+export class ConfigurationChangeCodec extends ChangeCodec<GatewayConfiguration, EncodedConfiguration> {
   readonly schema = encodedConfigurationSchema;
 
   constructor(private readonly _history: ConfigurationHistory) {
     super();
   }
 
-  override toTold(changes: readonly Change<GatewayConfiguration>[]): EncodedConfiguration | undefined {
+  override encode(changes: readonly Change<GatewayConfiguration>[]): EncodedConfiguration | undefined {
     const [change] = changes;
     const { newest, previous } = this._history;
     if (changes.length !== 1 || change?.value !== newest || previous === undefined) return undefined;
@@ -63,10 +63,7 @@
     return change === undefined || delta === undefined ? undefined : { key: change.key, delta };
   }
 
-  override fromTold({
-    key,
-    delta,
-  }: EncodedConfiguration): readonly Change<GatewayConfiguration>[] | undefined {
+  override decode({ key, delta }: EncodedConfiguration): readonly Change<GatewayConfiguration>[] | undefined {
     const { newest } = this._history;
     if (newest?.version !== delta.baseVersion) return undefined;
     return [{ key, value: applyDelta(newest, delta) }];
--- a/packages/gateway/src/peers/ConfigurationExchange.ts
+++ b/packages/gateway/src/peers/ConfigurationExchange.ts
@@ -2,11 +2,11 @@
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
 import { applyDelta } from "../configuration/configurationDelta.js";
 import type { ConfigurationHistory } from "../configuration/ConfigurationHistory.js";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { GatewayConfiguration } from "../configuration/gatewayConfiguration.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { getFiniteAgeMs } from "./getFiniteAgeMs.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import {
   configurationResponseSchema,
   configurationRequestSchema,
@@ -41,7 +41,7 @@
 
 /** The configuration in force at this instance, and how far it lags behind the store. */
 export interface ConfigurationState {
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly history: ConfigurationHistory;
   /** Returns for how long a newer configuration has been known to exist without having come from the store. */
   readonly getBehindMs: () => number;
@@ -56,7 +56,7 @@
   readonly membership: Pick<Membership, "getLinked" | "notifyAll" | "onNotice" | "onRequest" | "request">;
   readonly log: DecisionLog;
   /** Announces to the instances of this zone that a version has come into force at this instance. */
-  readonly tellZone: (version: number) => void;
+  readonly broadcastToZone: (version: number) => void;
   readonly nowMs: () => number;
   readonly pause: (durationMs: number) => Promise<void>;
   /** Returns a random number from 0 to 1. */
@@ -96,19 +96,19 @@
   /** Records that a peer has a new version in force, and requests it if the store has not delivered it after a delay. */
   async handleNewVersion(name: string, version: number): Promise<void> {
     this._recordVersion(name, version);
-    if (version <= this._structure.keeper.version || this._isRequestPending) return;
+    if (version <= this._structure.activeConfiguration.version || this._isRequestPending) return;
     this._isRequestPending = true;
     if (this._isStarting() || !this.isStale()) await this._structure.pause(requestAfterAnnouncementMs);
     this._isRequestPending = false;
-    if (version > this._structure.keeper.version) await this.requestFrom(name);
+    if (version > this._structure.activeConfiguration.version) await this.requestFrom(name);
   }
 
   /** Returns whether a newer version has been known to exist for a while, or the freshness is too old. */
   isStale(): boolean {
-    const { keeper, getBehindMs, nowMs } = this._structure;
+    const { activeConfiguration: keeper, getBehindMs, nowMs } = this._structure;
     const isAnnounced =
       this._getNewerPeers().length > 0 && nowMs() - this._announcedSinceMs >= requestAfterAnnouncementMs;
-    return isAnnounced || getBehindMs() > requestWhenBehindMs || keeper.getProofAgeMs() > staleAfterMs;
+    return isAnnounced || getBehindMs() > requestWhenBehindMs || keeper.getFreshnessAgeMs() > staleAfterMs;
   }
 
   /**
@@ -120,7 +120,7 @@
       this._wholeTimeoutMs = firstWholeTimeoutMs;
       return;
     }
-    const newerPeers = utils.pickSome(this._getNewerPeers(), newerPeersPerRound, this._structure.random);
+    const newerPeers = utils.sample(this._getNewerPeers(), newerPeersPerRound, this._structure.random);
     for (const name of newerPeers) {
       if (this._peerVersions.has(name)) await this.requestFrom(name);
     }
@@ -129,7 +129,7 @@
 
   /** Requests a peer's version, freshness and delta, and a whole configuration if one is due and none is expected. */
   async requestFrom(name: string): Promise<void> {
-    const { membership, keeper, log, nowMs } = this._structure;
+    const { membership, activeConfiguration: keeper, log, nowMs } = this._structure;
     const requestedAtMs = nowMs();
     const wantsWhole = this._wantsWhole();
     if (wantsWhole) this._wholeExpectedUntilMs = requestedAtMs + responseTimeoutMs;
@@ -148,7 +148,7 @@
    * since requests are relayed and notices are not.
    */
   private _getNewerPeers(): string[] {
-    const { keeper, membership } = this._structure;
+    const { activeConfiguration: keeper, membership } = this._structure;
     for (const [name, version] of this._peerVersions)
       if (version <= keeper.version) this._peerVersions.delete(name);
     if (this._peerVersions.size === 0) return [];
@@ -157,7 +157,7 @@
   }
 
   private _recordVersion(name: string, version: number): void {
-    if (version <= this._structure.keeper.version) return;
+    if (version <= this._structure.activeConfiguration.version) return;
     if (this._getNewerPeers().length === 0) this._announcedSinceMs = this._structure.nowMs();
     this._peerVersions.set(name, version);
   }
@@ -167,12 +167,12 @@
   }
 
   private _isStarting(): boolean {
-    const { keeper, nowMs } = this._structure;
+    const { activeConfiguration: keeper, nowMs } = this._structure;
     return keeper.table === undefined && nowMs() - this._startedAtMs < startupGraceMs;
   }
 
   private _acceptResponse(name: string, response: ConfigurationResponse, requestedAtMs: number): void {
-    const { keeper, history } = this._structure;
+    const { activeConfiguration: keeper, history } = this._structure;
     const { version, proofAgeMs, delta } = response;
     if (delta !== undefined && history.newest?.version === delta.baseVersion) {
       this._accept(applyDelta(history.newest, delta), response.nextOffset);
@@ -180,7 +180,7 @@
     this._recordVersion(name, version);
     // The peer's freshness has the reported age at the time of the request. It may belong to a whole configuration that arrives next.
     this._peerFreshness = { version, atMs: requestedAtMs - proofAgeMs };
-    keeper.confirm(version, this._peerFreshness.atMs);
+    keeper.confirmFreshness(version, this._peerFreshness.atMs);
   }
 
   private _expectWhole(isComing: boolean): void {
@@ -194,11 +194,11 @@
 
   private _respond(body: unknown, from: PeerIdentity): unknown {
     const request = configurationRequestSchema.safeParse(body);
-    const { keeper, history, getOffset } = this._structure;
+    const { activeConfiguration: keeper, history, getOffset } = this._structure;
     const { newest } = history;
     if (!request.success || newest === undefined) return undefined;
     const { version, wantsWhole } = request.data;
-    const proofAgeMs = getFiniteAgeMs(keeper.getProofAgeMs());
+    const proofAgeMs = getFiniteAgeMs(keeper.getFreshnessAgeMs());
     const response = { version: newest.version, proofAgeMs, nextOffset: getOffset(), isWholeComing: false };
     if (version >= newest.version) return response;
     const delta = history.getDeltaFrom(version);
@@ -224,7 +224,7 @@
   private _acceptWhole(body: unknown, from: PeerIdentity): void {
     const whole = wholeConfigurationSchema.safeParse(body);
     if (!whole.success) {
-      return notePeerMessageInvalid(this._structure.log, peerTopics.wholeConfiguration, from);
+      return logInvalidPeerMessage(this._structure.log, peerTopics.wholeConfiguration, from);
     }
     this._wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
     this._wholeTimeoutMs = firstWholeTimeoutMs;
@@ -236,11 +236,11 @@
    * reader of the zone does not reach the store.
    */
   private _accept(configuration: GatewayConfiguration, nextOffset: number | undefined): void {
-    const { keeper, takeAhead, tellZone } = this._structure;
+    const { activeConfiguration: keeper, takeAhead, broadcastToZone: tellZone } = this._structure;
     if (configuration.version <= keeper.version) return;
     if (nextOffset !== undefined) takeAhead(nextOffset);
     keeper.accept(configuration, "peer");
-    keeper.confirm(this._peerFreshness.version, this._peerFreshness.atMs);
+    keeper.confirmFreshness(this._peerFreshness.version, this._peerFreshness.atMs);
     tellZone(configuration.version);
   }
 }
--- a/packages/gateway/src/peers/LimitNews.ts
+++ b/packages/gateway/src/peers/LimitBroadcast.ts
@@ -1,15 +1,15 @@
 import { utils } from "@shedtiller/common";
-import { NewsExchange, type NewsExchangeStructure } from "@shedtiller/membership";
+import { PeerBroadcast, type PeerBroadcastStructure } from "@shedtiller/membership";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointLimits } from "../discovery/EndpointLimits.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
-import { limitsSchema, peerTopics, type ToldLimit } from "./peerMessages.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
+import { limitsSchema, peerTopics, type LimitMessage } from "./peerMessages.js";
 
 /** Dependencies of {@link LimitBroadcast}. */
-export interface LimitNewsStructure extends Pick<
-  NewsExchangeStructure<ToldLimit[]>,
+export interface LimitBroadcastStructure extends Pick<
+  PeerBroadcastStructure<LimitMessage[]>,
   "membership" | "random"
 > {
   readonly endpoints: EndpointTable;
@@ -23,44 +23,44 @@
  * Broadcasts the rate limits that endpoints name in their responses to all instances, including those that have not sent a request to the
  * endpoint yet.
  */
-export class LimitNews {
+export class LimitBroadcast {
   private readonly _nowMs: () => number;
-  private readonly _broadcast: NewsExchange<ToldLimit[]>;
+  private readonly _broadcast: PeerBroadcast<LimitMessage[]>;
 
-  constructor(private readonly _structure: LimitNewsStructure) {
+  constructor(private readonly _structure: LimitBroadcastStructure) {
     const { membership, random, endpoints, limits, log } = _structure;
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
-    this._broadcast = new NewsExchange({
+    this._broadcast = new PeerBroadcast({
       membership,
       random,
       topic: peerTopics.limits,
       schema: limitsSchema,
-      onInvalid: (topic, from) => notePeerMessageInvalid(log, topic, from),
-      take: (messages) => this._accept(messages),
-      tellAll: () => this._toMessages(endpoints.getAll()),
+      onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
+      applyUpdate: (messages) => this._accept(messages),
+      getFullState: () => this._toMessages(endpoints.getAll()),
     });
     limits.onLearnt((endpoint) => {
       const messages = this._toMessages([endpoint]);
-      if (messages !== undefined) this._broadcast.tell(messages);
+      if (messages !== undefined) this._broadcast.broadcast(messages);
     });
   }
 
-  private _accept(messages: readonly ToldLimit[]): ToldLimit[] | undefined {
+  private _accept(messages: readonly LimitMessage[]): LimitMessage[] | undefined {
     return this._toMessages(messages.flatMap((message) => this._acceptOne(message) ?? []));
   }
 
   /** Accepts a limit, and returns its endpoint if it replaces the known limit. */
-  private _acceptOne({ lifeId, perSecond, ageMs }: ToldLimit): Endpoint | undefined {
+  private _acceptOne({ lifeId, perSecond, ageMs }: LimitMessage): Endpoint | undefined {
     const endpoint = this._structure.endpoints.getLife(lifeId);
     if (endpoint === undefined) return undefined;
     const limit = { perSecond: perSecond ?? undefined, atMs: this._nowMs() - ageMs };
-    return this._structure.limits.takeTold(endpoint, limit) ? endpoint : undefined;
+    return this._structure.limits.applyPeerLimit(endpoint, limit) ? endpoint : undefined;
   }
 
   /** Returns the limits of endpoints in wire format, or undefined if no endpoint has named one. */
-  private _toMessages(endpoints: readonly Endpoint[]): ToldLimit[] | undefined {
+  private _toMessages(endpoints: readonly Endpoint[]): LimitMessage[] | undefined {
     const nowMs = this._nowMs();
-    const messages = endpoints.flatMap(({ lifeId, limit }): ToldLimit[] =>
+    const messages = endpoints.flatMap(({ lifeId, limit }): LimitMessage[] =>
       limit === undefined
         ? []
         : [{ lifeId, perSecond: limit.perSecond ?? null, ageMs: Math.max(0, nowMs - limit.atMs) }],
--- a/packages/gateway/src/peers/LoadExchange.ts
+++ b/packages/gateway/src/peers/LoadExchange.ts
@@ -3,7 +3,7 @@
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { addUp, subtract, toLoads, toMessage, type Loads } from "./endpointLoads.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import { loadSchema, peerTopics, zoneLoadSchema } from "./peerMessages.js";
 import { ZoneRole } from "./ZoneRole.js";
 
@@ -21,7 +21,7 @@
 
 /** Dependencies of {@link LoadExchange}. */
 export interface LoadExchangeStructure {
-  readonly membership: Pick<Membership, "self" | "getDutyCandidates" | "notifyAll" | "onNotice">;
+  readonly membership: Pick<Membership, "self" | "getZoneRoleCandidates" | "notifyAll" | "onNotice">;
   readonly endpoints: EndpointTable;
   readonly log: DecisionLog;
   /** Monotonic clock, replaced in tests. */
@@ -90,13 +90,13 @@
 
   /** Sends loads periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const pauses = new utils.PauseWatch(sendIntervalMs, this._nowMs);
+    const pauses = new utils.PauseDetector(sendIntervalMs, this._nowMs);
     await utils.repeat(
       sendIntervalMs,
       signal,
       () => {
-        this.noteOwnPause(pauses.noteTick());
-        this.tell();
+        this.noteSuspension(pauses.noteTick());
+        this.sendDue();
       },
       (error) => {
         this._structure.log.error("load-exchange-failed", { cause: String(error) });
@@ -105,9 +105,9 @@
   }
 
   /** Records that this instance was suspended, so that no source is dropped for messages that could not be received. */
-  noteOwnPause(pauseMs: number): void {
+  noteSuspension(pauseMs: number): void {
     if (pauseMs === 0) return;
-    this._role.noteOwnPause(pauseMs);
+    this._role.noteSuspension(pauseMs);
     for (const sources of [this._members, this._otherZones]) {
       for (const [key, source] of sources)
         sources.set(key, { ...source, receivedAtMs: source.receivedAtMs + pauseMs });
@@ -115,7 +115,7 @@
   }
 
   /** Elects the collector, drops silent sources, and sends the loads that are due. */
-  tell(): void {
+  sendDue(): void {
     this._electCollector();
     this._dropSilent();
     if (this.isCollector) this._sendSums();
@@ -168,13 +168,13 @@
 
   private _acceptMemberLoad(body: unknown, from: PeerIdentity): void {
     const load = loadSchema.safeParse(body);
-    if (!load.success) return notePeerMessageInvalid(this._structure.log, peerTopics.load, from);
+    if (!load.success) return logInvalidPeerMessage(this._structure.log, peerTopics.load, from);
     this._setSource(this._members, from.name, toLoads(load.data), from.name);
   }
 
   private _acceptCollected(body: unknown, from: PeerIdentity): void {
     const load = loadSchema.safeParse(body);
-    if (!load.success) return notePeerMessageInvalid(this._structure.log, peerTopics.collectedLoad, from);
+    if (!load.success) return logInvalidPeerMessage(this._structure.log, peerTopics.collectedLoad, from);
     if (from.name !== this._role.holder) return;
     this._role.noteActivity();
     this._structure.endpoints.setPeerLoads(collectedSource, toLoads(load.data));
@@ -183,7 +183,7 @@
   /** Accepts another zone's load. Its collector sends it to all instances that it is linked to, which forward it to their own collector. */
   private _acceptZoneLoad(body: unknown, from: PeerIdentity): void {
     const message = zoneLoadSchema.safeParse(body);
-    if (!message.success) return notePeerMessageInvalid(this._structure.log, peerTopics.zoneLoad, from);
+    if (!message.success) return logInvalidPeerMessage(this._structure.log, peerTopics.zoneLoad, from);
     const { availabilityZone, load, collector = from.name } = message.data;
     if (availabilityZone === this._structure.membership.self.availabilityZone) return;
     if (this.isCollector) this._setSource(this._otherZones, availabilityZone, toLoads(load), collector);
@@ -200,8 +200,8 @@
   }
 
   private _getOwn(): Loads {
-    const endpoints = this._structure.endpoints.getAll().filter((endpoint) => endpoint.own.requests > 0);
-    return new Map(endpoints.map((endpoint) => [endpoint.lifeId, endpoint.own]));
+    const endpoints = this._structure.endpoints.getAll().filter((endpoint) => endpoint.ownLoad.requests > 0);
+    return new Map(endpoints.map((endpoint) => [endpoint.lifeId, endpoint.ownLoad]));
   }
 
   private _notify(name: string, topic: string, body: unknown): void {
--- a/packages/gateway/src/peers/PeerExchange.ts
+++ b/packages/gateway/src/peers/PeerExchange.ts
@@ -7,7 +7,7 @@
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { ConfigurationExchange, type ConfigurationState } from "./ConfigurationExchange.js";
 import { getFiniteAgeMs } from "./getFiniteAgeMs.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import {
   endpointsResponseSchema,
   loadedLayersSchema,
@@ -74,7 +74,7 @@
     this._random = _structure.random ?? Math.random;
     this._configurations = new ConfigurationExchange({
       ..._structure,
-      tellZone: (version) => membership.notifyAll(peerTopics.newVersion, { version }, this._isOwnZone),
+      broadcastToZone: (version) => membership.notifyAll(peerTopics.newVersion, { version }, this._isOwnZone),
       nowMs: this._nowMs,
       pause: this._pause,
       random: this._random,
@@ -100,32 +100,32 @@
   }
 
   /** Tells all peers to suspect an endpoint. */
-  tellSuspicion(endpointId: string): void {
+  broadcastSuspicion(endpointId: string): void {
     this._notifyOf(endpointId, peerTopics.suspect);
   }
 
   /** Tells the peers of this zone that an endpoint rejected a request for lack of capacity. Most of its load comes from this zone. */
-  tellFull(endpointId: string): void {
+  broadcastFull(endpointId: string): void {
     this._notifyOf(endpointId, peerTopics.full, {}, this._isOwnZone);
   }
 
   /** Tells all peers the slowness that an engine reports. */
-  tellSlowness(endpointId: string, slowness: number): void {
+  broadcastSlowness(endpointId: string, slowness: number): void {
     this._notifyOf(endpointId, peerTopics.slowness, { slowness });
   }
 
   /** Tells all peers that an endpoint's process has restarted. The list shows it up to one heartbeat and two reads later. */
-  tellRestart(endpointId: string, bornAtMs: number): void {
+  broadcastRestart(endpointId: string, bornAtMs: number): void {
     this._structure.membership.notifyAll(peerTopics.restarted, { endpointId, bornAtMs });
   }
 
   /** Tells all peers that a version of the configuration has come into force at this instance. */
-  tellVersion(version: number): void {
+  broadcastVersion(version: number): void {
     this._structure.membership.notifyAll(peerTopics.newVersion, { version });
   }
 
   /** Tells all peers which layers an engine has loaded, where the list shows others. */
-  tellLayers(endpointId: string, layers: readonly LayerSpan[]): void {
+  broadcastLayers(endpointId: string, layers: readonly LayerSpan[]): void {
     this._notifyOf(endpointId, peerTopics.layers, { layers });
   }
 
@@ -164,7 +164,7 @@
     const { membership, endpoints, log } = this._structure;
     membership.onNotice(topic, (body, from) => {
       const message = schema.safeParse(body);
-      if (!message.success) return notePeerMessageInvalid(log, topic, from);
+      if (!message.success) return logInvalidPeerMessage(log, topic, from);
       const endpoint = endpoints.getLife(message.data.lifeId);
       if (endpoint !== undefined) handle(endpoint, message.data);
     });
@@ -173,13 +173,13 @@
   private _handleRestart(body: unknown, from: PeerIdentity): void {
     const message = restartSchema.safeParse(body);
     const { endpoints, log } = this._structure;
-    if (!message.success) return notePeerMessageInvalid(log, peerTopics.restarted, from);
+    if (!message.success) return logInvalidPeerMessage(log, peerTopics.restarted, from);
     endpoints.noteStart(message.data.endpointId, message.data.bornAtMs, []);
   }
 
   private _handleNewVersion(body: unknown, from: PeerIdentity): void {
     const notice = versionSchema.safeParse(body);
-    if (!notice.success) return notePeerMessageInvalid(this._structure.log, peerTopics.newVersion, from);
+    if (!notice.success) return logInvalidPeerMessage(this._structure.log, peerTopics.newVersion, from);
     void this._configurations.handleNewVersion(from.name, notice.data.version);
   }
 
@@ -198,7 +198,7 @@
   async askIfStale(): Promise<void> {
     const { membership, getListAgeMs } = this._structure;
     const linked = membership.getLinked().map((member) => member.name);
-    const sampled = utils.pickSome(linked, peersPerRound, this._random);
+    const sampled = utils.sample(linked, peersPerRound, this._random);
     const isListStale = getListAgeMs() > staleListAfterMs;
     await Promise.all([
       this._configurations.requestIfStale(sampled),
--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -1,5 +1,5 @@
-import { grantedPermitsSchema, permitAskSchema, PermitCoordinator } from "@shedtiller/admission";
-import type { GrantedPermits, PermitAsk, WantedPermits, ZonedLimit } from "@shedtiller/admission";
+import { grantedPermitsSchema, permitRequestSchema, PermitCoordinator } from "@shedtiller/admission";
+import type { GrantedPermits, PermitRequest, LimitDemand, ZonedLimit } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -7,7 +7,7 @@
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { RequestDemand } from "../requests/RequestDemand.js";
 import type { LoadExchange } from "./LoadExchange.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import { peerTopics } from "./peerMessages.js";
 
 /** Interval of the check whether an endpoint names a limit; it coincides with the other ticks of an instance. */
@@ -118,7 +118,7 @@
     const nowMs = this._nowMs();
     this._requestedAtMs = nowMs;
     // Among limits that serve the same requests, those listed first are granted first, so the order is random.
-    const shuffled = utils.pickSome(limited, limited.length, this._random);
+    const shuffled = utils.sample(limited, limited.length, this._random);
     const byService = utils.groupBy(limited, ({ listed }) => listed.service);
     const wants = shuffled.flatMap((endpoint) => {
       const sameService = byService.get(endpoint.listed.service) ?? [];
@@ -131,7 +131,7 @@
     this._addGranted(granted, nowMs + permitLifeMs);
   }
 
-  private async _request(name: string, request: PermitAsk): Promise<GrantedPermits> {
+  private async _request(name: string, request: PermitRequest): Promise<GrantedPermits> {
     const reply = await this._structure.membership.request(
       name,
       peerTopics.permits,
@@ -146,9 +146,9 @@
   }
 
   private _respond(body: unknown, from: PeerIdentity): GrantedPermits {
-    const request = permitAskSchema.safeParse(body);
+    const request = permitRequestSchema.safeParse(body);
     if (request.success) return this._coordinator.respond(from.name, request.data);
-    notePeerMessageInvalid(this._structure.log, peerTopics.permits, from);
+    logInvalidPeerMessage(this._structure.log, peerTopics.permits, from);
     return [];
   }
 
@@ -170,7 +170,7 @@
     endpoint: Endpoint,
     sameService: readonly Endpoint[],
     nowMs: number,
-  ): WantedPermits | undefined {
+  ): LimitDemand | undefined {
     const { demand } = this._structure;
     const { service, isDraining } = endpoint.listed;
     const account = endpoint.permits.takeAccount(nowMs);
--- a/packages/gateway/src/peers/StoreRelay.ts
+++ b/packages/gateway/src/peers/StoreRelay.ts
@@ -3,8 +3,8 @@
 import * as zod from "zod";
 import type { FeedFollower } from "../discovery/FeedFollower.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
-import type { RelayedChanges } from "./RelayedChanges.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
+import type { ChangeCodec } from "./ChangeCodec.js";
 import { ZoneRole } from "./ZoneRole.js";
 
 const roleName = "store-reader";
@@ -32,7 +32,7 @@
 
 /** Dependencies of {@link StoreRelay}. */
 export interface StoreRelayStructure {
-  readonly membership: Pick<Membership, "self" | "getDutyCandidates" | "notifyAll" | "onNotice">;
+  readonly membership: Pick<Membership, "self" | "getZoneRoleCandidates" | "notifyAll" | "onNotice">;
   readonly log: DecisionLog;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
@@ -53,7 +53,7 @@
   private readonly _nowMs: () => number;
   private readonly _role: ZoneRole;
   private readonly _feeds: RelayedFeed[] = [];
-  private readonly _pauses: utils.PauseWatch;
+  private readonly _pauses: utils.PauseDetector;
   private readonly _startedAtMs: number;
   private readonly _standInDelayMs: number;
 
@@ -61,7 +61,7 @@
     const { membership, log, nowMs } = _structure;
     this._nowMs = nowMs ?? utils.monotonicMs;
     this._startedAtMs = this._nowMs();
-    this._pauses = new utils.PauseWatch(tickMs, this._nowMs);
+    this._pauses = new utils.PauseDetector(tickMs, this._nowMs);
     this._standInDelayMs = (utils.hash32(membership.self.name) % standInGroups) * tickMs;
     this._role = new ZoneRole({ name: roleName, membership, log, nowMs });
   }
@@ -72,12 +72,12 @@
   }
 
   /** Adds a feed to relay. */
-  add<T, TEncoded>(topic: string, follower: FeedFollower<T>, codec: RelayedChanges<T, TEncoded>): void {
+  add<T, TEncoded>(topic: string, follower: FeedFollower<T>, codec: ChangeCodec<T, TEncoded>): void {
     this._sendReads(topic, follower, codec);
     this._receiveReads(topic, follower, codec);
     follower.setReader(false);
     this._feeds.push({
-      getProofAgeMs: () => follower.getProofAgeMs(),
+      getProofAgeMs: () => follower.getFreshnessAgeMs(),
       setReader: (isReader, isStandIn) => follower.setReader(isReader, isStandIn),
     });
   }
@@ -96,7 +96,7 @@
 
   /** Updates the role. If no feed has been fresh for too long, this instance reads by itself, whichever instance holds the role. */
   check(): void {
-    this._role.noteOwnPause(this._pauses.noteTick());
+    this._role.noteSuspension(this._pauses.noteTick());
     // The freshness of any feed shows that the store is reachable; the feed with the shorter long polls is the fresher one.
     const ageMs = Math.min(...this._feeds.map((feed) => feed.getProofAgeMs()));
     if (this.isReader && (this._role.isAlone || ageMs < staleMs)) this._role.noteActivity();
@@ -110,12 +110,12 @@
   private _sendReads<T, TEncoded>(
     topic: string,
     follower: FeedFollower<T>,
-    codec: RelayedChanges<T, TEncoded>,
+    codec: ChangeCodec<T, TEncoded>,
   ): void {
     follower.onRead((page, fromOffset) => {
-      if (!this.isReader && !follower.isStandIn) return;
-      const changes = codec.toTold(page.changes);
-      const proofAgeMs = follower.getProofAgeMs();
+      if (!this.isReader && !follower.isFallbackReader) return;
+      const changes = codec.encode(page.changes);
+      const proofAgeMs = follower.getFreshnessAgeMs();
       this._notifyZone(topic, { fromOffset, nextOffset: page.nextOffset, changes, proofAgeMs });
     });
   }
@@ -123,19 +123,19 @@
   private _receiveReads<T, TEncoded>(
     topic: string,
     follower: FeedFollower<T>,
-    codec: RelayedChanges<T, TEncoded>,
+    codec: ChangeCodec<T, TEncoded>,
   ): void {
     const { membership, log } = this._structure;
     const pageSchema = createPageSchema(codec.schema);
     membership.onNotice(topic, (body, from) => {
       const page = pageSchema.safeParse(body);
-      if (!page.success) return notePeerMessageInvalid(log, topic, from);
+      if (!page.success) return logInvalidPeerMessage(log, topic, from);
       const { proofAgeMs, fromOffset, nextOffset } = page.data;
       const encoded = page.data.changes;
-      const changes = encoded === undefined ? undefined : codec.fromTold(encoded as TEncoded);
+      const changes = encoded === undefined ? undefined : codec.decode(encoded as TEncoded);
       // A message that was buffered while this instance was suspended is older than it states: a key may have been revoked since.
       const ageMs = proofAgeMs + this._pauses.getRecentPauseMs();
-      follower.takeTold({ fromOffset, nextOffset, changes }, this._nowMs() - ageMs);
+      follower.applyPeerPage({ fromOffset, nextOffset, changes }, this._nowMs() - ageMs);
       if (from.name === this._role.holder && proofAgeMs < staleMs) this._role.noteActivity();
     });
   }
--- a/packages/gateway/src/peers/ZoneRole.ts
+++ b/packages/gateway/src/peers/ZoneRole.ts
@@ -10,7 +10,7 @@
 /** Dependencies of {@link ZoneRole}. */
 export interface ZoneRoleStructure {
   readonly name: string;
-  readonly membership: Pick<Membership, "self" | "getDutyCandidates">;
+  readonly membership: Pick<Membership, "self" | "getZoneRoleCandidates">;
   readonly log: DecisionLog;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
@@ -44,7 +44,7 @@
 
   /** Whether this instance knows no other instance of its zone. */
   get isAlone(): boolean {
-    return this._structure.membership.getDutyCandidates().length <= 1;
+    return this._structure.membership.getZoneRoleCandidates().length <= 1;
   }
 
   /** Records that the holder has performed its role. */
@@ -53,7 +53,7 @@
   }
 
   /** Records that this instance was suspended. Messages of the holder from that time are not processed yet, so it isn't counted as silence. */
-  noteOwnPause(pauseMs: number): void {
+  noteSuspension(pauseMs: number): void {
     this._activeAtMs += pauseMs;
   }
 
@@ -73,7 +73,7 @@
   /** Returns the elected instance. If all instances are excluded, all of them are candidates again. */
   private _elect(nowMs: number): string {
     const { membership, name } = this._structure;
-    const all = membership.getDutyCandidates();
+    const all = membership.getZoneRoleCandidates();
     const candidates = all.filter((candidate) => nowMs >= (this._excludedUntilMs.get(candidate) ?? 0));
     return utils.pickOwner(name, candidates) ?? utils.pickOwner(name, all) ?? membership.self.name;
   }
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -46,7 +46,7 @@
     ageMs: zod.number().nonnegative(),
   }),
 );
-export type ToldLimit = zod.infer<typeof limitsSchema>[number];
+export type LimitMessage = zod.infer<typeof limitsSchema>[number];
 
 /** Life ids of endpoints that have announced that they drain. */
 export const drainingSchema = zod.array(zod.string());
--- a/packages/gateway/src/tests/peers/RelayedChangesTests.ts
+++ b/packages/gateway/src/tests/peers/ChangeCodecTests.ts
@@ -1,15 +1,15 @@
 /** Tests that configurations are relayed as deltas, and read from the store by instances that lack the previous version. */
 import test from "ava";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import type { GatewayConfiguration } from "../../configuration/gatewayConfiguration.js";
 import { listedEndpointSchema } from "../../discovery/ListedEndpoint.js";
-import { ConfigurationChanges, WholeChanges } from "../../peers/RelayedChanges.js";
-import { createConfiguration, createListed, createRoute } from "../createParts.js";
+import { ConfigurationChangeCodec, WholeChangeCodec } from "../../peers/ChangeCodec.js";
+import { createConfiguration, createListed, createRoute } from "../testData.js";
 
-function create(...versions: GatewayConfiguration[]): ConfigurationChanges {
-  const keeper = new ConfigurationKeeper(() => 0);
-  const changes = new ConfigurationChanges(new ConfigurationHistory(keeper));
+function create(...versions: GatewayConfiguration[]): ConfigurationChangeCodec {
+  const keeper = new ActiveConfiguration(() => 0);
+  const changes = new ConfigurationChangeCodec(new ConfigurationHistory(keeper));
   for (const version of versions) keeper.accept(version);
   return changes;
 }
@@ -18,34 +18,34 @@
 const second = createConfiguration(2, [createRoute(), createRoute({ name: "added" })]);
 
 test("a member that has the previous version decodes the change", (t) => {
-  const encoded = create(first, second).toTold([{ key: "config", value: second }]);
+  const encoded = create(first, second).encode([{ key: "config", value: second }]);
   t.truthy(encoded);
   if (encoded === undefined) return;
-  const decoded = create(first).fromTold(encoded);
+  const decoded = create(first).decode(encoded);
   t.deepEqual(decoded, [{ key: "config", value: second }]);
 });
 
 test("a member that has another version decodes nothing, and has to read the store", (t) => {
-  const encoded = create(first, second).toTold([{ key: "config", value: second }]);
+  const encoded = create(first, second).encode([{ key: "config", value: second }]);
   if (encoded === undefined) return t.fail("the change was not encoded");
-  t.is(create().fromTold(encoded), undefined);
-  t.is(create(createConfiguration(3)).fromTold(encoded), undefined);
+  t.is(create().decode(encoded), undefined);
+  t.is(create(createConfiguration(3)).decode(encoded), undefined);
 });
 
 test("a change without a previous version, or of many items, is not encoded", (t) => {
-  t.is(create(second).toTold([{ key: "config", value: second }]), undefined);
+  t.is(create(second).encode([{ key: "config", value: second }]), undefined);
   const many = Array.from({ length: 100 }, (_value, index) => createRoute({ name: `r${index}` }));
   const large = createConfiguration(2, many);
-  t.is(create(first, large).toTold([{ key: "config", value: large }]), undefined);
+  t.is(create(first, large).encode([{ key: "config", value: large }]), undefined);
 });
 
 test("set, removed and unreadable values are relayed unchanged", (t) => {
-  const codec = new WholeChanges(listedEndpointSchema);
+  const codec = new WholeChangeCodec(listedEndpointSchema);
   const changes = [
     { key: "a", value: createListed("a", { bornAtMs: 7 }), isUnreadable: undefined },
     { key: "b", value: undefined, isUnreadable: undefined },
     { key: "c", value: undefined, isUnreadable: true },
   ];
-  const encoded = codec.schema.parse(JSON.parse(JSON.stringify(codec.toTold(changes))));
-  t.deepEqual(codec.fromTold(encoded), changes);
+  const encoded = codec.schema.parse(JSON.parse(JSON.stringify(codec.encode(changes))));
+  t.deepEqual(codec.decode(encoded), changes);
 });
--- a/packages/gateway/src/tests/peers/PeerExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PeerExchangeTests.ts
@@ -2,28 +2,28 @@
 import test from "ava";
 import { utils } from "@shedtiller/common";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { PeerExchange } from "../../peers/PeerExchange.js";
-import { createConfiguration, createListed } from "../createParts.js";
+import { createConfiguration, createListed } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
 const timeoutMs = 60_000;
 
 interface Joined {
-  readonly keeper: ConfigurationKeeper;
+  readonly keeper: ActiveConfiguration;
   readonly endpoints: EndpointTable;
   readonly exchange: PeerExchange;
 }
 
 function join(network: PeerNetwork, name: string, availabilityZone = "east"): Joined {
-  const keeper = new ConfigurationKeeper();
+  const keeper = new ActiveConfiguration();
   const endpoints = new EndpointTable();
   const exchange = new PeerExchange({
     membership: network.join({ name, availabilityZone }),
-    keeper,
+    activeConfiguration: keeper,
     endpoints,
     log: new DecisionLog(new SilentSink(), utils.monotonicMs),
     getListAgeMs: () => 0,
@@ -45,10 +45,10 @@
   const senders = ["a", "b", "c", "d", "e"].map((name) => join(network, name));
   for (const { keeper } of senders) {
     keeper.accept(createConfiguration(7));
-    keeper.confirm(7, utils.monotonicMs());
+    keeper.confirmFreshness(7, utils.monotonicMs());
   }
   const cutOff = join(network, "f");
-  for (const { exchange } of senders) exchange.tellVersion(7);
+  for (const { exchange } of senders) exchange.broadcastVersion(7);
   t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, timeoutMs));
   t.is(network.sent.get("configuration"), 1);
 });
@@ -59,7 +59,7 @@
   sender.keeper.accept(createConfiguration(7));
   const served = join(network, "b");
   const cutOff = join(network, "c");
-  sender.exchange.tellVersion(7);
+  sender.exchange.broadcastVersion(7);
   served.keeper.accept(createConfiguration(7));
   // Both instances received the announcement at the same moment: once the cut-off one has sent its request, the other would have done so too.
   t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, timeoutMs));
@@ -73,7 +73,7 @@
   const far = join(network, "c", "west");
   for (const { endpoints } of [near, far]) endpoints.setAll(new Map([["e", createListed("e")]]));
   near.endpoints.get("e")?.addOwn(1, 40);
-  sender.exchange.tellFull("e");
+  sender.exchange.broadcastFull("e");
   t.is(near.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), 40);
   t.is(far.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), Number.POSITIVE_INFINITY);
 });
@@ -85,12 +85,12 @@
   const far = join(network, "c", "west");
   const listed = createListed("e", { bornAtMs: 1_000, layers: [{ start: 0, end: 4 }] });
   for (const { endpoints } of [sender, behind, far]) endpoints.setAll(new Map([["e", listed]]));
-  sender.exchange.tellRestart("e", 2_000);
+  sender.exchange.broadcastRestart("e", 2_000);
   for (const { endpoints } of [behind, far]) t.deepEqual(endpoints.get("e")?.listed.layers, []);
   // The sender itself has not recorded the restart in this test, so its notices are about the previous life.
-  sender.exchange.tellSuspicion("e");
-  sender.exchange.tellSlowness("e", 5);
-  sender.exchange.tellFull("e");
+  sender.exchange.broadcastSuspicion("e");
+  sender.exchange.broadcastSlowness("e", 5);
+  sender.exchange.broadcastFull("e");
   t.false(behind.endpoints.get("e")?.isSuspect(utils.monotonicMs()));
   t.is(behind.endpoints.get("e")?.slowness, 1);
   t.is(behind.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), Number.POSITIVE_INFINITY);
