--- a/packages/claims/src/AtMostOnce.ts
+++ b/packages/claims/src/AtMostOnce.ts
@@ -122,8 +122,8 @@
   }
 
   private async _claim(claim: Claim, options: OnceOptions<A>): Promise<ClaimOutcome | undefined> {
-    const { projection: fold, batcher } = this._structure;
-    const claimOutcome = fold.waitForOutcome(claim.claimId);
+    const { projection, batcher } = this._structure;
+    const claimOutcome = projection.waitForOutcome(claim.claimId);
     batcher.addClaim(claim);
     const waitMs = Math.min(claimTimeoutMs, options.deadlineMs - utils.monotonicMs());
     try {
@@ -131,7 +131,7 @@
     } catch {
       return undefined;
     } finally {
-      fold.stopWaiting(claim.claimId);
+      projection.stopWaiting(claim.claimId);
     }
   }
 
--- a/packages/claims/src/tests/atMostOnceTests.ts
+++ b/packages/claims/src/tests/atMostOnceTests.ts
@@ -22,14 +22,14 @@
   constructor(readonly log: FakeLog) {}
 
   add(name: string): AtMostOnce<string> {
-    const fold = new ClaimProjection(windowMs);
-    void new LogFollower(this.log, claimsStream, fold).run(this.shutdown.signal);
+    const projection = new ClaimProjection(windowMs);
+    void new LogFollower(this.log, claimsStream, projection).run(this.shutdown.signal);
     const batcher = new ClaimBatcher(
       { log: this.log, holder: name, appendsPerSecond: 2_000, countAppenders: () => 1 },
       this.shutdown.signal,
     );
     const once = new AtMostOnce<string>({
-      projection: fold,
+      projection,
       batcher,
       timeline: new Timeline(name),
       holder: name,
@@ -139,19 +139,19 @@
 });
 
 test("keys that are older than the horizon are dropped, so that memory stays bounded", (t) => {
-  const fold = new ClaimProjection(1_000);
+  const projection = new ClaimProjection(1_000);
   const startMs = utils.wallMs();
   for (let offset = 0; offset < 5_000; offset++) {
     const atMs = startMs + offset * 10;
     const claims = [{ key: utils.newIdAt(atMs), claimId: utils.newId() }];
-    fold.acceptRecord({
+    projection.acceptRecord({
       offset,
       atMs,
       id: "r",
       payload: { version: 1, type: "claims", holder: "e1", claims, abandoned: [] },
     });
   }
-  t.true(fold.size < 400);
+  t.true(projection.size < 400);
 });
 
 const appendFault = fc.option(fc.constantFrom<AppendFault>("refused", "reply-lost", "lost", "twice"), {
--- a/packages/gateway/src/GatewayInstance.ts
+++ b/packages/gateway/src/GatewayInstance.ts
@@ -1,4 +1,3 @@
-/** One gateway instance: its tasks from start to the end of a planned stop. */
 import { setMaxListeners } from "node:events";
 import { errors, utils } from "@shedtiller/common";
 import { ActiveConfiguration } from "./configuration/ActiveConfiguration.js";
@@ -39,9 +38,9 @@
 import { RetryBudgets, type RetryBudgetOptions } from "./requests/RetryBudgets.js";
 import { StopDeadline } from "./StopDeadline.js";
 
-/** Keys are refused this much before the bound, for the time between the check and the sending. */
+/** Margin before the revocation bound at which keys are rejected, for the time between the check and the sending of the request. */
 const revocationMarginMs = 500;
-/** After a stop signal the balancer asks twice, a second apart, until it sends no more connections. */
+/** Time until the load balancer stops sending connections after a stop signal: it takes two readiness checks, one second apart. */
 const balancerNoticeMs = 2_500;
 const drainPollMs = 50;
 
@@ -55,7 +54,7 @@
   return { ratio: budgetRatio, slack: budgetSlack, windowMs: budgetWindowS * utils.msPerSecond };
 }
 
-/** What the platform provides, behind the abstract classes of this package. */
+/** Implementations that the platform provides for the abstract classes of this package. */
 export interface GatewayPlatform {
   readonly configurationFeed: ChangeFeed<GatewayConfiguration>;
   readonly endpointFeed: ChangeFeed<ListedEndpoint>;
@@ -66,7 +65,7 @@
   readonly codec: MessageCodec;
 }
 
-/** Wires the parts and runs them. */
+/** Creates the components of a gateway instance, and runs them from the start to the end of a planned stop. */
 export class GatewayInstance {
   readonly activeConfiguration = new ActiveConfiguration();
   readonly endpoints = new EndpointTable();
@@ -75,18 +74,18 @@
   private readonly _configurationWatch: ConfigurationWatch;
   private readonly _endpointWatch: EndpointWatch;
   private readonly _peers: GatewayPeers;
-  private readonly _seat: Leadership;
-  private readonly _layers: LayerReconciler;
+  private readonly _leadership: Leadership;
+  private readonly _layerReconciler: LayerReconciler;
   private readonly _poll: EnginePoll;
   private readonly _budgets: RetryBudgets;
   private readonly _limits: EndpointLimits;
   private readonly _statements: EndpointStatements;
-  private readonly _suspicions: FailureDetector;
+  private readonly _failureDetector: FailureDetector;
   private readonly _demand = new RequestDemand();
   private readonly _forwarders: ForwarderSet;
   private readonly _callers: CallerListener;
   private readonly _readiness: ReadinessListener;
-  private readonly _httpCaller = new HttpClient();
+  private readonly _httpClient = new HttpClient();
   private readonly _stop = new AbortController();
   private _isDraining = false;
 
@@ -112,12 +111,12 @@
     this._endpointWatch = new EndpointWatch(this.endpoints, platform.endpointFeed, _log);
     this._peers = this._createPeers(platform.registry);
     const { relay, exchange } = this._peers;
-    this.crashes = this._createCrashes(platform.heldRequests);
-    this._seat = new Leadership(platform.election, _log, { mayCampaign: () => relay.isReader });
-    const tellRestart = (id: string, bornAtMs: number): void => exchange.broadcastRestart(id, bornAtMs);
-    const orders = new LifeCheckedOrders(platform.orders, this.endpoints, tellRestart);
-    this._suspicions = this._createSuspicions(orders);
-    this._layers = this._createLayers(orders);
+    this.crashes = this._createQuarantine(platform.heldRequests);
+    this._leadership = new Leadership(platform.election, _log, { mayCampaign: () => relay.isReader });
+    const broadcastRestart = (id: string, bornAtMs: number): void => exchange.broadcastRestart(id, bornAtMs);
+    const orders = new LifeCheckedOrders(platform.orders, this.endpoints, broadcastRestart);
+    this._failureDetector = this._createFailureDetector(orders);
+    this._layerReconciler = this._createLayerReconciler(orders);
     this._forwarders = new ForwarderSet(this._createContext(platform.codec), orders);
     this._callers = this._createCallers(platform.codec);
     const { host, port } = callers.readiness;
@@ -126,18 +125,18 @@
     this.activeConfiguration.onChanged((table) => {
       if (relay.isReader) exchange.broadcastVersion(table.version);
     });
-    // A connection to a process that is gone answers nothing, or resets what is sent over it.
+    // A connection to a process that has ended never responds, or resets the requests that are sent over it.
     this.endpoints.onChanged((endpoint, event) => {
-      if (event === "restarted") this._httpCaller.closeIdleConnections(endpoint.listed.address);
+      if (event === "restarted") this._httpClient.closeIdleConnections(endpoint.listed.address);
     });
     this._demand.onPermits((service, count) => this.metrics.permits.inc({ service }, count));
     this._addGauges();
   }
 
-  /** Starts listening and all tasks. Resolves once the listeners stand. */
+  /** Starts the listeners and all tasks, and resolves once the listeners accept connections. */
   async start(): Promise<void> {
     const { signal } = this._stop;
-    // Every task waits on this one signal.
+    // All tasks listen to this signal, so the default limit on the number of listeners does not apply.
     setMaxListeners(0, signal);
     await this._callers.listen();
     await this._readiness.listen();
@@ -147,17 +146,17 @@
       this._configurationWatch.run(signal),
       this._endpointWatch.run(signal),
       ...this._peers.start(signal),
-      this._seat.run(signal),
-      this._layers.run(signal),
+      this._leadership.run(signal),
+      this._layerReconciler.run(signal),
       this.crashes.run(signal),
       this._poll.run(signal),
       this._forwarders.monitor.run(signal),
     ];
-    for (const task of tasks) task.catch((error: unknown) => this._noteTask(error));
+    for (const task of tasks) task.catch((error: unknown) => this._logTaskFailure(error));
     this._log.info("instance-started", { ...this._settings.instance });
   }
 
-  /** Takes settings that were read anew. Those that listeners and names hang on need a restart, and are logged as such. */
+  /** Applies reloaded settings. Changed settings that need a restart, such as the addresses of listeners and names, are only logged. */
   reload(settings: GatewaySettings): void {
     const { keys, retries, callers } = settings;
     const changed = getChangedSections(this._settings, settings);
@@ -173,7 +172,7 @@
     void this.crashes.reconcileWithStore();
   }
 
-  /** Finishes what is in hand, within the grace, and ends. */
+  /** Stops the instance once its requests in flight have finished, or at the stop deadline. */
   async drain(): Promise<void> {
     const deadline = new StopDeadline(this._settings.callers.stopGraceS * utils.msPerSecond);
     this._isDraining = true;
@@ -190,7 +189,7 @@
     this._readiness.close();
     this.metrics.close();
     this._peers.membership.close();
-    this._httpCaller.close();
+    this._httpClient.close();
   }
 
   private _createStatements(): EndpointStatements {
@@ -218,7 +217,7 @@
     });
   }
 
-  private _createCrashes(store: QuarantineStore): RequestQuarantine {
+  private _createQuarantine(store: QuarantineStore): RequestQuarantine {
     const { membership, relay } = this._peers;
     return new RequestQuarantine({
       membership,
@@ -228,24 +227,24 @@
       probe: probeConnection,
       isReader: () => relay.isReader,
       getInstanceNames: () => this._peers.getInstanceNames(),
-      count: (what) => (what === "crash" ? this.metrics.crashes : this.metrics.heldBack).inc(),
+      count: (what) => (what === "crash" ? this.metrics.crashes : this.metrics.quarantinedRequests).inc(),
       onCrash: (endpoint) => this._noteCrash(endpoint),
     });
   }
 
-  /** Nothing new goes there, and whoever gives orders looks for a repair, before the next request meets it. */
+  /** Reports a crashed endpoint to the failure detector, so that it receives no new requests and the leader replaces its layers. */
   private _noteCrash(endpoint: Endpoint): void {
     const isKnown = this.endpoints.get(endpoint.id) === endpoint;
-    if (isKnown) this._suspicions.noteSilent(endpoint.id, "crashed");
+    if (isKnown) this._failureDetector.noteSilent(endpoint.id, "crashed");
   }
 
-  private _createLayers(orders: EngineOrders): LayerReconciler {
+  private _createLayerReconciler(orders: EngineOrders): LayerReconciler {
     return new LayerReconciler({
       activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
       orders,
       log: this._log,
-      mayOrder: () => this._seat.isLeader(),
+      mayOrder: () => this._leadership.isLeader(),
     });
   }
 
@@ -256,12 +255,12 @@
       codec,
       log: this._log,
       areKeysFresh: () => this._areKeysFresh(),
-      denialFreshness: this._createDenialProof(),
+      denialFreshness: this._createDenialFreshness(),
       forward: (request) => this._forward(request),
     });
   }
 
-  private _createDenialProof(): DenialFreshness {
+  private _createDenialFreshness(): DenialFreshness {
     return new DenialFreshness({
       activeConfiguration: this.activeConfiguration,
       getBehindMs: () => this._configurationWatch.follower.getBehindMs(),
@@ -286,12 +285,12 @@
     return {
       activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
-      httpClient: this._httpCaller,
+      httpClient: this._httpClient,
       codec,
       budgets: this._budgets,
       log: this._log,
       availabilityZone: this._settings.instance.availabilityZone,
-      suspicions: this._suspicions,
+      suspicions: this._failureDetector,
       crashes: this.crashes.detector,
       statements: this._statements,
       demand: this._demand,
@@ -305,7 +304,7 @@
     return new PermitForecast({ endpoints: this.endpoints, demand: this._demand, getInstanceCount });
   }
 
-  private _createSuspicions(orders: EngineOrders): FailureDetector {
+  private _createFailureDetector(orders: EngineOrders): FailureDetector {
     return new FailureDetector({
       endpoints: this.endpoints,
       orders,
@@ -337,7 +336,7 @@
     return !this.activeConfiguration.table.hasAccounts || this._areKeysFresh();
   }
 
-  private _noteTask(error: unknown): void {
+  private _logTaskFailure(error: unknown): void {
     if (error instanceof errors.CancelledError) return;
     this._log.error("task-failed", { cause: errors.describeError(error) });
   }
--- a/packages/gateway/src/GatewayMetrics.ts
+++ b/packages/gateway/src/GatewayMetrics.ts
@@ -1,23 +1,22 @@
-/** Metrics of a gateway instance, served as text. Labels are few and bounded. */
 import * as http from "node:http";
 import * as prom from "prom-client";
 import { startListening, stopListening } from "./http/startListening.js";
 
-/** Bounds of the buckets, in seconds: from a quick plain request to the longest streams. */
+/** Upper bounds of the duration buckets in seconds, from fast plain requests to the longest streams. */
 const durationBuckets = [0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5, 10, 20];
 
-/** Counters and histograms, in a registry of their own. */
+/** Collects the metrics of a gateway instance in a registry of its own and serves them as text. Labels have few and bounded values. */
 export class GatewayMetrics {
   readonly registry = new prom.Registry();
   readonly requests: prom.Counter<"kind" | "outcome">;
   readonly duration: prom.Histogram<"kind">;
   readonly suspicions: prom.Counter<"cause">;
-  /** Crashes of endpoints that this instance found. */
+  /** Crashes of endpoints that this instance has detected. */
   readonly crashes: prom.Counter;
-  readonly heldBack: prom.Counter;
+  readonly quarantinedRequests: prom.Counter;
   readonly namedLimits: prom.Counter<"service">;
   readonly permits: prom.Counter<"service">;
-  /** Answers in which endpoints say something of themselves that holds beyond the answer. */
+  /** Responses in which an endpoint states something about itself, such as a back-off or that it drains. */
   readonly statements: prom.Counter<"what" | "service">;
   private readonly _server = http.createServer((_message, response) => void this._answer(response));
 
@@ -47,7 +46,7 @@
       help: "Crashes of endpoints with requests at their beginning, as this instance found them",
       registers,
     });
-    this.heldBack = new prom.Counter({
+    this.quarantinedRequests = new prom.Counter({
       name: "shedtiller_gateway_held_back_total",
       help: "Requests that were refused since equal ones crashed endpoints",
       registers,
@@ -72,7 +71,7 @@
     });
   }
 
-  /** Adds a value that is read at scrape time. */
+  /** Adds a gauge whose value is read at scrape time. */
   addGauge(name: string, help: string, getValue: () => number): void {
     new prom.Gauge({
       name: `shedtiller_gateway_${name}`,
@@ -84,12 +83,12 @@
     });
   }
 
-  /** Resolves once it listens. */
+  /** Starts the listener, and resolves once it accepts connections. */
   listen(host: string, port: number): Promise<void> {
     return startListening(this._server, { host, port });
   }
 
-  /** Ends all connections. */
+  /** Stops the listener and closes all connections. */
   close(): void {
     stopListening(this._server);
   }
--- a/packages/gateway/src/StopDeadline.ts
+++ b/packages/gateway/src/StopDeadline.ts
@@ -1,25 +1,28 @@
-/** When an instance that stops has to end by itself, so that it is not killed at the end of its grace. */
 import { utils } from "@shedtiller/common";
 
-/** Kept for the end of the process itself. */
-const leastReserveMs = 400;
+/** Minimum reserve, for the exit of the process itself. */
+const minReserveMs = 400;
 /**
- * Turns may come late once more before the end: the one that notices that it is time, and the one in which the process ends. A process
- * that gets 50 ms of each 500 ms was killed after 8 s with the least reserve alone, since its turn at 7.6 s came at 8.05 s.
+ * Number of turns of the event loop that may be late before the process exits: the turn that finds the deadline reached, and the turn in
+ * which the process exits. With the minimum reserve alone, a process that was scheduled for 50 ms of every 500 ms was killed after 8 s,
+ * because its turn at 7.6 s came at 8.05 s.
  */
 const lateTurns = 2;
-/** The reserve takes no more of the grace than this: callers may count on the rest. */
-const largestReserveShare = 1 / 6;
+/** Maximum share of the grace period that the reserve takes, so that callers can rely on the rest. */
+const maxReserveShare = 1 / 6;
 
-/** One a planned stop. */
+/**
+ * Computes when a stopping instance has to exit by itself, so that it is not killed at the end of its grace period. The reserve before that
+ * grows with the observed delays of the event loop.
+ */
 export class StopDeadline {
   private readonly _startedAtMs: number;
-  private _worstLateMs = 0;
+  private _maxDelayMs = 0;
 
   /**
    * @param _graceMs - Time from the stop signal until the process is killed.
    * @param _nowMs - Monotonic clock, replaced in tests.
-   * @param _sleep - Waits, replaced in tests.
+   * @param _sleep - Sleeps, replaced in tests.
    */
   constructor(
     private readonly _graceMs: number,
@@ -29,21 +32,21 @@
     this._startedAtMs = _nowMs();
   }
 
-  /** Monotonic milliseconds at which the process should begin to end. */
+  /** Monotonic time in milliseconds at which the process should begin to exit. */
   get endsAtMs(): number {
-    const reserveMs = leastReserveMs + lateTurns * this._worstLateMs;
-    return this._startedAtMs + this._graceMs - Math.min(reserveMs, this._graceMs * largestReserveShare);
+    const reserveMs = minReserveMs + lateTurns * this._maxDelayMs;
+    return this._startedAtMs + this._graceMs - Math.min(reserveMs, this._graceMs * maxReserveShare);
   }
 
-  /** Whether it is time to end. */
+  /** Whether the process should exit now. */
   get isReached(): boolean {
     return this._nowMs() >= this.endsAtMs;
   }
 
-  /** Waits, no longer than until the end, and notes how late this process gets its turn. */
+  /** Sleeps, at most until the deadline, and measures how late the event loop runs the process. */
   async pause(durationMs: number): Promise<void> {
     const dueAtMs = Math.min(this._nowMs() + durationMs, this.endsAtMs);
     await this._sleep(Math.max(0, dueAtMs - this._nowMs()));
-    this._worstLateMs = Math.max(this._worstLateMs, this._nowMs() - dueAtMs);
+    this._maxDelayMs = Math.max(this._maxDelayMs, this._nowMs() - dueAtMs);
   }
 }
--- a/packages/gateway/src/configuration/ConfigurationHistory.ts
+++ b/packages/gateway/src/configuration/ConfigurationHistory.ts
@@ -23,8 +23,8 @@
    */
   private readonly _deltas = new Map<number, ConfigurationDelta | undefined>();
 
-  constructor(keeper: ActiveConfiguration) {
-    keeper.onChanged(({ configuration }) => this._add(configuration));
+  constructor(activeConfiguration: ActiveConfiguration) {
+    activeConfiguration.onChanged(({ configuration }) => this._add(configuration));
   }
 
   /** The configuration in force. */
--- a/packages/gateway/src/configuration/ConfigurationWatch.ts
+++ b/packages/gateway/src/configuration/ConfigurationWatch.ts
@@ -17,7 +17,7 @@
    * @param clock - Monotonic clock and pauses, replaced in tests.
    */
   constructor(
-    private readonly _keeper: ActiveConfiguration,
+    private readonly _activeConfiguration: ActiveConfiguration,
     feed: ChangeFeed<GatewayConfiguration>,
     private readonly _log: DecisionLog,
     deadlineMs: number,
@@ -32,7 +32,7 @@
           provenAtMs,
         ),
       onLost: (error: StoreError) => _log.warn("configuration-store-lost", { cause: error.message }),
-      onRegained: () => _log.info("configuration-store-regained", { version: _keeper.version }),
+      onRegained: () => _log.info("configuration-store-regained", { version: _activeConfiguration.version }),
     };
     this.follower = new FeedFollower(feed, listener, {
       waitMs: getLongPollMs(deadlineMs),
@@ -40,7 +40,7 @@
       ...clock,
     });
     this.follower.onRead((page) => this._logRead(page.changes.length, page.nextOffset));
-    _keeper.onChanged((table, source) => this._logInForce(table, source));
+    _activeConfiguration.onChanged((table, source) => this._logInForce(table, source));
   }
 
   /** Follows the feed until `signal` aborts. */
@@ -49,15 +49,15 @@
   }
 
   private _accept(configurations: readonly GatewayConfiguration[], provenAtMs: number): void {
-    for (const configuration of configurations) this._keeper.accept(configuration);
-    this._keeper.confirmFreshness(this._keeper.version, provenAtMs);
+    for (const configuration of configurations) this._activeConfiguration.accept(configuration);
+    this._activeConfiguration.confirmFreshness(this._activeConfiguration.version, provenAtMs);
   }
 
   /** Logs a read that returned changes. A long poll without changes is not worth a line, and its duration says nothing. */
   private _logRead(changes: number, nextOffset: number): void {
     if (changes === 0) return;
     const tookMs = Math.round(this.follower.getFreshnessAgeMs());
-    this._log.info("configuration-read", { tookMs, nextOffset, version: this._keeper.version });
+    this._log.info("configuration-read", { tookMs, nextOffset, version: this._activeConfiguration.version });
   }
 
   private _logInForce({ configuration }: RouteTable, source: ConfigurationSource): void {
--- a/packages/gateway/src/configuration/DenialFreshness.ts
+++ b/packages/gateway/src/configuration/DenialFreshness.ts
@@ -34,8 +34,8 @@
 
   /** Returns whether a route or key that is missing from the configuration in force does not exist. */
   isFresh(): boolean {
-    const { activeConfiguration: keeper, getBehindMs } = this._structure;
-    return getBehindMs() === 0 && keeper.getFreshnessAgeMs() < this._getMaxAgeMs();
+    const { activeConfiguration, getBehindMs } = this._structure;
+    return getBehindMs() === 0 && activeConfiguration.getFreshnessAgeMs() < this._getMaxAgeMs();
   }
 
   /**
@@ -43,11 +43,11 @@
    * overdue by more than `timeoutMs` is not awaited.
    */
   async waitUntilFresh(timeoutMs: number): Promise<boolean> {
-    const { activeConfiguration: keeper } = this._structure;
+    const { activeConfiguration } = this._structure;
     const endMs = this._nowMs() + timeoutMs;
-    const isOverdue = keeper.getFreshnessAgeMs() > this._getMaxAgeMs() + timeoutMs;
+    const isOverdue = activeConfiguration.getFreshnessAgeMs() > this._getMaxAgeMs() + timeoutMs;
     while (!isOverdue && !this.isFresh() && this._nowMs() < endMs) {
-      await keeper.waitForUpdate(endMs - this._nowMs());
+      await activeConfiguration.waitForUpdate(endMs - this._nowMs());
     }
     return this.isFresh();
   }
--- a/packages/gateway/src/gatewaySettings.ts
+++ b/packages/gateway/src/gatewaySettings.ts
@@ -1,4 +1,4 @@
-/** Settings of a gateway instance: INI sections with checked values. */
+/** Schema and loading of the settings of a gateway instance, which are sections of an INI file. */
 import * as fs from "node:fs";
 import { errors, results } from "@shedtiller/common";
 import { checkSections, SettingsError } from "@shedtiller/settings";
@@ -30,38 +30,39 @@
   callers: zod.strictObject({
     listen: socketAddress,
     readiness: socketAddress,
-    /** A planned stop has this long until the process is killed. */
+    /** Time that a planned stop has until the process is killed. */
     stopGraceS: zod.coerce.number().positive(),
   }),
   peers: zod.strictObject({
     host: text,
     port,
-    /** Shared by all instances; it keeps strangers out of the peer links. */
+    /** Secret shared by all instances, which authenticates the links between peers. */
     secret: zod.string().min(16),
   }),
   metrics: zod.strictObject({ host: text, port }),
   configuration: zod.strictObject({
-    /** Within this of its acknowledgement a configuration has to be in force at every instance. */
+    /** Time after its acknowledgement by which a configuration has to be in force at every instance. */
     deadlineMs: milliseconds,
   }),
   keys: zod.strictObject({
-    /** Whether keys that were taken away must be refused in time, also by instances that are cut off. */
+    /** Whether all instances, including disconnected ones, must reject revoked keys within the bound. */
     isRevocationStrict: flag,
+    /** Maximum time from the revocation of a key until it is rejected. */
     revocationBoundMs: milliseconds,
   }),
   retries: zod.strictObject({
-    /** Retries over all instances for each request. */
+    /** Maximum retries per request over all instances. */
     budgetRatio: zod.coerce.number().nonnegative(),
-    /** Retries over all instances beyond the ratio in one window. */
+    /** Retries that all instances together may make in one window in addition to the ratio. */
     budgetSlack: zod.coerce.number().nonnegative(),
-    /** The time over which retries are counted. */
+    /** Length of the window over which retries are counted. */
     budgetWindowS: zod.coerce.number().positive(),
   }),
   store: zod.strictObject({ address: text, leaseMinimumMs: milliseconds, seeds: addressList.default([]) }),
 });
 export type GatewaySettings = zod.infer<typeof gatewaySettingsSchema>;
 
-/** Reads and checks a settings file; all faults are told together. */
+/** Reads and validates a settings file, and returns all errors together. */
 export function loadGatewaySettings(file: string): results.Result<GatewaySettings, SettingsError> {
   let content: string;
   try {
--- a/packages/gateway/src/peers/ConfigurationExchange.ts
+++ b/packages/gateway/src/peers/ConfigurationExchange.ts
@@ -105,10 +105,14 @@
 
   /** Returns whether a newer version has been known to exist for a while, or the freshness is too old. */
   isStale(): boolean {
-    const { activeConfiguration: keeper, getBehindMs, nowMs } = this._structure;
+    const { activeConfiguration, getBehindMs, nowMs } = this._structure;
     const isAnnounced =
       this._getNewerPeers().length > 0 && nowMs() - this._announcedSinceMs >= requestAfterAnnouncementMs;
-    return isAnnounced || getBehindMs() > requestWhenBehindMs || keeper.getFreshnessAgeMs() > staleAfterMs;
+    return (
+      isAnnounced ||
+      getBehindMs() > requestWhenBehindMs ||
+      activeConfiguration.getFreshnessAgeMs() > staleAfterMs
+    );
   }
 
   /**
@@ -129,11 +133,11 @@
 
   /** Requests a peer's version, freshness and delta, and a whole configuration if one is due and none is expected. */
   async requestFrom(name: string): Promise<void> {
-    const { membership, activeConfiguration: keeper, log, nowMs } = this._structure;
+    const { membership, activeConfiguration, log, nowMs } = this._structure;
     const requestedAtMs = nowMs();
     const wantsWhole = this._wantsWhole();
     if (wantsWhole) this._wholeExpectedUntilMs = requestedAtMs + responseTimeoutMs;
-    const request = { version: keeper.version, wantsWhole };
+    const request = { version: activeConfiguration.version, wantsWhole };
     const reply = await membership.request(name, peerTopics.configuration, request, responseTimeoutMs);
     const response = reply.ok ? configurationResponseSchema.safeParse(reply.val).data : undefined;
     const tookMs = Math.round(nowMs() - requestedAtMs);
@@ -148,9 +152,9 @@
    * since requests are relayed and notices are not.
    */
   private _getNewerPeers(): string[] {
-    const { activeConfiguration: keeper, membership } = this._structure;
+    const { activeConfiguration, membership } = this._structure;
     for (const [name, version] of this._peerVersions)
-      if (version <= keeper.version) this._peerVersions.delete(name);
+      if (version <= activeConfiguration.version) this._peerVersions.delete(name);
     if (this._peerVersions.size === 0) return [];
     const linked = membership.getLinked().map((member) => member.name);
     return linked.filter((name) => this._peerVersions.has(name));
@@ -167,12 +171,12 @@
   }
 
   private _isStarting(): boolean {
-    const { activeConfiguration: keeper, nowMs } = this._structure;
-    return keeper.table === undefined && nowMs() - this._startedAtMs < startupGraceMs;
+    const { activeConfiguration, nowMs } = this._structure;
+    return activeConfiguration.table === undefined && nowMs() - this._startedAtMs < startupGraceMs;
   }
 
   private _acceptResponse(name: string, response: ConfigurationResponse, requestedAtMs: number): void {
-    const { activeConfiguration: keeper, history } = this._structure;
+    const { activeConfiguration, history } = this._structure;
     const { version, proofAgeMs, delta } = response;
     if (delta !== undefined && history.newest?.version === delta.baseVersion) {
       this._accept(applyDelta(history.newest, delta), response.nextOffset);
@@ -180,7 +184,7 @@
     this._recordVersion(name, version);
     // The peer's freshness has the reported age at the time of the request. It may belong to a whole configuration that arrives next.
     this._peerFreshness = { version, atMs: requestedAtMs - proofAgeMs };
-    keeper.confirmFreshness(version, this._peerFreshness.atMs);
+    activeConfiguration.confirmFreshness(version, this._peerFreshness.atMs);
   }
 
   private _expectWhole(isComing: boolean): void {
@@ -194,11 +198,11 @@
 
   private _respond(body: unknown, from: PeerIdentity): unknown {
     const request = configurationRequestSchema.safeParse(body);
-    const { activeConfiguration: keeper, history, getOffset } = this._structure;
+    const { activeConfiguration, history, getOffset } = this._structure;
     const { newest } = history;
     if (!request.success || newest === undefined) return undefined;
     const { version, wantsWhole } = request.data;
-    const proofAgeMs = getFiniteAgeMs(keeper.getFreshnessAgeMs());
+    const proofAgeMs = getFiniteAgeMs(activeConfiguration.getFreshnessAgeMs());
     const response = { version: newest.version, proofAgeMs, nextOffset: getOffset(), isWholeComing: false };
     if (version >= newest.version) return response;
     const delta = history.getDeltaFrom(version);
@@ -236,11 +240,11 @@
    * reader of the zone does not reach the store.
    */
   private _accept(configuration: GatewayConfiguration, nextOffset: number | undefined): void {
-    const { activeConfiguration: keeper, takeAhead, broadcastToZone: tellZone } = this._structure;
-    if (configuration.version <= keeper.version) return;
+    const { activeConfiguration, takeAhead, broadcastToZone } = this._structure;
+    if (configuration.version <= activeConfiguration.version) return;
     if (nextOffset !== undefined) takeAhead(nextOffset);
-    keeper.accept(configuration, "peer");
-    keeper.confirmFreshness(this._peerFreshness.version, this._peerFreshness.atMs);
-    tellZone(configuration.version);
+    activeConfiguration.accept(configuration, "peer");
+    activeConfiguration.confirmFreshness(this._peerFreshness.version, this._peerFreshness.atMs);
+    broadcastToZone(configuration.version);
   }
 }
--- a/packages/gateway/src/peers/GatewayPeers.ts
+++ b/packages/gateway/src/peers/GatewayPeers.ts
@@ -58,8 +58,8 @@
   private _assumptionTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _structure: GatewayPeersStructure) {
-    const { activeConfiguration: keeper, endpoints, log } = _structure;
-    this._history = new ConfigurationHistory(keeper);
+    const { activeConfiguration, endpoints, log } = _structure;
+    this._history = new ConfigurationHistory(activeConfiguration);
     this.membership = this._createMembership();
     this._directory = this._createDirectory();
     this.exchange = this._createExchange();
@@ -132,16 +132,10 @@
   }
 
   private _createExchange(): PeerExchange {
-    const {
-      activeConfiguration: keeper,
-      endpoints,
-      configurationWatch,
-      endpointWatch,
-      log,
-    } = this._structure;
+    const { activeConfiguration, endpoints, configurationWatch, endpointWatch, log } = this._structure;
     return new PeerExchange({
       membership: this.membership,
-      activeConfiguration: keeper,
+      activeConfiguration,
       endpoints,
       log,
       getListAgeMs: () => endpointWatch.follower.getFreshnessAgeMs(),
--- a/packages/gateway/src/peers/StoreRelay.ts
+++ b/packages/gateway/src/peers/StoreRelay.ts
@@ -40,7 +40,7 @@
 
 /** A relayed feed. The type of its values is known only to the closures. */
 interface RelayedFeed {
-  readonly getProofAgeMs: () => number;
+  readonly getFreshnessAgeMs: () => number;
   readonly setReader: (isReader: boolean, isStandIn: boolean) => void;
 }
 
@@ -77,7 +77,7 @@
     this._receiveReads(topic, follower, codec);
     follower.setReader(false);
     this._feeds.push({
-      getProofAgeMs: () => follower.getFreshnessAgeMs(),
+      getFreshnessAgeMs: () => follower.getFreshnessAgeMs(),
       setReader: (isReader, isStandIn) => follower.setReader(isReader, isStandIn),
     });
   }
@@ -98,7 +98,7 @@
   check(): void {
     this._role.noteSuspension(this._pauses.noteTick());
     // The freshness of any feed shows that the store is reachable; the feed with the shorter long polls is the fresher one.
-    const ageMs = Math.min(...this._feeds.map((feed) => feed.getProofAgeMs()));
+    const ageMs = Math.min(...this._feeds.map((feed) => feed.getFreshnessAgeMs()));
     if (this.isReader && (this._role.isAlone || ageMs < staleMs)) this._role.noteActivity();
     this._role.update();
     const isSettling = this._nowMs() - this._startedAtMs < settlingMs;
--- a/packages/gateway/src/tests/FakeEngines.ts
+++ b/packages/gateway/src/tests/FakeEngines.ts
@@ -1,4 +1,3 @@
-/** Engines for tests: those that are silent answer no question, the others report what they are told to. */
 import { errors, results } from "@shedtiller/common";
 import type { ChainStage } from "../http/MessageCodec.js";
 import {
@@ -20,10 +19,11 @@
   stalled: [],
 };
 
+/** Engines for tests. Silent engines don't respond, and the others return the reports that the test sets. */
 export class FakeEngines extends EngineOrders {
-  /** Ids of engines that answer nothing. */
+  /** Ids of engines that don't respond. */
   readonly silent = new Set<string>();
-  /** Reports that differ from an idle engine's, by id. */
+  /** Fields in which reports differ from that of an idle engine, by engine id. */
   readonly reports = new Map<string, Partial<EngineReport>>();
   /** Chains that requests were moved to, each as the ids of its engines. */
   readonly chains: string[] = [];
--- a/packages/gateway/src/tests/RecordingSink.ts
+++ b/packages/gateway/src/tests/RecordingSink.ts
@@ -1,7 +1,6 @@
-/** A sink that keeps the names of the lines, each behind its level. */
 import { LogSink, type LogLevel } from "../logs/DecisionLog.js";
 
-/** One for a test. */
+/** Records the level and the event name of each log line. */
 export class RecordingSink extends LogSink {
   readonly events: string[] = [];
 
--- a/packages/gateway/src/tests/SilentSink.ts
+++ b/packages/gateway/src/tests/SilentSink.ts
@@ -1,6 +1,6 @@
-/** A sink for tests that look at no log. */
 import { LogSink } from "../logs/DecisionLog.js";
 
+/** Discards all log lines. */
 export class SilentSink extends LogSink {
   override isBehind(): boolean {
     return true;
--- a/packages/gateway/src/tests/StopDeadlineTests.ts
+++ b/packages/gateway/src/tests/StopDeadlineTests.ts
@@ -1,9 +1,8 @@
 /**
- * A process that stops ends before it is killed, whatever turns it gets.
+ * Tests that a stopping process exits before it is killed, even if its event loop runs late.
  *
- * Seen on a day of 64 instances: two processes of a rolling stop were killed at the end of their grace of 8 s. The stop was planned to end
- * 0.4 s before that by a clock that is only looked at when the process has its turn; one that gets its turn each half a second looks at
- * 7.5 s, and then at 8.0 s.
+ * With 64 instances, two processes of a rolling stop were killed at the end of their grace period of 8 s. They planned to exit 0.4 s before
+ * it, but a process checks the clock only when it is scheduled: one that is scheduled every half second checks at 7.5 s and then at 8.0 s.
  */
 import test from "ava";
 import { StopDeadline } from "../StopDeadline.js";
@@ -12,10 +11,10 @@
 const pollMs = 50;
 const balancerNoticeMs = 2_500;
 
-/** Plays a stop in which requests stay in hand to the end, and gives when the process begins to end. */
-async function playStop(turnMs: number): Promise<number> {
+/** Simulates a stop with requests in flight until the end, and returns the time at which the process begins to exit. */
+async function simulateStop(turnMs: number): Promise<number> {
   let nowMs = 0;
-  // Turns come at whole multiples, so that a wait ends at the next one.
+  // Turns come at multiples of `turnMs`, so a sleep ends at the next turn.
   const sleep = async (durationMs: number): Promise<void> => {
     nowMs = Math.ceil((nowMs + durationMs) / turnMs) * turnMs;
   };
@@ -25,19 +24,19 @@
   return nowMs;
 }
 
-test("with turns on time it ends 0.4 s before the end of its grace", async (t) => {
-  t.is(await playStop(1), graceMs - 400);
+test("without delays of the event loop a process exits 0.4 s before the end of its grace period", async (t) => {
+  t.is(await simulateStop(1), graceMs - 400);
 });
 
 for (const turnMs of [100, 300, 450, 500, 600]) {
-  test(`with a turn each ${turnMs} ms it ends before the end of its grace, and not in the first five sixths of it`, async (t) => {
-    const endedAtMs = await playStop(turnMs);
+  test(`with a turn every ${turnMs} ms a process exits in the last sixth of its grace period`, async (t) => {
+    const endedAtMs = await simulateStop(turnMs);
     t.true(endedAtMs < graceMs, `${endedAtMs}`);
     t.true(endedAtMs >= (graceMs * 5) / 6, `${endedAtMs}`);
   });
 }
 
-test("a grace that is shorter than the notice to the balancer is kept, too", async (t) => {
+test("a grace period that is shorter than the notice to the load balancer is respected", async (t) => {
   let nowMs = 0;
   const sleep = async (durationMs: number): Promise<void> => {
     nowMs += durationMs;
--- a/packages/gateway/src/tests/configuration/ActiveConfigurationTests.ts
+++ b/packages/gateway/src/tests/configuration/ActiveConfigurationTests.ts
@@ -5,25 +5,25 @@
 import { createConfiguration, createRoute } from "../testData.js";
 
 test("an older version is not accepted", (t) => {
-  const keeper = new ActiveConfiguration(() => 0);
-  t.true(keeper.accept(createConfiguration(5)));
-  t.false(keeper.accept(createConfiguration(4)));
-  t.false(keeper.accept(createConfiguration(5)));
-  t.is(keeper.version, 5);
+  const activeConfiguration = new ActiveConfiguration(() => 0);
+  t.true(activeConfiguration.accept(createConfiguration(5)));
+  t.false(activeConfiguration.accept(createConfiguration(4)));
+  t.false(activeConfiguration.accept(createConfiguration(5)));
+  t.is(activeConfiguration.version, 5);
 });
 
 test("freshness counts from the time of the request, and only for the version in force", (t) => {
   let nowMs = 1_000;
-  const keeper = new ActiveConfiguration(() => nowMs);
-  t.is(keeper.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
-  keeper.accept(createConfiguration(5));
-  keeper.confirmFreshness(4, 900);
-  t.is(keeper.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
-  keeper.confirmFreshness(5, 900);
+  const activeConfiguration = new ActiveConfiguration(() => nowMs);
+  t.is(activeConfiguration.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
+  activeConfiguration.accept(createConfiguration(5));
+  activeConfiguration.confirmFreshness(4, 900);
+  t.is(activeConfiguration.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
+  activeConfiguration.confirmFreshness(5, 900);
   nowMs = 2_000;
-  t.is(keeper.getFreshnessAgeMs(), 1_100);
-  keeper.confirmFreshness(5, 100);
-  t.is(keeper.getFreshnessAgeMs(), 1_100, "an older confirmation changes nothing");
+  t.is(activeConfiguration.getFreshnessAgeMs(), 1_100);
+  activeConfiguration.confirmFreshness(5, 100);
+  t.is(activeConfiguration.getFreshnessAgeMs(), 1_100, "an older confirmation changes nothing");
 });
 
 test("the longest prefix of the host wins, whatever the query", (t) => {
--- a/packages/gateway/src/tests/gatewaySettingsTests.ts
+++ b/packages/gateway/src/tests/gatewaySettingsTests.ts
@@ -1,11 +1,11 @@
-/** A settings file is checked whole; every fault names its line. */
+/** Tests that a settings file is validated as a whole, and that every error names its line. */
 import * as fs from "node:fs";
 import * as os from "node:os";
 import * as path from "node:path";
 import test from "ava";
 import { loadGatewaySettings } from "../gatewaySettings.js";
 
-const good = `
+const validText = `
 [instance]
 name = front-1
 availabilityZone = east
@@ -43,22 +43,22 @@
   return loaded;
 }
 
-test("a good file is read with its units", (t) => {
-  const loaded = load(good);
+test("a valid file is parsed to typed values", (t) => {
+  const loaded = load(validText);
   t.is(loaded.ok ? loaded.val.callers.listen.port : loaded.val.message, 80);
   t.is(loaded.ok ? loaded.val.keys.isRevocationStrict : undefined, true);
 });
 
-test("all faults are told together, each with its line, unknown names with the nearest one", (t) => {
+test("all errors are reported together, each with its line, and unknown names with the nearest known one", (t) => {
   const loaded = load(
-    good.replace("stopGraceS = 8", "stopGraceSeconds = 8").replace("port = 7341", "port = 0"),
+    validText.replace("stopGraceS = 8", "stopGraceSeconds = 8").replace("port = 7341", "port = 0"),
   );
   if (loaded.ok) return t.fail();
   t.regex(loaded.val.message, /s\.ini:8.*stopGraceSeconds.*did you mean stopGraceS/);
   t.regex(loaded.val.message, /s\.ini:15.*port/);
 });
 
-test("a file that is not there is a typed error", (t) => {
+test("a missing file results in a typed error", (t) => {
   const loaded = loadGatewaySettings("/nowhere/s.ini");
   t.is(loaded.err ? loaded.val.code : "", "invalid_settings");
 });
--- a/packages/gateway/src/tests/peers/ChangeCodecTests.ts
+++ b/packages/gateway/src/tests/peers/ChangeCodecTests.ts
@@ -8,9 +8,9 @@
 import { createConfiguration, createListed, createRoute } from "../testData.js";
 
 function create(...versions: GatewayConfiguration[]): ConfigurationChangeCodec {
-  const keeper = new ActiveConfiguration(() => 0);
-  const changes = new ConfigurationChangeCodec(new ConfigurationHistory(keeper));
-  for (const version of versions) keeper.accept(version);
+  const activeConfiguration = new ActiveConfiguration(() => 0);
+  const changes = new ConfigurationChangeCodec(new ConfigurationHistory(activeConfiguration));
+  for (const version of versions) activeConfiguration.accept(version);
   return changes;
 }
 
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -18,14 +18,18 @@
   readonly network = new PeerNetwork();
   nowMs = longMs;
 
-  join(name: string): { keeper: ActiveConfiguration; exchange: ConfigurationExchange; ahead: number[] } {
+  join(name: string): {
+    activeConfiguration: ActiveConfiguration;
+    exchange: ConfigurationExchange;
+    ahead: number[];
+  } {
     const nowMs = (): number => this.nowMs;
-    const keeper = new ActiveConfiguration(nowMs);
+    const activeConfiguration = new ActiveConfiguration(nowMs);
     const ahead: number[] = [];
     const exchange = new ConfigurationExchange({
       membership: this.network.join({ name, availabilityZone: "east" }),
-      activeConfiguration: keeper,
-      history: new ConfigurationHistory(keeper),
+      activeConfiguration,
+      history: new ConfigurationHistory(activeConfiguration),
       log: new DecisionLog(new SilentSink(), nowMs),
       getBehindMs: () => 0,
       getOffset: () => 7,
@@ -36,7 +40,7 @@
       random: () => 0,
     });
     this.nowMs += longMs;
-    return { keeper, exchange, ahead };
+    return { activeConfiguration, exchange, ahead };
   }
 
   /** Waits until the sent messages have been delivered. */
@@ -51,13 +55,13 @@
   const fleet = new Fleet();
   const newer = fleet.join("a");
   const older = fleet.join("b");
-  for (const { keeper } of [newer, older]) keeper.accept(createConfiguration(1));
-  newer.keeper.accept(createConfiguration(2, routes));
-  newer.keeper.confirmFreshness(2, fleet.nowMs);
+  for (const { activeConfiguration } of [newer, older]) activeConfiguration.accept(createConfiguration(1));
+  newer.activeConfiguration.accept(createConfiguration(2, routes));
+  newer.activeConfiguration.confirmFreshness(2, fleet.nowMs);
   await older.exchange.requestFrom("a");
-  t.is(older.keeper.version, 2);
-  t.truthy(older.keeper.table?.getRoute("notes.example", "/b/x"));
-  t.is(older.keeper.getFreshnessAgeMs(), 0);
+  t.is(older.activeConfiguration.version, 2);
+  t.truthy(older.activeConfiguration.table?.getRoute("notes.example", "/b/x"));
+  t.is(older.activeConfiguration.getFreshnessAgeMs(), 0);
   t.deepEqual(older.ahead, [7]);
   t.is(fleet.network.sent.get("whole-configuration"), undefined);
 });
@@ -65,34 +69,34 @@
 test("a peer sends a whole configuration to one instance at a time", async (t) => {
   const fleet = new Fleet();
   const holder = fleet.join("a");
-  holder.keeper.accept(createConfiguration(2, routes));
+  holder.activeConfiguration.accept(createConfiguration(2, routes));
   const first = fleet.join("b");
   const second = fleet.join("c");
   await Promise.all([first.exchange.requestFrom("a"), second.exchange.requestFrom("a")]);
   await fleet.waitForDelivery();
-  t.deepEqual([first.keeper.version, second.keeper.version], [2, -1]);
+  t.deepEqual([first.activeConfiguration.version, second.activeConfiguration.version], [2, -1]);
   fleet.nowMs += wholeIntervalMs;
   await second.exchange.requestFrom("a");
   await fleet.waitForDelivery();
-  t.is(second.keeper.version, 2);
+  t.is(second.activeConfiguration.version, 2);
 });
 
 test("while a whole configuration is expected from one peer, no other peer is asked for one", async (t) => {
   const fleet = new Fleet();
   const holders = ["a", "b"].map((name) => fleet.join(name));
-  for (const { keeper } of holders) keeper.accept(createConfiguration(2, routes));
+  for (const { activeConfiguration } of holders) activeConfiguration.accept(createConfiguration(2, routes));
   const empty = fleet.join("c");
   fleet.network.silence("c");
   await empty.exchange.requestFrom("a");
   await empty.exchange.requestFrom("b");
   await fleet.waitForDelivery();
-  t.is(empty.keeper.version, -1);
+  t.is(empty.activeConfiguration.version, -1);
   fleet.network.restore("c");
   await empty.exchange.requestFrom("b");
   await fleet.waitForDelivery();
-  t.is(empty.keeper.version, -1, "the first whole configuration may still arrive");
+  t.is(empty.activeConfiguration.version, -1, "the first whole configuration may still arrive");
   fleet.nowMs += longMs;
   await empty.exchange.requestFrom("b");
   await fleet.waitForDelivery();
-  t.is(empty.keeper.version, 2);
+  t.is(empty.activeConfiguration.version, 2);
 });
--- a/packages/gateway/src/tests/peers/PeerExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PeerExchangeTests.ts
@@ -13,21 +13,21 @@
 const timeoutMs = 60_000;
 
 interface Joined {
-  readonly keeper: ActiveConfiguration;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
   readonly exchange: PeerExchange;
 }
 
 function join(network: PeerNetwork, name: string, availabilityZone = "east"): Joined {
-  const keeper = new ActiveConfiguration();
+  const activeConfiguration = new ActiveConfiguration();
   const endpoints = new EndpointTable();
   const exchange = new PeerExchange({
     membership: network.join({ name, availabilityZone }),
-    activeConfiguration: keeper,
+    activeConfiguration,
     endpoints,
     log: new DecisionLog(new SilentSink(), utils.monotonicMs),
     getListAgeMs: () => 0,
-    history: new ConfigurationHistory(keeper),
+    history: new ConfigurationHistory(activeConfiguration),
     getBehindMs: () => 0,
     getOffset: () => 0,
     takeAhead: () => undefined,
@@ -37,32 +37,32 @@
     getInstances: () => [],
     takeInstances: () => undefined,
   });
-  return { keeper, endpoints, exchange };
+  return { activeConfiguration, endpoints, exchange };
 }
 
 test("an instance that the store does not serve sends a request to only one of the peers that announce a version", async (t) => {
   const network = new PeerNetwork();
   const senders = ["a", "b", "c", "d", "e"].map((name) => join(network, name));
-  for (const { keeper } of senders) {
-    keeper.accept(createConfiguration(7));
-    keeper.confirmFreshness(7, utils.monotonicMs());
+  for (const { activeConfiguration } of senders) {
+    activeConfiguration.accept(createConfiguration(7));
+    activeConfiguration.confirmFreshness(7, utils.monotonicMs());
   }
   const cutOff = join(network, "f");
   for (const { exchange } of senders) exchange.broadcastVersion(7);
-  t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, timeoutMs));
+  t.true(await utils.waitUntil(() => cutOff.activeConfiguration.version === 7, timeoutMs));
   t.is(network.sent.get("configuration"), 1);
 });
 
 test("an instance that the store serves in the meantime sends no request", async (t) => {
   const network = new PeerNetwork();
   const sender = join(network, "a");
-  sender.keeper.accept(createConfiguration(7));
+  sender.activeConfiguration.accept(createConfiguration(7));
   const served = join(network, "b");
   const cutOff = join(network, "c");
   sender.exchange.broadcastVersion(7);
-  served.keeper.accept(createConfiguration(7));
+  served.activeConfiguration.accept(createConfiguration(7));
   // Both instances received the announcement at the same moment: once the cut-off one has sent its request, the other would have done so too.
-  t.true(await utils.waitUntil(() => cutOff.keeper.version === 7, timeoutMs));
+  t.true(await utils.waitUntil(() => cutOff.activeConfiguration.version === 7, timeoutMs));
   t.is(network.sent.get("configuration"), 1);
 });
 
--- a/packages/gateway/src/tests/suspensionTests.ts
+++ b/packages/gateway/src/tests/suspensionTests.ts
@@ -1,4 +1,4 @@
-/** On waking from a suspension, during which the steady clock stands, nothing is done under a right that ran out meanwhile. */
+/** Tests that after a suspension, during which the steady clock stops, leases and freshness that have expired meanwhile are not used. */
 import test from "ava";
 import { results, utils } from "@shedtiller/common";
 import { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
@@ -13,7 +13,7 @@
 const suspendedMs = 6_000;
 const deadlineMs = 2_000;
 
-/** A machine without a clock that proves a suspension, as the worst case. */
+/** Creates a machine whose steady clock and uptime don't show a suspension, which is the worst case. */
 function createMachine() {
   const machine = { steadyMs: 1_000, wallMs: 1_700_000_000_000 };
   const clock = new utils.ElapsedClock({
@@ -40,30 +40,30 @@
   }
 }
 
-test("a leader gives no order after a suspension that its term did not outlast", async (t) => {
+test("a leader gives no orders after a suspension that is longer than its term", async (t) => {
   const { nowMs, run, suspend } = createMachine();
-  const seat = new Leadership(new WonElection(), new DecisionLog(new SilentSink(), nowMs), { nowMs });
-  await seat.campaign();
+  const leadership = new Leadership(new WonElection(), new DecisionLog(new SilentSink(), nowMs), { nowMs });
+  await leadership.campaign();
   run(100);
-  t.true(seat.isLeader());
+  t.true(leadership.isLeader());
   suspend();
-  t.false(seat.isLeader());
+  t.false(leadership.isLeader());
 });
 
-test("neither keys nor denials are taken at their word on a proof from before a suspension", (t) => {
+test("a freshness from before a suspension is valid neither for keys nor for not-found responses", (t) => {
   const { nowMs, run, suspend } = createMachine();
-  const keeper = new ActiveConfiguration(nowMs);
-  keeper.accept(createConfiguration(1));
-  keeper.confirmFreshness(1, nowMs());
-  const denials = new DenialFreshness({
-    activeConfiguration: keeper,
+  const activeConfiguration = new ActiveConfiguration(nowMs);
+  activeConfiguration.accept(createConfiguration(1));
+  activeConfiguration.confirmFreshness(1, nowMs());
+  const denialFreshness = new DenialFreshness({
+    activeConfiguration,
     getBehindMs: () => 0,
     getDeadlineMs: () => deadlineMs,
     nowMs,
   });
   run(100);
-  t.true(denials.isFresh());
+  t.true(denialFreshness.isFresh());
   suspend();
-  t.false(denials.isFresh());
-  t.true(keeper.getFreshnessAgeMs() >= suspendedMs);
+  t.false(denialFreshness.isFresh());
+  t.true(activeConfiguration.getFreshnessAgeMs() >= suspendedMs);
 });
--- a/packages/gateway/src/tests/testData.ts
+++ b/packages/gateway/src/tests/testData.ts
@@ -1,4 +1,4 @@
-/** Parts that several tests of the gateway share. */
+/** Test data that several tests of the gateway share. */
 import type { EngineProfile, GatewayConfiguration, Route } from "../configuration/gatewayConfiguration.js";
 import { Endpoint } from "../discovery/Endpoint.js";
 import type { ListedEndpoint } from "../discovery/ListedEndpoint.js";
@@ -10,7 +10,7 @@
   idleTimeoutMs: 15_000,
 };
 
-/** A small model: 4 layers of 10 MB, one MB of KV cache a token over all layers. */
+/** Profile of a small model with 4 layers of 10 MB, and 1 MB of KV cache per token over all layers. */
 export const profile: EngineProfile = {
   slots: 8,
   layerCount: 4,
@@ -80,7 +80,7 @@
   };
 }
 
-/** An engine that holds the layers from `start` to `end`. */
+/** Creates an engine that has loaded the layers from `start` to `end`. */
 export function createEngine(
   id: string,
   start: number,
