--- a/packages/gateway/src/configuration/ConfigurationWatch.ts
+++ b/packages/gateway/src/configuration/ConfigurationWatch.ts
@@ -1,4 +1,3 @@
-/** Follows the operators' configuration in the store. */
 import type { Change, ChangeFeed, StoreError } from "../discovery/ChangeFeed.js";
 import { FeedFollower, type FollowOptions } from "../discovery/FeedFollower.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
@@ -9,16 +8,16 @@
 
 const retryMs = 250;
 
-/** One watch an instance. */
+/** Watches the operators' configuration in the store, and puts new versions into force. */
 export class ConfigurationWatch {
   readonly follower: FeedFollower<GatewayConfiguration>;
 
   /**
-   * @param deadlineMs - Within this of its acknowledgement a configuration has to be in force.
-   * @param clock - Monotonic clock and waits, replaced in tests.
+   * @param deadlineMs - Time after its acknowledgement by which a configuration has to be in force.
+   * @param clock - Monotonic clock and pauses, replaced in tests.
    */
   constructor(
-    private readonly _keeper: ActiveConfiguration,
+    private readonly _activeConfiguration: ActiveConfiguration,
     feed: ChangeFeed<GatewayConfiguration>,
     private readonly _log: DecisionLog,
     deadlineMs: number,
@@ -26,14 +25,14 @@
   ) {
     const listener = {
       onSnapshot: (values: ReadonlyMap<string, GatewayConfiguration>, provenAtMs: number) =>
-        this._take([...values.values()], provenAtMs),
+        this._accept([...values.values()], provenAtMs),
       onChanges: (changes: readonly Change<GatewayConfiguration>[], provenAtMs: number) =>
-        this._take(
+        this._accept(
           changes.flatMap((change) => change.value ?? []),
           provenAtMs,
         ),
       onLost: (error: StoreError) => _log.warn("configuration-store-lost", { cause: error.message }),
-      onRegained: () => _log.info("configuration-store-regained", { version: _keeper.version }),
+      onRegained: () => _log.info("configuration-store-regained", { version: _activeConfiguration.version }),
     };
     this.follower = new FeedFollower(feed, listener, {
       waitMs: getLongPollMs(deadlineMs),
@@ -41,23 +40,24 @@
       ...clock,
     });
     this.follower.onRead((page) => this._logRead(page.changes.length, page.nextOffset));
-    _keeper.onChanged((table, source) => this._logInForce(table, source));
+    _activeConfiguration.onChanged((table, source) => this._logInForce(table, source));
   }
 
+  /** Follows the feed until `signal` aborts. */
   run(signal: AbortSignal): Promise<void> {
     return this.follower.run(signal);
   }
 
-  private _take(configurations: readonly GatewayConfiguration[], provenAtMs: number): void {
-    for (const configuration of configurations) this._keeper.accept(configuration);
-    this._keeper.confirmFreshness(this._keeper.version, provenAtMs);
+  private _accept(configurations: readonly GatewayConfiguration[], provenAtMs: number): void {
+    for (const configuration of configurations) this._activeConfiguration.accept(configuration);
+    this._activeConfiguration.confirmFreshness(this._activeConfiguration.version, provenAtMs);
   }
 
-  /** A held read without changes is no decision, and takes as long as it is held. */
+  /** Logs a read that returned changes. A long poll without changes is not worth a line, and its duration says nothing. */
   private _logRead(changes: number, nextOffset: number): void {
     if (changes === 0) return;
     const tookMs = Math.round(this.follower.getFreshnessAgeMs());
-    this._log.info("configuration-read", { tookMs, nextOffset, version: this._keeper.version });
+    this._log.info("configuration-read", { tookMs, nextOffset, version: this._activeConfiguration.version });
   }
 
   private _logInForce({ configuration }: RouteTable, source: ConfigurationSource): void {
--- a/packages/gateway/src/peers/DrainingBroadcast.ts
+++ b/packages/gateway/src/peers/DrainingBroadcast.ts
@@ -1,12 +1,11 @@
-/** How an endpoint's word that it leaves, read by one instance in an answer, comes to all others and to newcomers. */
 import { PeerBroadcast, type PeerBroadcastStructure } from "@shedtiller/membership";
 import type { EndpointStatements } from "../discovery/EndpointStatements.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
-import { leavingSchema, peerTopics } from "./peerMessages.js";
+import { drainingSchema, peerTopics } from "./peerMessages.js";
 
-/** What the news works with. */
+/** Dependencies of {@link DrainingBroadcast}. */
 export interface DrainingBroadcastStructure extends Pick<
   PeerBroadcastStructure<string[]>,
   "membership" | "random"
@@ -16,30 +15,31 @@
   readonly log: DecisionLog;
 }
 
-/** One an instance. */
+/** Broadcasts to all instances, including newly linked ones, that an endpoint drains, once one instance has read this in a response. */
 export class DrainingBroadcast {
   constructor(private readonly _structure: DrainingBroadcastStructure) {
     const { membership, random, endpoints, statements, log } = _structure;
-    const news = new PeerBroadcast<string[]>({
+    const broadcast = new PeerBroadcast<string[]>({
       membership,
       random,
       topic: peerTopics.leaving,
-      schema: leavingSchema,
+      schema: drainingSchema,
       onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
-      applyUpdate: (told) => this._take(told),
-      getFullState: () => toNews(endpoints.getDrainingLives()),
+      applyUpdate: (lifeIds) => this._accept(lifeIds),
+      getFullState: () => toMessage(endpoints.getDrainingLives()),
     });
-    statements.onDraining((lifeId) => news.broadcast([lifeId]));
+    statements.onDraining((lifeId) => broadcast.broadcast([lifeId]));
   }
 
-  private _take(told: readonly string[]): string[] | undefined {
+  /** Marks endpoints as draining, and returns those that were not marked before. */
+  private _accept(lifeIds: readonly string[]): string[] | undefined {
     const { endpoints, log } = this._structure;
-    const isNews = told.filter((lifeId) => endpoints.noteDraining(lifeId));
-    for (const lifeId of isNews) log.info("endpoint-leaves", { lifeId, source: "peer" });
-    return toNews(isNews);
+    const added = lifeIds.filter((lifeId) => endpoints.noteDraining(lifeId));
+    for (const lifeId of added) log.info("endpoint-leaves", { lifeId, source: "peer" });
+    return toMessage(added);
   }
 }
 
-function toNews(lifeIds: string[]): string[] | undefined {
+function toMessage(lifeIds: string[]): string[] | undefined {
   return lifeIds.length === 0 ? undefined : lifeIds;
 }
--- a/packages/gateway/src/tests/configuration/ActiveConfigurationTests.ts
+++ b/packages/gateway/src/tests/configuration/ActiveConfigurationTests.ts
@@ -1,29 +1,29 @@
-/** Versions never go back, and a proof of freshness is worth what it proves. */
+/** Tests that versions never decrease, that freshness is confirmed only for the version in force, and look-ups of routes and keys. */
 import test from "ava";
 import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import { RouteTable } from "../../configuration/RouteTable.js";
 import { createConfiguration, createRoute } from "../testData.js";
 
-test("an older version is not taken", (t) => {
-  const keeper = new ActiveConfiguration(() => 0);
-  t.true(keeper.accept(createConfiguration(5)));
-  t.false(keeper.accept(createConfiguration(4)));
-  t.false(keeper.accept(createConfiguration(5)));
-  t.is(keeper.version, 5);
+test("an older version is not accepted", (t) => {
+  const activeConfiguration = new ActiveConfiguration(() => 0);
+  t.true(activeConfiguration.accept(createConfiguration(5)));
+  t.false(activeConfiguration.accept(createConfiguration(4)));
+  t.false(activeConfiguration.accept(createConfiguration(5)));
+  t.is(activeConfiguration.version, 5);
 });
 
-test("a proof counts from its question and only for the version in force", (t) => {
+test("freshness counts from the time of the request, and only for the version in force", (t) => {
   let nowMs = 1_000;
-  const keeper = new ActiveConfiguration(() => nowMs);
-  t.is(keeper.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
-  keeper.accept(createConfiguration(5));
-  keeper.confirmFreshness(4, 900);
-  t.is(keeper.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
-  keeper.confirmFreshness(5, 900);
+  const activeConfiguration = new ActiveConfiguration(() => nowMs);
+  t.is(activeConfiguration.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
+  activeConfiguration.accept(createConfiguration(5));
+  activeConfiguration.confirmFreshness(4, 900);
+  t.is(activeConfiguration.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
+  activeConfiguration.confirmFreshness(5, 900);
   nowMs = 2_000;
-  t.is(keeper.getFreshnessAgeMs(), 1_100);
-  keeper.confirmFreshness(5, 100);
-  t.is(keeper.getFreshnessAgeMs(), 1_100, "an older proof takes nothing away");
+  t.is(activeConfiguration.getFreshnessAgeMs(), 1_100);
+  activeConfiguration.confirmFreshness(5, 100);
+  t.is(activeConfiguration.getFreshnessAgeMs(), 1_100, "an older confirmation changes nothing");
 });
 
 test("the longest prefix of the host wins, whatever the query", (t) => {
@@ -39,7 +39,7 @@
   t.is(table.getRoute("notes.example", "/a"), undefined);
 });
 
-test("a key that was taken away is unknown in the next version", (t) => {
+test("a revoked key is unknown in the next version", (t) => {
   const before = new RouteTable(createConfiguration(1));
   const after = new RouteTable({ ...createConfiguration(2), accounts: [{ name: "farm", apiKeys: [] }] });
   t.is(before.getAccount("k1")?.name, "farm");
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -1,4 +1,4 @@
-/** What peers send each other of a configuration: changes where they are known, and a whole one to one peer at a time. */
+/** Tests what peers send each other of a configuration: a delta where possible, and otherwise the whole one to one peer at a time. */
 import test from "ava";
 import { utils } from "@shedtiller/common";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
@@ -9,23 +9,27 @@
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
-/** Past all that an instance leaves the store to give it a configuration. */
+/** Exceeds all delays in which an instance leaves it to the store to deliver a configuration. */
 const longMs = 10_000;
-/** A peer may send the next whole configuration after this. */
-const betweenMs = 300;
+/** Time after which a peer may send the next whole configuration. */
+const wholeIntervalMs = 300;
 
 class Fleet {
   readonly network = new PeerNetwork();
   nowMs = longMs;
 
-  join(name: string): { keeper: ActiveConfiguration; exchange: ConfigurationExchange; ahead: number[] } {
+  join(name: string): {
+    activeConfiguration: ActiveConfiguration;
+    exchange: ConfigurationExchange;
+    ahead: number[];
+  } {
     const nowMs = (): number => this.nowMs;
-    const keeper = new ActiveConfiguration(nowMs);
+    const activeConfiguration = new ActiveConfiguration(nowMs);
     const ahead: number[] = [];
     const exchange = new ConfigurationExchange({
       membership: this.network.join({ name, availabilityZone: "east" }),
-      activeConfiguration: keeper,
-      history: new ConfigurationHistory(keeper),
+      activeConfiguration,
+      history: new ConfigurationHistory(activeConfiguration),
       log: new DecisionLog(new SilentSink(), nowMs),
       getBehindMs: () => 0,
       getOffset: () => 7,
@@ -36,28 +40,28 @@
       random: () => 0,
     });
     this.nowMs += longMs;
-    return { keeper, exchange, ahead };
+    return { activeConfiguration, exchange, ahead };
   }
 
-  /** Lets what was sent arrive. */
-  async settle(): Promise<void> {
+  /** Waits until the sent messages have been delivered. */
+  async waitForDelivery(): Promise<void> {
     for (let turn = 0; turn < 3; turn++) await utils.yieldToEvents();
   }
 }
 
 const routes = [createRoute(), createRoute({ name: "s", pathPrefix: "/b/" })];
 
-test("an instance that knows an older version gets what changed, with the proof and the place in the store's history", async (t) => {
+test("an instance with an older version receives a delta, the freshness and the store's offset", async (t) => {
   const fleet = new Fleet();
   const newer = fleet.join("a");
   const older = fleet.join("b");
-  for (const { keeper } of [newer, older]) keeper.accept(createConfiguration(1));
-  newer.keeper.accept(createConfiguration(2, routes));
-  newer.keeper.confirmFreshness(2, fleet.nowMs);
-  await older.exchange.ask("a");
-  t.is(older.keeper.version, 2);
-  t.truthy(older.keeper.table?.getRoute("notes.example", "/b/x"));
-  t.is(older.keeper.getFreshnessAgeMs(), 0);
+  for (const { activeConfiguration } of [newer, older]) activeConfiguration.accept(createConfiguration(1));
+  newer.activeConfiguration.accept(createConfiguration(2, routes));
+  newer.activeConfiguration.confirmFreshness(2, fleet.nowMs);
+  await older.exchange.requestFrom("a");
+  t.is(older.activeConfiguration.version, 2);
+  t.truthy(older.activeConfiguration.table?.getRoute("notes.example", "/b/x"));
+  t.is(older.activeConfiguration.getFreshnessAgeMs(), 0);
   t.deepEqual(older.ahead, [7]);
   t.is(fleet.network.sent.get("whole-configuration"), undefined);
 });
@@ -65,34 +69,34 @@
 test("a peer sends a whole configuration to one instance at a time", async (t) => {
   const fleet = new Fleet();
   const holder = fleet.join("a");
-  holder.keeper.accept(createConfiguration(2, routes));
+  holder.activeConfiguration.accept(createConfiguration(2, routes));
   const first = fleet.join("b");
   const second = fleet.join("c");
-  await Promise.all([first.exchange.ask("a"), second.exchange.ask("a")]);
-  await fleet.settle();
-  t.deepEqual([first.keeper.version, second.keeper.version], [2, -1]);
-  fleet.nowMs += betweenMs;
-  await second.exchange.ask("a");
-  await fleet.settle();
-  t.is(second.keeper.version, 2);
+  await Promise.all([first.exchange.requestFrom("a"), second.exchange.requestFrom("a")]);
+  await fleet.waitForDelivery();
+  t.deepEqual([first.activeConfiguration.version, second.activeConfiguration.version], [2, -1]);
+  fleet.nowMs += wholeIntervalMs;
+  await second.exchange.requestFrom("a");
+  await fleet.waitForDelivery();
+  t.is(second.activeConfiguration.version, 2);
 });
 
-test("while a whole configuration is expected from one peer, no other is asked for it", async (t) => {
+test("while a whole configuration is expected from one peer, no other peer is asked for one", async (t) => {
   const fleet = new Fleet();
   const holders = ["a", "b"].map((name) => fleet.join(name));
-  for (const { keeper } of holders) keeper.accept(createConfiguration(2, routes));
+  for (const { activeConfiguration } of holders) activeConfiguration.accept(createConfiguration(2, routes));
   const empty = fleet.join("c");
   fleet.network.silence("c");
-  await empty.exchange.ask("a");
-  await empty.exchange.ask("b");
-  await fleet.settle();
-  t.is(empty.keeper.version, -1);
+  await empty.exchange.requestFrom("a");
+  await empty.exchange.requestFrom("b");
+  await fleet.waitForDelivery();
+  t.is(empty.activeConfiguration.version, -1);
   fleet.network.restore("c");
-  await empty.exchange.ask("b");
-  await fleet.settle();
-  t.is(empty.keeper.version, -1, "the one that was sent may still come");
+  await empty.exchange.requestFrom("b");
+  await fleet.waitForDelivery();
+  t.is(empty.activeConfiguration.version, -1, "the first whole configuration may still arrive");
   fleet.nowMs += longMs;
-  await empty.exchange.ask("b");
-  await fleet.settle();
-  t.is(empty.keeper.version, 2);
+  await empty.exchange.requestFrom("b");
+  await fleet.waitForDelivery();
+  t.is(empty.activeConfiguration.version, 2);
 });
