--- a/packages/common/src/errors/ShedtillerError.ts
+++ b/packages/common/src/errors/ShedtillerError.ts
@@ -1,11 +1,11 @@
-/** Base of every typed failure in the project. */
+/** Base class of the typed errors, and the errors that all packages share. */
 
-/** Whether the work a failure is about can have run: `no` only where that is provable. */
+/** Whether the work of a failed call may have been executed: `no` only if that is certain. */
 export type Ran = "no" | "unknown";
 
-/** A failure with a type. Subclasses name what went wrong; callers match on the class or on `code`. */
+/** Base class of all typed errors. Callers match on the class or on `code`. */
 export abstract class ShedtillerError extends Error {
-  /** Stable, machine-readable name of the failure, in snake case. */
+  /** Stable, machine-readable name of the error, in snake case. */
   abstract readonly code: string;
 
   constructor(message: string, options?: ErrorOptions) {
@@ -14,13 +14,13 @@
   }
 }
 
-/** A value from outside did not have the expected shape. */
+/** A value from outside the process failed validation. */
 export class InvalidInputError extends ShedtillerError {
   readonly code = "invalid_input";
 
   /**
-   * @param place - Where the value was found: a file, a field, a frame.
-   * @param reason - What was wrong with it.
+   * @param place - Location of the value, such as a file, a field or a frame.
+   * @param reason - The rule that the value violates.
    */
   constructor(
     readonly place: string,
@@ -30,7 +30,7 @@
   }
 }
 
-/** A connection failed before anything was written to it, so that the other side saw nothing. */
+/** A connection failed before anything was written to it, so that the other side received nothing. */
 export class NotReachedError extends ShedtillerError {
   readonly code = "not_reached";
 
@@ -54,7 +54,7 @@
   }
 }
 
-/** Something did not happen before its deadline. */
+/** An operation did not finish before its deadline. */
 export class DeadlineError extends ShedtillerError {
   readonly code = "deadline_passed";
 
@@ -66,7 +66,7 @@
   }
 }
 
-/** Work was given up because its task, caller or process is going away. */
+/** An operation was aborted because its task, caller or process ended. */
 export class CancelledError extends ShedtillerError {
   readonly code = "cancelled";
 
@@ -75,7 +75,7 @@
   }
 }
 
-/** A state that the code rules out. Seeing it means a bug here, not a fault outside. */
+/** An internal invariant was violated. This indicates a bug in this program, not a fault of its environment. */
 export class InvariantError extends ShedtillerError {
   readonly code = "invariant_broken";
 }
--- a/packages/common/src/errors/describeError.ts
+++ b/packages/common/src/errors/describeError.ts
@@ -1,11 +1,11 @@
 import { InvalidInputError, ShedtillerError } from "./ShedtillerError.js";
 
-/** Gives the message of anything thrown, for logs. */
+/** Returns the message of a thrown value, for log lines. */
 export function describeError(error: unknown): string {
   return error instanceof Error ? error.message : String(error);
 }
 
-/** Tells whether `error` is a typed failure with one of the given codes. */
+/** Returns whether `error` is a {@link ShedtillerError} with one of the given codes. */
 export function hasCode(error: unknown, ...codes: string[]): boolean {
   return error instanceof ShedtillerError && codes.includes(error.code);
 }
@@ -15,7 +15,7 @@
   readonly message: string;
 }
 
-/** Turns the first issue of a failed schema check into a typed error that names the field. */
+/** Converts the first issue of a failed schema validation to a typed error that names the field. */
 export function fromSchemaIssues(place: string, issues: readonly SchemaIssue[]): InvalidInputError {
   const first = issues[0];
   const field = first === undefined ? "" : first.path.map(String).join(".");
--- a/packages/common/src/tests/ElapsedClockTests.ts
+++ b/packages/common/src/tests/ElapsedClockTests.ts
@@ -1,13 +1,13 @@
-/** Machines are suspended, their time of day jumps either way, and some have no clock that tells the two apart. */
+/** Suspensions, jumps of the wall clock in both directions, and machines without a clock that can distinguish the two. */
 import test from "ava";
 import { utils } from "../index.js";
 
-/** A machine whose steady clock stands while it is suspended. */
+/** A simulated machine whose steady clock stops while it is suspended. */
 class Machine {
   private _steadyMs = 5_000;
   private _wallMs = 1_700_000_000_000;
   private _uptimeMs = 90_000;
-  /** How fast its time since the start runs; 1 where it can be relied on. */
+  /** Speed of the uptime relative to the steady clock; 1 if it is reliable. */
   uptimeRate = 1;
   readonly clock = new utils.ElapsedClock({
     steadyMs: () => this._steadyMs,
@@ -15,7 +15,7 @@
     uptimeMs: () => Math.floor(this._uptimeMs / 10) * 10,
   });
 
-  /** Time passes, in which the clock is read now and then. */
+  /** Lets time pass and reads the clock every `stepMs`. */
   run(durationMs: number, stepMs = 40): void {
     for (let passedMs = 0; passedMs < durationMs; passedMs += stepMs) {
       this._steadyMs += stepMs;
@@ -30,7 +30,7 @@
     this._uptimeMs += durationMs;
   }
 
-  /** The process stands still, and the machine goes on. */
+  /** Suspends the process while the machine continues. */
   freeze(durationMs: number): void {
     this._steadyMs += durationMs;
     this._wallMs += durationMs;
@@ -41,15 +41,15 @@
     this._wallMs += byMs;
   }
 
-  /** What the clock counts while something happens. */
-  measure(happen: () => void): number {
+  /** Returns the time that the clock counts during an event. */
+  measure(runEvent: () => void): number {
     const beforeMs = this.clock.nowMs();
-    happen();
+    runEvent();
     return this.clock.nowMs() - beforeMs;
   }
 }
 
-test("a suspension counts in full, at the first look after it", (t) => {
+test("a suspension counts in full at the first reading after it", (t) => {
   const machine = new Machine();
   machine.run(3_000);
   t.is(
@@ -71,7 +71,7 @@
   );
 });
 
-test("a freeze counts once", (t) => {
+test("a pause of the process counts once", (t) => {
   const machine = new Machine();
   machine.run(3_000);
   t.is(
@@ -80,7 +80,7 @@
   );
 });
 
-test("a jump of the time of day is no time that passed, either way", (t) => {
+test("a jump of the wall clock does not count as elapsed time in either direction", (t) => {
   const machine = new Machine();
   machine.run(3_000);
   for (const byMs of [2_000, -2_000, 3_600_000, -3_600_000]) {
@@ -97,7 +97,7 @@
   );
 });
 
-test("a suspension counts also where the time of day is set back during it", (t) => {
+test("a suspension counts also if the wall clock is set back during it", (t) => {
   const machine = new Machine();
   machine.run(3_000);
   const elapsedMs = machine.measure(() => {
@@ -109,7 +109,7 @@
 });
 
 for (const uptimeRate of [0.3, 0.9, 1.8]) {
-  test(`where the time since the start runs at ${uptimeRate} of the steady clock, a leap of the time of day counts, and nothing else`, (t) => {
+  test(`if the uptime runs at ${uptimeRate} of the steady clock, a forward jump of the wall clock counts, and nothing else`, (t) => {
     const machine = new Machine();
     machine.uptimeRate = uptimeRate;
     machine.run(20_000);
@@ -129,7 +129,7 @@
   });
 }
 
-test("small adjustments of the time of day add up to nothing", (t) => {
+test("gradual adjustments of the wall clock do not count as elapsed time", (t) => {
   const machine = new Machine();
   machine.run(3_000);
   const elapsedMs = machine.measure(() => {
@@ -141,17 +141,17 @@
   t.is(elapsedMs, 4_000);
 });
 
-test("time never goes back", (t) => {
+test("the clock never goes back", (t) => {
   const machine = new Machine();
   let lastMs = machine.clock.nowMs();
-  for (const happen of [
+  for (const runEvent of [
     () => machine.run(2_000),
     () => machine.setWall(-50_000),
     () => machine.suspend(300),
     () => machine.setWall(50_000),
     () => machine.freeze(1_000),
   ]) {
-    happen();
+    runEvent();
     const nowMs = machine.clock.nowMs();
     t.true(nowMs >= lastMs);
     lastMs = nowMs;
--- a/packages/common/src/tests/PatienceTests.ts
+++ b/packages/common/src/tests/PatienceTests.ts
@@ -1,36 +1,36 @@
-/** How long slow peers are waited for. */
+/** Guards against taking a permanently slow peer for dead because its timeout never grows. */
 import test from "ava";
 import { Patience } from "../utils/Patience.js";
 
-test("each wait in vain doubles the next one, up to the longest, for that peer alone", (t) => {
-  const patience = new Patience(400, 1_000);
-  t.is(patience.getMs("g1"), 400);
-  t.false(patience.noteTimeout("g1"));
-  t.is(patience.getMs("g1"), 800);
-  t.true(patience.noteTimeout("g1"));
-  t.is(patience.getMs("g1"), 1_000);
-  t.is(patience.getMs("g2"), 400);
+test("each timeout doubles the next one, up to the maximum, for that peer alone", (t) => {
+  const timeout = new Patience(400, 1_000);
+  t.is(timeout.getMs("g1"), 400);
+  t.false(timeout.noteTimeout("g1"));
+  t.is(timeout.getMs("g1"), 800);
+  t.true(timeout.noteTimeout("g1"));
+  t.is(timeout.getMs("g1"), 1_000);
+  t.is(timeout.getMs("g2"), 400);
 });
 
-test("a peer that needs longer than the first wait is not given up again and again", (t) => {
-  const patience = new Patience(400, 6_400);
+test("requests to a peer that needs longer than the initial timeout do not time out repeatedly", (t) => {
+  const timeout = new Patience(400, 6_400);
   const neededMs = 600;
   let answers = 0;
-  for (let asked = 0; asked < 10; asked++) {
-    if (patience.getMs("g1") < neededMs) {
-      t.false(patience.noteTimeout("g1"));
+  for (let requests = 0; requests < 10; requests++) {
+    if (timeout.getMs("g1") < neededMs) {
+      t.false(timeout.noteTimeout("g1"));
       continue;
     }
-    patience.noteAnswer("g1", neededMs);
+    timeout.noteAnswer("g1", neededMs);
     answers += 1;
   }
   t.is(answers, 9);
 });
 
-test("a peer that is fast again gets the first wait again", (t) => {
-  const patience = new Patience(400, 6_400);
-  patience.noteTimeout("g1");
-  patience.noteAnswer("g1", 20);
-  t.is(patience.getMs("g1"), 400);
-  t.false(patience.noteTimeout("g1"));
+test("a peer that is fast again gets the initial timeout again", (t) => {
+  const timeout = new Patience(400, 6_400);
+  timeout.noteTimeout("g1");
+  timeout.noteAnswer("g1", 20);
+  t.is(timeout.getMs("g1"), 400);
+  t.false(timeout.noteTimeout("g1"));
 });
--- a/packages/common/src/tests/PauseWatchTests.ts
+++ b/packages/common/src/tests/PauseWatchTests.ts
@@ -13,17 +13,17 @@
   return { clock, watch, tick };
 }
 
-test("ticks of a busy process show no pause", (t) => {
+test("slightly late ticks of a busy process report no pause", (t) => {
   const { tick } = create();
   t.deepEqual([200, 260, 450, 200].map(tick), [0, 0, 0, 0]);
 });
 
-test("a tick that comes seconds late shows a pause of that time, once", (t) => {
+test("a tick that is seconds late reports a pause of that time, once", (t) => {
   const { tick } = create();
   t.deepEqual([200, 4_200, 200].map(tick), [0, 4_000, 0]);
 });
 
-test("what is read after a pause is known to be older, before the next tick and shortly after it", (t) => {
+test("the recent pause is reported before the next tick and shortly after it, then no longer", (t) => {
   const { clock, watch, tick } = create();
   tick(200);
   t.is(watch.getRecentPauseMs(), 0);
--- a/packages/common/src/utils/Deferred.ts
+++ b/packages/common/src/utils/Deferred.ts
@@ -1,4 +1,4 @@
-/** A promise that is settled from outside. */
+/** A promise with public methods to resolve and reject it. */
 export class Deferred<T> {
   readonly promise: Promise<T>;
   private _resolve!: (value: T) => void;
@@ -9,7 +9,7 @@
       this._resolve = resolve;
       this._reject = reject;
     });
-    // A deferred that nobody waits for yet must not end the process when it fails.
+    // Prevents an unhandled rejection, which would end the process, if the promise is rejected before anything awaits it.
     this.promise.catch(() => undefined);
   }
 
--- a/packages/common/src/utils/ElapsedClock.ts
+++ b/packages/common/src/utils/ElapsedClock.ts
@@ -1,21 +1,21 @@
 /**
- * Time that has passed, also while the machine was suspended. The steady clock of Node.js stands then, and with it every age, lease and
- * deadline that is measured by it: on waking, a process would act under rights that ran out meanwhile.
+ * A monotonic clock that includes the time for which the machine was suspended. The steady clock of Node.js stops during a suspension, and
+ * so does every age, lease and deadline measured with it: after resuming, a process would act under a lease that has expired.
  *
- * The time of day goes on during a suspension, but may also jump by itself, either way. The time since the machine's start goes on too and
- * never jumps; where the platform gives it, it is the proof. Where it can't be relied on, a leap of the time of day counts as time that
- * passed: a right that ends too soon is asked for again, and one that ends too late does harm.
+ * The wall clock continues during a suspension, but may also be set forward or back. The uptime of the machine continues as well and never
+ * jumps, so it decides wherever it is reliable. Elsewhere a forward jump of the wall clock counts as elapsed time: a lease that ends too
+ * early is acquired again, while one that ends too late does harm.
  */
 import * as os from "node:os";
 import { performance } from "node:perf_hooks";
 
 /** The clocks of a machine, in milliseconds. */
 export interface ClockSources {
-  /** Goes on steadily while the process or the machine runs. */
+  /** Returns the steady clock, which never jumps and stops while the machine is suspended. */
   readonly steadyMs: () => number;
-  /** The time of day. */
+  /** Returns the wall clock. */
   readonly wallMs: () => number;
-  /** Since the start of the machine; steps of 10 ms. */
+  /** Returns the uptime of the machine, with a resolution of 10 ms. */
   readonly uptimeMs: () => number;
 }
 
@@ -25,19 +25,19 @@
   uptimeMs: () => os.uptime() * 1_000,
 };
 
-/** Differences up to this come from the steps of the clocks, and from adjustments of the time of day. */
-const leastLeapMs = 100;
-/** The process may have been stopped between two readings that took longer than this together. */
-const longestReadMs = 5;
-/** The time since the start takes 5 µs to read, and is read no more often than this. */
+/** Smaller differences come from the resolution of the clocks and from gradual adjustments of the wall clock. */
+const minJumpMs = 100;
+/** The process may have been suspended between two readings that together took longer than this. */
+const maxReadMs = 5;
+/** Minimum interval between readings of the uptime, since one reading takes 5 µs. */
 const uptimeIntervalMs = 50;
-/** The time since the start is compared with the steady clock over spans of this length, before it is relied on and ever after. */
+/** The uptime is compared with the steady clock over spans of this length, both before it counts as reliable and afterwards. */
 const uptimeSpanMs = 1_000;
 
-/** Whether the time since the machine's start can be relied on. */
+/** Whether the uptime of the machine is reliable. */
 type UptimeState = "untested" | "reliable" | "unreliable";
 
-/** One clock a process. */
+/** Measures elapsed time including suspensions of the machine. One per process. */
 export class ElapsedClock {
   private _lostMs = 0;
   private _steadyMs: number;
@@ -45,7 +45,7 @@
   private _uptimeState: UptimeState = "untested";
   private _uptimeMs: number;
   private _uptimeReadAtMs: number;
-  /** Steady time at which the span under comparison began, and how far the other clock has run ahead of it since. */
+  /** Steady time at which the current comparison span began, and by how much the uptime has run ahead of the steady clock since. */
   private _spanFromMs: number;
   private _spanAheadMs = 0;
 
@@ -58,36 +58,36 @@
     this._spanFromMs = steadyMs;
   }
 
-  /** Time that the steady clock did not count, as far as it was noticed. */
+  /** Total time that the steady clock missed, as far as detected. */
   get lostMs(): number {
     return this._lostMs;
   }
 
-  /** Milliseconds since some moment before the clock was made; never goes back. */
+  /** Returns the milliseconds since an arbitrary moment before the clock was created; never goes back. */
   nowMs(): number {
     const { steadyMs, wallMs } = this._read();
-    const leapMs = wallMs - this._wallMs - (steadyMs - this._steadyMs);
+    const jumpMs = wallMs - this._wallMs - (steadyMs - this._steadyMs);
     this._steadyMs = steadyMs;
     this._wallMs = wallMs;
-    const hasLeapt = leapMs > leastLeapMs;
-    if (this._uptimeState !== "unreliable" && (hasLeapt || this._isUptimeDue(steadyMs)))
-      this._lostMs += this._compareUptime(hasLeapt ? leapMs : 0);
-    else if (hasLeapt) this._lostMs += leapMs;
+    const hasJumped = jumpMs > minJumpMs;
+    if (this._uptimeState !== "unreliable" && (hasJumped || this._isUptimeDue(steadyMs)))
+      this._lostMs += this._compareUptime(hasJumped ? jumpMs : 0);
+    else if (hasJumped) this._lostMs += jumpMs;
     return steadyMs + this._lostMs;
   }
 
-  /** The steady clock and the time of day as of one moment. */
+  /** Reads the steady clock and the wall clock at the same moment. */
   private _read(): { steadyMs: number; wallMs: number } {
     const { steadyMs, otherMs } = this._readWith(this._sources.wallMs);
     return { steadyMs, wallMs: otherMs };
   }
 
-  /** The steady clock and another one as of one moment: read anew where the process was stopped in between. */
+  /** Reads the steady clock and another clock at the same moment; reads them again if the process was suspended in between. */
   private _readWith(readOther: () => number): { steadyMs: number; otherMs: number } {
     for (;;) {
       const steadyMs = this._sources.steadyMs();
       const otherMs = readOther();
-      if (this._sources.steadyMs() - steadyMs <= longestReadMs) return { steadyMs, otherMs };
+      if (this._sources.steadyMs() - steadyMs <= maxReadMs) return { steadyMs, otherMs };
     }
   }
 
@@ -95,23 +95,23 @@
     return steadyMs - this._uptimeReadAtMs >= uptimeIntervalMs;
   }
 
-  /** Gives the time that was lost since the last comparison. */
-  private _compareUptime(leapMs: number): number {
+  /** Returns the time that the steady clock has missed since the last comparison. */
+  private _compareUptime(jumpMs: number): number {
     const { steadyMs, otherMs: uptimeMs } = this._readWith(this._sources.uptimeMs);
     const aheadMs = uptimeMs - this._uptimeMs - (steadyMs - this._uptimeReadAtMs);
     this._uptimeMs = uptimeMs;
     this._uptimeReadAtMs = steadyMs;
-    const isConfirmed = Math.abs(aheadMs - leapMs) <= leastLeapMs;
-    const isLost = aheadMs > leastLeapMs && (this._uptimeState === "reliable" || isConfirmed);
-    if (!isLost) this._checkUptime(steadyMs, aheadMs);
-    if (isLost) return aheadMs;
-    return this._uptimeState === "reliable" ? 0 : leapMs;
+    const isConfirmed = Math.abs(aheadMs - jumpMs) <= minJumpMs;
+    const wasSuspended = aheadMs > minJumpMs && (this._uptimeState === "reliable" || isConfirmed);
+    if (!wasSuspended) this._checkUptime(steadyMs, aheadMs);
+    if (wasSuspended) return aheadMs;
+    return this._uptimeState === "reliable" ? 0 : jumpMs;
   }
 
-  /** Two clocks of one machine run alike; where they don't, this one tells nothing of suspensions. */
+  /** Marks the uptime as unreliable if it diverges from the steady clock without a suspension; it then can't reveal suspensions. */
   private _checkUptime(steadyMs: number, aheadMs: number): void {
     this._spanAheadMs += aheadMs;
-    if (Math.abs(this._spanAheadMs) > leastLeapMs) this._uptimeState = "unreliable";
+    if (Math.abs(this._spanAheadMs) > minJumpMs) this._uptimeState = "unreliable";
     if (this._uptimeState === "unreliable" || steadyMs - this._spanFromMs < uptimeSpanMs) return;
     this._uptimeState = "reliable";
     this._spanFromMs = steadyMs;
--- a/packages/common/src/utils/KeyedCache.ts
+++ b/packages/common/src/utils/KeyedCache.ts
@@ -1,8 +1,8 @@
-/** A map that forgets its oldest entries beyond a fixed count. */
+/** A map with a fixed capacity that evicts the entry that was set the longest time ago. */
 export class KeyedCache<V> {
   private readonly _entries = new Map<string, V>();
 
-  /** @param capacity - How many entries are kept at the most. */
+  /** @param capacity - Maximum number of entries. */
   constructor(readonly capacity: number) {}
 
   get size(): number {
@@ -19,7 +19,7 @@
     if (this._entries.size > this.capacity) this._removeOldest();
   }
 
-  /** All values, the oldest first. */
+  /** Returns all values, oldest first. */
   getValues(): V[] {
     return [...this._entries.values()];
   }
--- a/packages/common/src/utils/Patience.ts
+++ b/packages/common/src/utils/Patience.ts
@@ -1,37 +1,38 @@
-/** How long to wait for peers that may be slow: more after each wait in vain, and less again as their answers allow. */
+/** Timeouts that adapt to the response time of each peer: they grow after each timeout and shrink again with faster answers. */
 
 const growthFactor = 2;
-/** A peer that has just taken so long may take this many times as long next. */
+/** The next timeout is at least this many times the duration of the last answer. */
 const answerFactor = 2;
 
 /**
- * Waits by name. A wait that never grows makes a slow peer a dead one for good: where a process gets a tenth of a core, a report takes
- * longer than 400 ms, so that each was given up, asked for again and given up, and instances knew no engine for 17 s.
+ * Adaptive timeout for each peer name. With a fixed timeout, a peer that is permanently slower would always be taken for dead: on a tenth
+ * of a core, a report takes longer than 400 ms, so that every report timed out and was requested again, and instances had no engines for
+ * 17 s.
  */
 export class Patience {
-  private readonly _waitsMs = new Map<string, number>();
+  private readonly _timeoutsMs = new Map<string, number>();
 
   constructor(
-    private readonly _firstMs: number,
-    private readonly _longestMs: number,
+    private readonly _initialMs: number,
+    private readonly _maxMs: number,
   ) {}
 
-  /** How long to wait for a peer now. */
+  /** Returns the current timeout for a peer. */
   getMs(name: string): number {
-    return this._waitsMs.get(name) ?? this._firstMs;
+    return this._timeoutsMs.get(name) ?? this._initialMs;
   }
 
-  /** Notes a wait in vain; tells whether it was a repeated one, which is evidence against the peer. */
+  /** Records a timeout; returns whether the previous request timed out or was slow as well, which is evidence of a failed peer. */
   noteTimeout(name: string): boolean {
-    const isRepeated = this._waitsMs.has(name);
-    this._waitsMs.set(name, Math.min(this._longestMs, this.getMs(name) * growthFactor));
+    const isRepeated = this._timeoutsMs.has(name);
+    this._timeoutsMs.set(name, Math.min(this._maxMs, this.getMs(name) * growthFactor));
     return isRepeated;
   }
 
-  /** Notes an answer, and how long it took. */
+  /** Records an answer that took `tookMs`. */
   noteAnswer(name: string, tookMs: number): void {
     const neededMs = tookMs * answerFactor;
-    if (neededMs <= this._firstMs) this._waitsMs.delete(name);
-    else this._waitsMs.set(name, Math.min(this._longestMs, neededMs));
+    if (neededMs <= this._initialMs) this._timeoutsMs.delete(name);
+    else this._timeoutsMs.set(name, Math.min(this._maxMs, neededMs));
   }
 }
--- a/packages/common/src/utils/PauseWatch.ts
+++ b/packages/common/src/utils/PauseWatch.ts
@@ -1,19 +1,19 @@
 /**
- * Notices that this process stood still, frozen or suspended. Whoever has been silent meanwhile is not to blame: what others sent has not
- * been read yet, and is as old as the pause.
+ * Detection of pauses of this process, such as a frozen process or a suspended machine. Silence of a peer during a pause is no evidence
+ * against the peer: its messages have not been read yet, and they are as old as the pause.
  */
 import { monotonicMs } from "./clock.js";
 
-/** A tick that comes this much late shows a pause; a busy process is late by less. */
-const leastPauseMs = 500;
-/** What arrived during a pause is read within this of its end. */
-const readWithinMs = 250;
+/** A tick that is late by more than this indicates a pause; ticks of a busy process are late by less. */
+const minPauseMs = 500;
+/** Messages that arrived during a pause are read within this time after its end. */
+const backlogReadMs = 250;
 
-/** One watch a task that ticks at an interval. */
+/** Detects pauses of this process by late ticks of a periodic task. One per task. */
 export class PauseWatch {
   private _tickedAtMs: number;
   private _pauseMs = 0;
-  private _endedAtMs = Number.NEGATIVE_INFINITY;
+  private _pauseEndedAtMs = Number.NEGATIVE_INFINITY;
 
   /** @param nowMs - Monotonic clock, replaced in tests. */
   constructor(
@@ -23,27 +23,27 @@
     this._tickedAtMs = _nowMs();
   }
 
-  /** Notes a tick; gives the pause that ended since the one before, or 0. */
+  /** Records a tick; returns the duration of the pause that ended since the previous tick, or 0. */
   noteTick(): number {
     const nowMs = this._nowMs();
     const pauseMs = this._getLatenessMs(nowMs);
     this._tickedAtMs = nowMs;
     if (pauseMs === 0) return 0;
     this._pauseMs = pauseMs;
-    this._endedAtMs = nowMs;
+    this._pauseEndedAtMs = nowMs;
     return pauseMs;
   }
 
-  /** The pause that has just ended, whether or not a tick has come since; what is read now may be older by this. */
+  /** Returns the duration of a pause that has just ended, also before the next tick, or 0. Messages read now may be older by this. */
   getRecentPauseMs(): number {
     const nowMs = this._nowMs();
     const latenessMs = this._getLatenessMs(nowMs);
     if (latenessMs > 0) return latenessMs;
-    return nowMs - this._endedAtMs <= readWithinMs ? this._pauseMs : 0;
+    return nowMs - this._pauseEndedAtMs <= backlogReadMs ? this._pauseMs : 0;
   }
 
   private _getLatenessMs(nowMs: number): number {
     const latenessMs = nowMs - this._tickedAtMs - this._intervalMs;
-    return latenessMs > leastPauseMs ? latenessMs : 0;
+    return latenessMs > minPauseMs ? latenessMs : 0;
   }
 }
--- a/packages/common/src/utils/SampleWindow.ts
+++ b/packages/common/src/utils/SampleWindow.ts
@@ -1,20 +1,20 @@
-/** A quantile of the newest samples of something that is measured all the time. */
+/** A quantile over a sliding window of samples. */
 import { getQuantile } from "./statistics.js";
 
-/** How a window is kept. */
+/** Options of {@link SampleWindow}. */
 export interface SampleWindowOptions {
-  /** Which of the samples is given, from 0 to 1. */
+  /** The quantile to compute, from 0 to 1. */
   readonly share: number;
-  /** Samples that are kept. */
+  /** Number of samples in the window. */
   readonly length?: number;
-  /** The quantile is worked out anew once in this many samples: sorting costs more than a sample. */
+  /** The quantile is recomputed once in this many samples, since sorting is much more expensive than adding a sample. */
   readonly refreshEvery?: number;
 }
 
 const defaultLength = 128;
 const defaultRefreshEvery = 8;
 
-/** Keeps the newest samples in a ring of fixed length. */
+/** Computes a quantile over the newest samples, which it stores in a ring buffer. */
 export class SampleWindow {
   private readonly _samples: number[] = [];
   private _count = 0;
@@ -30,7 +30,7 @@
     this._quantile = getQuantile(this._samples, share);
   }
 
-  /** The quantile; undefined before the first samples are in. */
+  /** The quantile as of its last computation; undefined before the first one. */
   get quantile(): number | undefined {
     return this._quantile;
   }
--- a/packages/common/src/utils/hashing.ts
+++ b/packages/common/src/utils/hashing.ts
@@ -1,12 +1,12 @@
-/** Hashing that is alike on every instance, and rendezvous hashing over it (Thaler and Ravishankar, 1998). */
+/** A hash that is equal on all instances, and rendezvous hashing based on it (Thaler and Ravishankar, 1998). */
 import * as crypto from "node:crypto";
 
-/** 32-bit hash of a text: the first bytes of its SHA-256. Ready as soon as the module is, unlike hashes in WebAssembly. */
+/** Returns a 32-bit hash of a text: the first bytes of its SHA-256. Needs no asynchronous initialization, unlike WebAssembly hashes. */
 export function hash32(text: string): number {
   return crypto.createHash("sha256").update(text).digest().readUInt32BE(0);
 }
 
-/** Picks the one of `candidates` that owns `key`. Every instance with the same candidates picks the same one. */
+/** Returns the candidate that owns `key` by rendezvous hashing. Instances with the same candidates select the same owner. */
 export function pickOwner(key: string, candidates: readonly string[]): string | undefined {
   let best: string | undefined;
   let bestWeight = -1;
--- a/packages/common/src/utils/pickSome.ts
+++ b/packages/common/src/utils/pickSome.ts
@@ -1,11 +1,11 @@
-/** Picks by chance. */
+/** Random sampling without replacement. */
 
-/** Gives `count` different items, or all where there are fewer; `random` gives numbers from 0 to 1. */
+/** Returns `count` random items without repetition, or all items if there are fewer. `random` returns numbers from 0 to 1. */
 export function pickSome<T>(items: readonly T[], count: number, random: () => number): T[] {
-  const left = [...items];
-  const picked: T[] = [];
-  while (picked.length < count && left.length > 0) {
-    picked.push(...left.splice(Math.floor(random() * left.length), 1));
+  const remaining = [...items];
+  const sampled: T[] = [];
+  while (sampled.length < count && remaining.length > 0) {
+    sampled.push(...remaining.splice(Math.floor(random() * remaining.length), 1));
   }
-  return picked;
+  return sampled;
 }
--- a/packages/common/src/utils/sockets.ts
+++ b/packages/common/src/utils/sockets.ts
@@ -1,9 +1,9 @@
-/** Helpers for sockets. */
+/** Helpers for TCP sockets. */
 import type * as net from "node:net";
 
 /**
- * Resets a connection. One that has ended on either side is only destroyed: a reset of it fails inside Node and leaves
- * its handle open for ever.
+ * Closes a connection with a TCP reset. A connection that either side has ended is destroyed without a reset: resetting it fails inside
+ * Node.js and leaks the socket handle.
  */
 export function resetSocket(socket: net.Socket): void {
   if (socket.readableEnded || socket.writableEnded || socket.destroyed) socket.destroy();
--- a/packages/common/src/utils/statistics.ts
+++ b/packages/common/src/utils/statistics.ts
@@ -1,6 +1,6 @@
-/** Small statistics over a list of numbers. */
+/** Basic statistics over lists of numbers, and grouping. */
 
-/** The value below which `share` (0 to 1) of the numbers lie, by nearest rank; NaN for an empty list. */
+/** Returns the quantile `share` (0 to 1) of the numbers by the nearest-rank method; NaN for an empty list. */
 export function getQuantile(values: readonly number[], share: number): number {
   if (values.length === 0) return Number.NaN;
   const sorted = [...values].sort((a, b) => a - b);
@@ -8,12 +8,12 @@
   return sorted[rank] ?? Number.NaN;
 }
 
-/** The sum of the numbers. */
+/** Returns the sum of the numbers. */
 export function getSum(values: readonly number[]): number {
   return values.reduce((sum, value) => sum + value, 0);
 }
 
-/** A straight line fitted by least squares. */
+/** A line fitted by least squares. */
 export interface LineFit {
   readonly slope: number;
   readonly intercept: number;
@@ -21,7 +21,7 @@
   readonly slopeError: number;
 }
 
-/** Fits a line through points by ordinary least squares. Needs three points at least for a slope error. */
+/** Fits a line to points by ordinary least squares. The slope error needs at least three points and is 0 otherwise. */
 export function fitLine(points: readonly (readonly [x: number, y: number])[]): LineFit {
   const count = points.length;
   const meanX = getSum(points.map((p) => p[0])) / count;
@@ -35,7 +35,7 @@
   return { slope, intercept, slopeError };
 }
 
-/** Groups items by a key, in the order of their first appearance. */
+/** Groups items by a key. The groups are in the order in which their keys first appear. */
 export function groupBy<T>(items: readonly T[], getKey: (item: T) => string): Map<string, T[]> {
   const groups = new Map<string, T[]>();
   for (const item of items) {
--- a/packages/common/src/utils/tasks.ts
+++ b/packages/common/src/utils/tasks.ts
@@ -1,4 +1,4 @@
-/** Helpers for tasks written straight down: abortable sleep, deadlines, and loops that end with their owner. */
+/** Helpers for asynchronous tasks: abortable sleep, deadlines, and periodic loops that end with an abort signal. */
 import * as errors from "../errors/index.js";
 import { monotonicMs } from "./clock.js";
 
@@ -18,12 +18,12 @@
   });
 }
 
-/** Lets what has arrived meanwhile be handled, before a long computation goes on. */
+/** Yields to the event loop, so that pending events are handled before a long computation continues. */
 export function yieldToEvents(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-/** Settles as `work` does, or rejects with `DeadlineError` after `durationMs`. The work itself is not stopped. */
+/** Settles like `work`, or rejects with `DeadlineError` after `durationMs`. The work itself is not aborted. */
 export function withDeadline<T>(work: Promise<T>, durationMs: number, what: string): Promise<T> {
   return new Promise((resolve, reject) => {
     const timer = setTimeout(() => reject(new errors.DeadlineError(what, durationMs)), durationMs);
@@ -40,19 +40,19 @@
   });
 }
 
-/** Timers may end up to this much early; a tick that is nearer than this counts as reached. */
+/** Timers may fire up to this much early; a tick that is closer than this counts as reached. */
 const timerSlackMs = 2;
 
-/** Time until the next whole multiple of an interval, so that tasks with like intervals wake the process together. */
+/** Returns the milliseconds until the next whole multiple of an interval, so that tasks with equal intervals wake the process together. */
 export function getTimeToTick(intervalMs: number, nowMs = monotonicMs()): number {
   const leftMs = intervalMs - (nowMs % intervalMs);
-  // Without this a timer that ends a part of a millisecond early leads to two ticks in a row: 25 of 200 ms in 4 s instead of 20.
+  // Without the slack, a timer that fires a fraction of a millisecond early causes two ticks in a row: 25 ticks of 200 ms in 4 s, not 20.
   return leftMs < timerSlackMs ? leftMs + intervalMs : leftMs;
 }
 
 /**
- * Runs `step` again and again until `signal` aborts, at whole multiples of `intervalMs` of the monotonic clock. A failed step
- * goes to `onError`. Measured: an idle process spends most of its time on waking up.
+ * Runs `step` until `signal` aborts, at whole multiples of `intervalMs` of the monotonic clock. Errors of a step are passed to `onError`.
+ * The ticks are aligned because an idle process spends most of its processor time on wake-ups.
  */
 export async function repeat(
   intervalMs: number,
@@ -71,7 +71,7 @@
   }
 }
 
-/** Waits until `condition` holds, or gives up after `timeoutMs`. Tells whether it held. */
+/** Polls `condition` until it is true or `timeoutMs` has passed; returns whether it became true. */
 export async function waitUntil(condition: () => boolean, timeoutMs: number, pollMs = 5): Promise<boolean> {
   const endMs = monotonicMs() + timeoutMs;
   while (!condition()) {
