--- a/packages/intent/src/ConfigurationFold.ts
+++ b/packages/intent/src/ConfigurationFold.ts
@@ -1,46 +1,46 @@
-/** The fold of the configuration stream. Every instance that folds the same records holds the same configuration. */
+/** Projection of the configuration stream. Instances that apply the same records have the same configuration. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { LogRecord, LogSink } from "@shedtiller/logservice";
 import type { ConfigurationObject, ObjectKind } from "./configurationObjects.js";
 import * as records from "./configurationRecords.js";
 
-const outcomesKept = 1_000;
-const recordsKept = 1_000;
+const maxOutcomes = 1_000;
+const maxRecentRecords = 1_000;
 
-/** A record of a version or type that this code does not know. It is kept and reported, not passed over in silence. */
+/** A record with an unsupported version or type. It is stored and reported instead of being ignored silently. */
 export interface UnknownRecord {
   readonly offset: number;
   readonly reason: string;
   readonly payload: unknown;
 }
 
-/** Holds the configuration in force. */
+/** Derives the current configuration and the outcomes of plans from the records of the stream. */
 export class ConfigurationFold implements LogSink {
-  /** Records that could not be read; `status` shows them. */
+  /** Records that could not be parsed; the `status` command shows them. */
   readonly unknownRecords: UnknownRecord[] = [];
   private _offset = -1;
   private readonly _objects = new Map<string, records.HeldObject>();
   private readonly _removedAt = new Map<string, Omit<records.HeldObject, "value">>();
-  private readonly _outcomes = new utils.KeyedCache<records.PlanOutcome>(outcomesKept);
-  /** Records that came while the state before them was missing. */
-  private _held: LogRecord[] = [];
+  private readonly _outcomes = new utils.KeyedCache<records.PlanOutcome>(maxOutcomes);
+  /** Records received while earlier ones were missing; they are applied after a snapshot. */
+  private _buffered: LogRecord[] = [];
   private _isMissingPast = false;
   private _recent: LogRecord[] = [];
   private _listeners: ((changedKeys: readonly string[] | undefined) => void)[] = [];
-  /** Offset of the last snapshot record seen, and when the log took it. */
+  /** Offset of the last snapshot record read, and the time at which the log stored it. */
   lastSnapshot: { offset: number; atMs: number } | undefined;
 
-  /** All records up to this offset are in force. */
+  /** Offset of the last applied record; -1 if there is none. */
   get offset(): number {
     return this._offset;
   }
 
-  /** Whether records aged out before they were read and no state has taken their place yet. */
+  /** Whether records expired from the log before they were read, and no snapshot or peer state has replaced them yet. */
   get isMissingPast(): boolean {
     return this._isMissingPast;
   }
 
-  /** The whole state, for peers and snapshots. */
+  /** The full state, for peers and snapshots. */
   get state(): records.ConfigurationState {
     return {
       offset: this._offset,
@@ -50,12 +50,12 @@
     };
   }
 
-  /** Objects with what set them, by key. */
+  /** Returns the objects by key, each with the plan and operator that set it. */
   getHeldObjects(): ReadonlyMap<string, records.HeldObject> {
     return this._objects;
   }
 
-  /** Calls `listener` after each change of the configuration in force, with the changed keys; undefined for all. */
+  /** Calls `listener` after each change of the configuration with the changed keys; undefined means that any key may have changed. */
   onChanged(listener: (changedKeys: readonly string[] | undefined) => void): void {
     this._listeners.push(listener);
   }
@@ -64,18 +64,18 @@
     kind: K,
     name: string,
   ): Extract<ConfigurationObject, { kind: K }> | undefined {
-    const held = this._objects.get(`${kind}/${name}`);
-    return held?.value as Extract<ConfigurationObject, { kind: K }> | undefined;
+    const stored = this._objects.get(`${kind}/${name}`);
+    return stored?.value as Extract<ConfigurationObject, { kind: K }> | undefined;
   }
 
   getObjects<K extends ObjectKind>(kind: K): Extract<ConfigurationObject, { kind: K }>[] {
-    const values = [...this._objects.values()].map((held) => held.value);
+    const values = [...this._objects.values()].map((stored) => stored.value);
     return values.filter((value): value is Extract<ConfigurationObject, { kind: K }> => value.kind === kind);
   }
 
-  /** Offset at which an object was last set or removed, for the base of a plan. */
+  /** Returns the offset at which an object was last set or removed; a plan records it as its base. */
   getBaseOffset(key: string): number {
-    return this._getStanding(key)?.setAtOffset ?? records.absentOffset;
+    return this._getLastChange(key)?.setAtOffset ?? records.absentOffset;
   }
 
   getOutcome(planId: string): records.PlanOutcome | undefined {
@@ -88,11 +88,11 @@
     if (parsed.success && parsed.data.type === "snapshot")
       return this._acceptSnapshot(record, parsed.data.state);
     if (this._isMissingPast) {
-      this._held.push(record);
+      this._buffered.push(record);
       return;
     }
     const confirmation = parsed.success && parsed.data.type === "confirm" ? parsed.data : undefined;
-    this._fold(record, confirmation);
+    this._applyRecord(record, confirmation);
     this._notify(confirmation?.changes.map((change) => change.key) ?? []);
   }
 
@@ -100,26 +100,26 @@
     if (oldestOffset > this._offset + 1) this._isMissingPast = true;
   }
 
-  /** Takes a peer's state, if it is newer than ours. Tells whether it was taken. */
+  /** Replaces the state by a peer's if that is newer; returns whether it was replaced. */
   adoptState(state: records.ConfigurationState): boolean {
     if (state.offset <= this._offset) return false;
     this._replaceState(state);
     return true;
   }
 
-  /** Takes a peer's records, where they follow on without a gap. Tells whether anything was taken. */
+  /** Applies the records of a peer that follow the local ones without a gap; returns whether any was applied. */
   adoptRecords(recent: readonly LogRecord[]): boolean {
     const before = this._offset;
     for (const record of recent) if (record.offset === this._offset + 1) this.acceptRecord(record);
     return this._offset > before;
   }
 
-  /** Records after `offset`, or an error where some are no longer kept and the state must be sent instead. */
+  /** Returns the records after `offset`, or an error if some of them are no longer stored and the full state must be sent instead. */
   getRecordsSince(offset: number): results.Result<LogRecord[], errors.InvalidInputError> {
     const first = this._recent[0];
     if (offset >= this._offset) return results.Ok([]);
     if (first === undefined || first.offset > offset + 1) {
-      return results.Err(new errors.InvalidInputError("offset", "records are no longer kept"));
+      return results.Err(new errors.InvalidInputError("offset", "records are no longer stored"));
     }
     return results.Ok(this._recent.filter((record) => record.offset > offset));
   }
@@ -127,66 +127,67 @@
   private _acceptSnapshot(record: LogRecord, state: records.ConfigurationState): void {
     this.lastSnapshot = { offset: record.offset, atMs: record.atMs };
     if (this._isMissingPast) {
-      const held = this._held;
-      const firstHeldOffset = held[0]?.offset ?? record.offset;
-      // A snapshot older than what is held would leave a gap between the two.
-      if (firstHeldOffset > state.offset + 1) {
-        held.push(record);
+      const buffered = this._buffered;
+      const firstBufferedOffset = buffered[0]?.offset ?? record.offset;
+      // If the snapshot ends before the buffered records begin, the records in between are missing.
+      if (firstBufferedOffset > state.offset + 1) {
+        buffered.push(record);
         return;
       }
       this._replaceState(state);
-      for (const later of held) this._foldHeld(later);
+      for (const later of buffered) this._applyBuffered(later);
       this._notify(undefined);
     }
-    this._remember(record);
+    this._addRecent(record);
     this._offset = record.offset;
     this._notify([]);
   }
 
-  private _foldHeld(record: LogRecord): void {
+  private _applyBuffered(record: LogRecord): void {
     if (record.offset <= this._offset) return;
     const parsed = records.confirmRecordSchema.safeParse(record.payload);
-    this._fold(record, parsed.success ? parsed.data : undefined);
+    this._applyRecord(record, parsed.success ? parsed.data : undefined);
   }
 
   private _replaceState(state: records.ConfigurationState): void {
     this._offset = state.offset;
     this._objects.clear();
     this._removedAt.clear();
-    for (const [key, held] of Object.entries(state.objects)) this._objects.set(key, held);
+    for (const [key, stored] of Object.entries(state.objects)) this._objects.set(key, stored);
     for (const [key, removed] of Object.entries(state.removedAt)) this._removedAt.set(key, removed);
     for (const outcome of state.outcomes) this._outcomes.set(outcome.planId, outcome);
     this._isMissingPast = false;
-    this._held = [];
+    this._buffered = [];
     this._recent = [];
     this._notify(undefined);
   }
 
-  private _fold(record: LogRecord, confirmation: records.ConfirmRecord | undefined): void {
-    if (confirmation === undefined) this._keepUnknown(record);
-    else if (this.getOutcome(confirmation.planId) === undefined) this._decide(record.offset, confirmation);
-    this._remember(record);
+  private _applyRecord(record: LogRecord, confirmation: records.ConfirmRecord | undefined): void {
+    if (confirmation === undefined) this._addUnknown(record);
+    else if (this.getOutcome(confirmation.planId) === undefined)
+      this._decidePlan(record.offset, confirmation);
+    this._addRecent(record);
     this._offset = record.offset;
   }
 
-  private _remember(record: LogRecord): void {
+  private _addRecent(record: LogRecord): void {
     this._recent.push(record);
-    if (this._recent.length > recordsKept) this._recent.shift();
+    if (this._recent.length > maxRecentRecords) this._recent.shift();
   }
 
-  private _keepUnknown(record: LogRecord): void {
+  private _addUnknown(record: LogRecord): void {
     const version = (record.payload as { version?: unknown } | null)?.version;
     const reason =
       version === records.recordVersion ? "does not match its schema" : `has version ${String(version)}`;
     this.unknownRecords.push({ offset: record.offset, reason, payload: record.payload });
   }
 
-  /** The first confirmation in log order wins; one that touches an object changed since its plan is rejected. */
-  private _decide(offset: number, record: records.ConfirmRecord): void {
+  /** Accepts a plan, or rejects it if one of its objects was changed after the plan was made: the first confirmation in the log wins. */
+  private _decidePlan(offset: number, record: records.ConfirmRecord): void {
     const overtaken = record.changes.find((change) => this.getBaseOffset(change.key) !== change.baseOffset);
     const outcome = { planId: record.planId, operator: record.operator, offset };
     if (overtaken !== undefined) {
-      const by = this._getStanding(overtaken.key);
+      const by = this._getLastChange(overtaken.key);
       this._addOutcome({
         ...outcome,
         isAccepted: false,
@@ -196,19 +197,19 @@
       });
       return;
     }
-    for (const change of record.changes) this._apply(offset, record, change);
+    for (const change of record.changes) this._applyChange(offset, record, change);
     this._addOutcome({ ...outcome, isAccepted: true });
   }
 
-  private _apply(offset: number, record: records.ConfirmRecord, change: records.Change): void {
-    const standing = { setAtOffset: offset, setByPlan: record.planId, setByOperator: record.operator };
+  private _applyChange(offset: number, record: records.ConfirmRecord, change: records.Change): void {
+    const origin = { setAtOffset: offset, setByPlan: record.planId, setByOperator: record.operator };
     this._objects.delete(change.key);
     this._removedAt.delete(change.key);
-    if (change.value === null) this._removedAt.set(change.key, standing);
-    else this._objects.set(change.key, { value: change.value, ...standing });
+    if (change.value === null) this._removedAt.set(change.key, origin);
+    else this._objects.set(change.key, { value: change.value, ...origin });
   }
 
-  private _getStanding(key: string): Omit<records.HeldObject, "value"> | undefined {
+  private _getLastChange(key: string): Omit<records.HeldObject, "value"> | undefined {
     return this._objects.get(key) ?? this._removedAt.get(key);
   }
 
--- a/packages/intent/src/Confirmer.ts
+++ b/packages/intent/src/Confirmer.ts
@@ -1,4 +1,4 @@
-/** Confirmation of a plan: one append with the plan's id, resolved to the truth also when its reply is lost. */
+/** Confirmation of plans by an append with the plan's id, whose outcome is determined also if the reply is lost. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { AppendReceipt, LogError, LogService } from "@shedtiller/logservice";
 import type { ConfigurationFold } from "./ConfigurationFold.js";
@@ -6,18 +6,18 @@
 import type { Plan } from "./intents.js";
 
 const pollMs = 5;
-const appendAgainMs = 300;
+const appendRetryMs = 300;
 
-/** Neither the append's reply nor its record was seen in time: the plan may or may not take effect. */
+/** Neither the reply to the append nor its record arrived in time, so the plan may or may not take effect. */
 export class ConfirmationUnknownError extends errors.ShedtillerError {
   readonly code = "confirmation_unknown";
 
   constructor(readonly planId: string) {
-    super(`It is not known yet whether the confirmation of ${planId} took effect; ask again with show.`);
+    super(`The outcome of the confirmation of ${planId} is not known yet; run show to check it.`);
   }
 }
 
-/** Nothing was appended, so the plan has not taken effect and will not by itself. */
+/** Nothing was appended to the log, so the plan has not taken effect and will not take effect later. */
 export class NotConfirmedError extends errors.ShedtillerError {
   readonly code = "not_confirmed";
 
@@ -25,65 +25,67 @@
     readonly planId: string,
     cause: unknown,
   ) {
-    super(`The plan ${planId} was not confirmed: the log service can't be reached or refuses.`, { cause });
+    super(`The plan ${planId} was not confirmed: the log service is unreachable or rejects appends.`, {
+      cause,
+    });
   }
 }
 
-/** Appends confirmations and waits for their outcome in the fold. */
+/** Appends confirmations of plans to the log and waits for their outcomes in the projection. */
 export class Confirmer {
   constructor(
     private readonly _log: LogService,
-    private readonly _fold: ConfigurationFold,
+    private readonly _projection: ConfigurationFold,
     /** Monotonic clock, replaced in tests. */
     private readonly _nowMs: () => number = utils.monotonicMs,
   ) {}
 
-  /** Confirms a plan and gives the outcome that every instance will come to. */
+  /** Confirms a plan and returns its outcome, which is the same on all instances. */
   async confirm(
     plan: Plan,
     timeoutMs: number,
   ): Promise<results.Result<records.PlanOutcome, ConfirmationUnknownError | NotConfirmedError>> {
     const deadlineMs = this._nowMs() + timeoutMs;
     let isPossiblyAppended = false;
-    let lastFailure: unknown;
-    const getLeftMs = (): number => deadlineMs - this._nowMs();
-    const isKnown = (): boolean => this._fold.getOutcome(plan.planId) !== undefined;
-    let answerMs = 0;
-    // A reply that there is no time for would leave it unknown what the log had refused before.
-    while (!isKnown() && getLeftMs() > answerMs) {
-      const askedAtMs = this._nowMs();
-      const appended = await this._append(plan, getLeftMs(), isKnown);
+    let lastError: unknown;
+    const getRemainingMs = (): number => deadlineMs - this._nowMs();
+    const isDecided = (): boolean => this._projection.getOutcome(plan.planId) !== undefined;
+    let lastAnswerMs = 0;
+    // Another append without time for its reply would make the outcome unknown although the log had rejected the previous one.
+    while (!isDecided() && getRemainingMs() > lastAnswerMs) {
+      const sentAtMs = this._nowMs();
+      const appended = await this._append(plan, getRemainingMs(), isDecided);
       if (appended === undefined) break;
-      answerMs = this._nowMs() - askedAtMs;
+      lastAnswerMs = this._nowMs() - sentAtMs;
       if (appended.ok || !isProvenNotAppended(appended.val)) isPossiblyAppended = true;
-      if (appended.err) lastFailure = appended.val;
+      if (appended.err) lastError = appended.val;
       await utils.waitUntil(
-        isKnown,
-        appended.ok ? getLeftMs() : Math.min(appendAgainMs, getLeftMs()),
+        isDecided,
+        appended.ok ? getRemainingMs() : Math.min(appendRetryMs, getRemainingMs()),
         pollMs,
       );
     }
-    const outcome = this._fold.getOutcome(plan.planId);
+    const outcome = this._projection.getOutcome(plan.planId);
     if (outcome !== undefined) return results.Ok(outcome);
     if (isPossiblyAppended) return results.Err(new ConfirmationUnknownError(plan.planId));
-    return results.Err(new NotConfirmedError(plan.planId, lastFailure));
+    return results.Err(new NotConfirmedError(plan.planId, lastError));
   }
 
   /**
-   * Appends, and waits for the reply as long as there is time: a log that answers late says surely what it did. Appending again is harmless,
-   * since the fold decides each plan id once. Undefined where the outcome came before the reply.
+   * Appends the confirmation and waits for the reply until the deadline, since even a late reply of the log is definite. Repeated appends
+   * are harmless: the projection decides each plan id once. Returns undefined if the outcome arrived before the reply.
    */
   private _append(
     plan: Plan,
     timeoutMs: number,
-    isKnown: () => boolean,
+    isDecided: () => boolean,
   ): Promise<results.Result<AppendReceipt, LogError> | undefined> {
     let hasReply = false;
     const reply = this._log
       .append(records.configurationStream, plan.planId, createRecord(plan), timeoutMs)
       .finally(() => (hasReply = true));
-    const known = utils.waitUntil(() => hasReply || isKnown(), timeoutMs, pollMs);
-    return Promise.race([reply, known.then((isOver) => (isOver && !hasReply ? undefined : reply))]);
+    const decided = utils.waitUntil(() => hasReply || isDecided(), timeoutMs, pollMs);
+    return Promise.race([reply, decided.then((isOver) => (isOver && !hasReply ? undefined : reply))]);
   }
 }
 
--- a/packages/intent/src/configurationObjects.ts
+++ b/packages/intent/src/configurationObjects.ts
@@ -1,4 +1,4 @@
-/** The objects that a configuration is made of. */
+/** Schemas of the objects that make up a configuration. */
 import * as zod from "zod";
 
 const objectName = zod
@@ -11,23 +11,23 @@
 
 export const pipelineObjectSchema = zod.strictObject({
   kind: zod.literal("pipeline"),
-  /** Name of the model, as callers give it. */
+  /** Name of the model, as callers specify it. */
   name: objectName,
   version: zod.string().min(1).max(64),
   layerCount: zod.number().int().positive(),
-  /** Capacity that the operator asks for. */
+  /** Capacity that the operator requests. */
   tokensPerSecond: zod.number().nonnegative().default(0),
-  /** Client accounts that may use it; empty for all. */
+  /** Client accounts that may use the pipeline; empty for all. */
   clientAccounts: zod.array(objectName).default([]),
-  /** Which endpoint is to hold which layers. Absent until a plan has decided it. */
+  /** Target range of layers of each endpoint. Absent until a plan has decided the placement. */
   placement: zod.record(objectName, layerRange).optional(),
 });
 
 export const accountKeySchema = zod.strictObject({
-  /** Public part of the key, by which the account is found. */
+  /** Public part of the key, used to look up the account. */
   keyId: zod.string().min(1).max(64),
   salt: zod.string(),
-  /** SHA-256 of salt and secret, in base64url. The secret has 256 random bits, so that a slow hash adds nothing. */
+  /** SHA-256 of salt and secret, in base64url. A slow hash would add no security, since the secret has 256 random bits. */
   hash: zod.string(),
 });
 
@@ -36,25 +36,25 @@
   name: objectName,
   priorityClass: objectName,
   keys: zod.array(accountKeySchema).default([]),
-  /** Requests at once, over all instances; absent for no limit. */
+  /** Maximum number of concurrent requests over all instances; absent for no limit. */
   concurrency: zod.number().int().positive().optional(),
-  /** Tokens, of prompts and answers, a minute over all instances; absent for no limit. */
+  /** Maximum number of tokens of prompts and answers per minute over all instances; absent for no limit. */
   tokensPerMinute: zod.number().positive().optional(),
 });
 
 export const classObjectSchema = zod.strictObject({
   kind: zod.literal("class"),
   name: objectName,
-  /** 1 is the highest. */
+  /** Rank among the priority classes; 1 is the highest. */
   rank: zod.number().int().positive(),
-  /** Share of the capacity that the class gets even while higher classes could use it all. */
+  /** Share of the capacity that is reserved for the class even if higher classes could use all of it. */
   floorShare: zod.number().min(0).max(1).default(0),
 });
 
 export const serviceObjectSchema = zod.strictObject({
   kind: zod.literal("service"),
   name: objectName,
-  /** Whether a call may be made again after it may have run. */
+  /** Whether a call may be retried after it may have been executed. */
   repeatable: zod.boolean(),
 });
 
@@ -72,7 +72,7 @@
 export type ConfigurationObject = zod.infer<typeof configurationObjectSchema>;
 export type ObjectKind = ConfigurationObject["kind"];
 
-/** Names an object over all kinds. */
+/** Returns the key of an object, `kind/name`, which is unique over all kinds. */
 export function getObjectKey(object: { kind: ObjectKind; name: string }): string {
   return `${object.kind}/${object.name}`;
 }
--- a/packages/intent/src/configurationRecords.ts
+++ b/packages/intent/src/configurationRecords.ts
@@ -1,19 +1,19 @@
-/** Records of the configuration stream of the log. */
+/** Schemas of the records in the configuration stream of the log. */
 import * as zod from "zod";
 import { configurationObjectSchema } from "./configurationObjects.js";
 
-/** Name of the stream. */
+/** Name of the log stream with the configuration. */
 export const configurationStream = "configuration";
-/** Version of the records that this code writes and reads. */
+/** Version of the record format that this code writes and reads. */
 export const recordVersion = 1;
-/** Base offset of an object that was not there. */
+/** Base offset of an object that did not exist. */
 export const absentOffset = -1;
 
 export const changeSchema = zod.object({
   key: zod.string(),
-  /** Offset at which the object was last changed when the plan was made; `absentOffset` where there was none. */
+  /** Offset of the last change of the object when the plan was made; `absentOffset` if it did not exist. */
   baseOffset: zod.number().int(),
-  /** The object from now on; null to remove it. */
+  /** The new value of the object; null to remove it. */
   value: configurationObjectSchema.nullable(),
 });
 
@@ -30,7 +30,7 @@
   operator: zod.string(),
   offset: zod.number().int(),
   isAccepted: zod.boolean(),
-  /** For a rejected plan: the object that was overtaken, and by which plan of whom. */
+  /** For a rejected plan: key of the object that had changed, and the plan and operator that changed it. */
   overtakenKey: zod.string().optional(),
   overtakenBy: zod.string().optional(),
   overtakenByOperator: zod.string().optional(),
@@ -44,10 +44,10 @@
 });
 
 export const configurationStateSchema = zod.object({
-  /** All records up to this offset are in the state; -1 for none. */
+  /** Offset of the last record that the state includes; -1 for none. */
   offset: zod.number().int(),
   objects: zod.record(zod.string(), heldObjectSchema),
-  /** Removed objects, so that a plan made before the removal is seen to be overtaken. */
+  /** Removals by object key, needed to reject a plan that was made before the removal. */
   removedAt: zod.record(zod.string(), heldObjectSchema.omit({ value: true })),
   outcomes: zod.array(planOutcomeSchema),
 });
--- a/packages/intent/src/intents.ts
+++ b/packages/intent/src/intents.ts
@@ -1,19 +1,19 @@
-/** What operators state, and the plan that answers it. */
+/** Schemas of the intents of operators and of the plans made for them. */
 import { errors, results } from "@shedtiller/common";
 import * as zod from "zod";
 import { configurationObjectSchema, getObjectKey } from "./configurationObjects.js";
 import { changeSchema } from "./configurationRecords.js";
 
 export const intentSchema = zod.strictObject({
-  /** Who states it; shown to operators who are overtaken. */
+  /** Name of the operator who states the intent; shown to operators whose plans it overtakes. */
   operator: zod.string().min(1).max(64),
-  /** Objects as they are to be. */
+  /** Target state of the objects to add or change. */
   objects: zod.array(configurationObjectSchema).default([]),
-  /** Objects to remove, as kind/name. */
+  /** Keys of the objects to remove, as `kind/name`. */
   removals: zod.array(zod.string().regex(/^(pipeline|account|class|service)\/.+$/)).default([]),
 });
 
-/** A stated intent. */
+/** The changes to the configuration that an operator requests. */
 export type Intent = zod.infer<typeof intentSchema>;
 
 export const placementLineSchema = zod.object({
@@ -28,11 +28,11 @@
   planId: zod.string(),
   operator: zod.string(),
   madeBy: zod.string(),
-  /** Offset of the configuration that the plan was made against. */
+  /** Offset of the configuration on which the plan is based. */
   baseOffset: zod.number().int(),
   changes: zod.array(changeSchema),
   placement: zod.array(placementLineSchema),
-  /** Tokens a second, per pipeline: now, after, and what the hardware allows. */
+  /** Tokens per second of each pipeline: before the plan, after it, and the upper bound of the hardware. */
   capacity: zod.array(
     zod.object({
       pipeline: zod.string(),
@@ -42,27 +42,28 @@
     }),
   ),
   affectedAccounts: zod.array(zod.string()),
-  /** Time that the weight store will need. */
+  /** Estimated time to load layers from the weight store. */
   loadMs: zod.number(),
   warnings: zod.array(zod.string()),
 });
 
-/** What would change. Nothing does before it is confirmed. */
+/** The effects of an intent. Nothing changes before the plan is confirmed. */
 export type Plan = zod.infer<typeof planSchema>;
 
-/** Checks an intent; the error names the field. */
+/** Validates an intent; the error names the invalid field. */
 export function checkIntent(value: unknown, place: string): results.Result<Intent, errors.InvalidInputError> {
   const checked = intentSchema.safeParse(value);
   if (!checked.success) return results.Err(errors.fromSchemaIssues(place, checked.error.issues));
   const keys = [...checked.data.objects.map(getObjectKey), ...checked.data.removals];
-  const doubled = keys.find((key, index) => keys.indexOf(key) !== index);
-  if (doubled !== undefined)
-    return results.Err(new errors.InvalidInputError(place, `${doubled} is stated twice`));
-  if (keys.length === 0) return results.Err(new errors.InvalidInputError(place, "states nothing"));
+  const duplicate = keys.find((key, index) => keys.indexOf(key) !== index);
+  if (duplicate !== undefined)
+    return results.Err(new errors.InvalidInputError(place, `${duplicate} appears twice`));
+  if (keys.length === 0)
+    return results.Err(new errors.InvalidInputError(place, "contains no objects or removals"));
   return results.Ok(checked.data);
 }
 
-/** Renders a plan for a person. */
+/** Renders a plan as text for operators. */
 export function renderPlan(plan: Plan): string {
   const lines = [
     `Plan ${plan.planId}, stated by ${plan.operator}, made against offset ${plan.baseOffset}.`,
--- a/packages/intent/src/tests/ConfirmerTests.ts
+++ b/packages/intent/src/tests/ConfirmerTests.ts
@@ -1,4 +1,4 @@
-/** What an operator is told of a confirmation, by what the log answers. */
+/** The result that an operator gets for a confirmation, depending on the answer of the log. */
 import test from "ava";
 import { errors, results } from "@shedtiller/common";
 import {
@@ -12,11 +12,11 @@
 import { Confirmer } from "../Confirmer.js";
 import type { Plan } from "../intents.js";
 
-/** Longer than the log is usually waited for. */
+/** Longer than the default timeout of an append. */
 const answerMs = 3_000;
 const timeoutMs = 5_000;
 
-/** A log that refuses, and takes its time to say so; whoever waits less hears nothing. */
+/** A log that rejects appends after a long delay; a caller with a shorter timeout gets no answer. */
 class SlowLog extends LogService {
   appends = 0;
   nowMs = 0;
@@ -45,13 +45,13 @@
   summary: [],
 } as unknown as Plan;
 
-// Seen beside load: the log refused after two seconds and more, and the operator was told that the outcome is unknown.
-test("a refusal of the log that comes late is told as one: nothing was confirmed", async (t) => {
+// Guards against an unknown outcome under load, when the log rejects an append only after more than two seconds.
+test("a late rejection by the log is reported as not confirmed", async (t) => {
   const log = new SlowLog();
   const confirmed = await new Confirmer(log, new ConfigurationFold(), () => log.nowMs).confirm(
     plan,
     timeoutMs,
   );
   t.true(confirmed.err && confirmed.val.code === "not_confirmed", JSON.stringify(confirmed.val));
-  t.is(log.appends, 1, "no time is left for another reply");
+  t.is(log.appends, 1, "no second append, since no time remains for its reply");
 });
--- a/packages/intent/src/tests/configurationFoldTests.ts
+++ b/packages/intent/src/tests/configurationFoldTests.ts
@@ -1,4 +1,4 @@
-/** All instances fold the same records to the same configuration, and none goes back. */
+/** All instances derive the same configuration from the same records, and none returns to an older one. */
 import type { LogRecord } from "@shedtiller/logservice";
 import test from "ava";
 import * as fc from "fast-check";
@@ -18,49 +18,49 @@
   };
 }
 
-test("of two plans on one object the first in log order wins; the other is told what and by whom", (t) => {
-  const fold = new ConfigurationFold();
-  fold.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)], "anna"));
-  fold.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, absentOffset)], "bo"));
-  fold.acceptRecord(createRecord(2, "p3", [createClassChange("b", 3, absentOffset)], "bo"));
-  t.true(fold.getOutcome("p1")?.isAccepted);
-  const rejected = fold.getOutcome("p2");
+test("of two plans on one object the first in log order wins; the outcome of the other names the object and operator", (t) => {
+  const projection = new ConfigurationFold();
+  projection.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)], "anna"));
+  projection.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, absentOffset)], "bo"));
+  projection.acceptRecord(createRecord(2, "p3", [createClassChange("b", 3, absentOffset)], "bo"));
+  t.true(projection.getOutcome("p1")?.isAccepted);
+  const rejected = projection.getOutcome("p2");
   t.false(rejected?.isAccepted);
   t.is(rejected?.overtakenKey, "class/a");
   t.is(rejected?.overtakenByOperator, "anna");
-  t.true(fold.getOutcome("p3")?.isAccepted);
-  t.is(fold.getObject("class", "a")?.rank, 1);
+  t.true(projection.getOutcome("p3")?.isAccepted);
+  t.is(projection.getObject("class", "a")?.rank, 1);
 });
 
-test("a record that is in the log twice changes nothing the second time", (t) => {
-  const fold = new ConfigurationFold();
+test("a duplicate record in the log has no effect", (t) => {
+  const projection = new ConfigurationFold();
   const changes = [createClassChange("a", 1, absentOffset)];
-  fold.acceptRecord(createRecord(0, "p1", changes));
-  fold.acceptRecord(createRecord(1, "p1", changes));
-  t.is(fold.getBaseOffset("class/a"), 0);
-  t.is(fold.state.outcomes.length, 1);
-  t.true(fold.getOutcome("p1")?.isAccepted);
+  projection.acceptRecord(createRecord(0, "p1", changes));
+  projection.acceptRecord(createRecord(1, "p1", changes));
+  t.is(projection.getBaseOffset("class/a"), 0);
+  t.is(projection.state.outcomes.length, 1);
+  t.true(projection.getOutcome("p1")?.isAccepted);
 });
 
-test("a plan made before an object was removed is overtaken by the removal", (t) => {
-  const fold = new ConfigurationFold();
-  fold.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
-  fold.acceptRecord(createRecord(1, "p2", [{ key: "class/a", baseOffset: 0, value: null }]));
-  fold.acceptRecord(createRecord(2, "p3", [createClassChange("a", 2, 0)]));
-  t.false(fold.getOutcome("p3")?.isAccepted);
-  t.is(fold.getObject("class", "a"), undefined);
+test("a plan made before the removal of its object is rejected", (t) => {
+  const projection = new ConfigurationFold();
+  projection.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
+  projection.acceptRecord(createRecord(1, "p2", [{ key: "class/a", baseOffset: 0, value: null }]));
+  projection.acceptRecord(createRecord(2, "p3", [createClassChange("a", 2, 0)]));
+  t.false(projection.getOutcome("p3")?.isAccepted);
+  t.is(projection.getObject("class", "a"), undefined);
 });
 
-test("a record of an unknown version is kept and reported", (t) => {
-  const fold = new ConfigurationFold();
-  fold.acceptRecord({ offset: 0, atMs: 0, id: "x", payload: { version: 9, type: "confirm" } });
-  fold.acceptRecord(createRecord(1, "p1", [createClassChange("a", 1, absentOffset)]));
-  t.is(fold.unknownRecords[0]?.reason, "has version 9");
-  t.is(fold.offset, 1);
-  t.is(fold.getObject("class", "a")?.rank, 1);
+test("a record of an unknown version is stored and reported", (t) => {
+  const projection = new ConfigurationFold();
+  projection.acceptRecord({ offset: 0, atMs: 0, id: "x", payload: { version: 9, type: "confirm" } });
+  projection.acceptRecord(createRecord(1, "p1", [createClassChange("a", 1, absentOffset)]));
+  t.is(projection.unknownRecords[0]?.reason, "has version 9");
+  t.is(projection.offset, 1);
+  t.is(projection.getObject("class", "a")?.rank, 1);
 });
 
-test("a state from a peer is taken only if it is newer", (t) => {
+test("the state of a peer is adopted only if it is newer", (t) => {
   const [older, newer] = [new ConfigurationFold(), new ConfigurationFold()];
   older.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   newer.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
@@ -71,27 +71,27 @@
   t.is(older.getObject("class", "a")?.rank, 2);
 });
 
-function createSnapshot(offset: number, fold: ConfigurationFold): LogRecord {
+function createSnapshot(offset: number, projection: ConfigurationFold): LogRecord {
   return {
     offset,
     atMs: offset,
     id: `s${offset}`,
-    payload: { version: 1, type: "snapshot", state: structuredClone(fold.state) },
+    payload: { version: 1, type: "snapshot", state: structuredClone(projection.state) },
   };
 }
 
-test("a late or doubled snapshot changes nothing for an instance that has read on", (t) => {
-  const fold = new ConfigurationFold();
-  fold.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
-  const late = createSnapshot(2, fold);
-  fold.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, 0)]));
-  fold.acceptRecord(late);
-  fold.acceptRecord({ ...late, offset: 3 });
-  t.is(fold.getObject("class", "a")?.rank, 2);
-  t.is(fold.offset, 3);
+test("a late or duplicate snapshot has no effect on an instance that has already read later records", (t) => {
+  const projection = new ConfigurationFold();
+  projection.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
+  const late = createSnapshot(2, projection);
+  projection.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, 0)]));
+  projection.acceptRecord(late);
+  projection.acceptRecord({ ...late, offset: 3 });
+  t.is(projection.getObject("class", "a")?.rank, 2);
+  t.is(projection.offset, 3);
 });
 
-test("an instance that starts after records aged out takes a snapshot that leaves no gap, and no other", (t) => {
+test("an instance that starts after records expired applies a snapshot that leaves no gap, and no other", (t) => {
   const whole = new ConfigurationFold();
   whole.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   const tooOld = createSnapshot(3, whole);
@@ -115,7 +115,7 @@
   base: fc.integer({ min: -1, max: 6 }),
 });
 
-test("folds that learn from the log or from each other, at any points, agree and never go back", (t) => {
+test("projections that read from the log or from each other, in any order, converge and never go back", (t) => {
   fc.assert(
     fc.property(
       fc.array(confirmation, { minLength: 1, maxLength: 14 }),
@@ -124,21 +124,21 @@
         const log = plans.map((p, offset) =>
           createRecord(offset, `p${p.plan}`, [createClassChange(p.name, offset + 1, p.base)]),
         );
-        const folds = [new ConfigurationFold(), new ConfigurationFold(), new ConfigurationFold()];
+        const projections = [new ConfigurationFold(), new ConfigurationFold(), new ConfigurationFold()];
         for (const [turn, index] of turns.entries()) {
-          const [fold, peer] = [
-            folds[index] as ConfigurationFold,
-            folds[(index + 1) % 3] as ConfigurationFold,
+          const [projection, peer] = [
+            projections[index] as ConfigurationFold,
+            projections[(index + 1) % 3] as ConfigurationFold,
           ];
-          const before = fold.offset;
+          const before = projection.offset;
           const next = log[before + 1];
-          if (turn % 3 === 0) fold.adoptState(peer.state);
-          else if (turn % 3 === 1 && next !== undefined) fold.acceptRecord(next);
-          else fold.adoptRecords(peer.getRecordsSince(before).unwrapOr([]));
-          t.true(fold.offset >= before);
+          if (turn % 3 === 0) projection.adoptState(peer.state);
+          else if (turn % 3 === 1 && next !== undefined) projection.acceptRecord(next);
+          else projection.adoptRecords(peer.getRecordsSince(before).unwrapOr([]));
+          t.true(projection.offset >= before);
         }
-        for (const fold of folds) for (const record of log) fold.acceptRecord(record);
-        for (const fold of folds) t.deepEqual(fold.state, folds[0]?.state);
+        for (const projection of projections) for (const record of log) projection.acceptRecord(record);
+        for (const projection of projections) t.deepEqual(projection.state, projections[0]?.state);
       },
     ),
     { seed: 20_261_202, numRuns: 300 },
--- a/packages/lease/src/LeaseFold.ts
+++ b/packages/lease/src/LeaseFold.ts
@@ -1,8 +1,8 @@
-/** The fold of the leases stream. A lease lapses by the log's own times, so that every instance agrees. */
+/** Projection of the leases stream. Leases expire by the timestamps of the log, so that all instances agree on the holder. */
 import type { LogRecord, LogSink } from "@shedtiller/logservice";
 import * as zod from "zod";
 
-/** Name of the stream. */
+/** Name of the log stream with the lease records. */
 export const leasesStream = "leases";
 export const leaseRecordVersion = 1;
 
@@ -11,24 +11,24 @@
   type: zod.enum(["take", "release"]),
   lease: zod.string(),
   holder: zod.string(),
-  /** Id of the holder's process, so that a replaced instance of the same name is another holder. */
+  /** Id of the holder's process, so that a replacement instance with the same name is a different holder. */
   holderId: zod.string(),
   durationMs: zod.number().positive(),
 });
 
 export type LeaseRecord = zod.infer<typeof leaseRecordSchema>;
 
-/** A lease as it stands. */
+/** Current state of a lease. */
 export interface HeldLease {
   readonly holder: string;
   readonly holderId: string;
-  /** Offset of the record that gave it: the fencing token. */
+  /** The fencing token: offset of the record that granted or last renewed the lease. */
   readonly fencingToken: number;
-  /** Log time at which it lapses. */
+  /** Time of the log at which the lease expires. */
   readonly lapsesAtMs: number;
 }
 
-/** Folds records into leases. */
+/** Derives the current leases from the records of the stream. */
 export class LeaseFold implements LogSink {
   unknownRecords = 0;
   private readonly _leases = new Map<string, HeldLease>();
@@ -39,12 +39,12 @@
       this.unknownRecords += 1;
       return;
     }
-    const held = this._leases.get(parsed.data.lease);
-    if (parsed.data.type === "release") this._release(parsed.data, held);
-    else this._take(record, parsed.data, held);
+    const current = this._leases.get(parsed.data.lease);
+    if (parsed.data.type === "release") this._release(parsed.data, current);
+    else this._grant(record, parsed.data, current);
   }
 
-  /** Leases in records that aged out have lapsed: none lasts nearly as long as records are kept. */
+  /** Clears all leases: those of removed records have expired, since no lease lasts nearly as long as the log retains records. */
   skipTo(): void {
     this._leases.clear();
   }
@@ -53,9 +53,10 @@
     return this._leases.get(lease);
   }
 
-  private _take(record: LogRecord, take: LeaseRecord, held: HeldLease | undefined): void {
-    const isFree = held === undefined || held.holderId === take.holderId || held.lapsesAtMs <= record.atMs;
-    if (!isFree) return;
+  private _grant(record: LogRecord, take: LeaseRecord, current: HeldLease | undefined): void {
+    const isAvailable =
+      current === undefined || current.holderId === take.holderId || current.lapsesAtMs <= record.atMs;
+    if (!isAvailable) return;
     this._leases.set(take.lease, {
       holder: take.holder,
       holderId: take.holderId,
@@ -64,7 +65,7 @@
     });
   }
 
-  private _release(release: LeaseRecord, held: HeldLease | undefined): void {
-    if (held?.holderId === release.holderId) this._leases.delete(release.lease);
+  private _release(release: LeaseRecord, current: HeldLease | undefined): void {
+    if (current?.holderId === release.holderId) this._leases.delete(release.lease);
   }
 }
--- a/packages/lease/src/LeaseHolder.ts
+++ b/packages/lease/src/LeaseHolder.ts
@@ -1,15 +1,15 @@
-/** Takes and renews one lease, and tells from moment to moment whether it may still be acted upon. */
+/** Acquisition and renewal of a lease, and the time for which its holder may act under it. */
 import { utils } from "@shedtiller/common";
 import type { LogFollower, LogService } from "@shedtiller/logservice";
 import type { Timeline } from "@shedtiller/timeline";
 import { leaseRecordVersion, leasesStream, type LeaseFold, type LeaseRecord } from "./LeaseFold.js";
 
-/** The holder acts only in this part of the lease, counted from before its append was sent. */
-const usablePart = 0.5;
-/** It renews when this part has gone. */
-const renewPart = 0.3;
+/** Fraction of the lease duration in which the holder may act, counted from before it sent its append. */
+const usableFraction = 0.5;
+/** Fraction of the lease duration after which the holder renews the lease. */
+const renewalFraction = 0.3;
 
-/** What a holder is made of. */
+/** Dependencies of {@link LeaseHolder}. */
 export interface LeaseHolderStructure {
   readonly lease: string;
   readonly holder: string;
@@ -20,7 +20,7 @@
   readonly timeline: Timeline;
 }
 
-/** One instance's hold on one lease. */
+/** Acquires and renews a lease for an instance and provides the fencing token while the lease is safe to use. */
 export class LeaseHolder {
   private readonly _holderId = utils.newId();
   private _fencingToken: number | undefined;
@@ -30,46 +30,46 @@
   constructor(private readonly _structure: LeaseHolderStructure) {}
 
   /**
-   * The fencing token to act under, or undefined where the lease may have lapsed. To be asked again after every await
-   * and just before each order: this process may have stood still meanwhile.
+   * Returns the fencing token to act under; undefined if the lease may have expired. Call it again after every await and directly before
+   * each order, since the process may have been suspended in between.
    */
   getToken(): number | undefined {
     if (utils.monotonicMs() < this._usableUntilMs) return this._fencingToken;
-    if (this._fencingToken !== undefined) this._lapse();
+    if (this._fencingToken !== undefined) this._markLapsed();
     return undefined;
   }
 
-  /** Takes or renews the lease where that is due. Tells whether it may be acted upon. */
+  /** Acquires or renews the lease if that is due; returns whether the holder may act under it. */
   async keep(): Promise<boolean> {
     if (utils.monotonicMs() < this._renewAtMs) return this.getToken() !== undefined;
     const { fold, lease, durationMs, log, follower, timeline } = this._structure;
     const startMs = utils.monotonicMs();
-    const held = fold.getLease(lease);
-    if (held !== undefined && held.holderId !== this._holderId && held.lapsesAtMs > utils.wallMs())
+    const current = fold.getLease(lease);
+    if (current !== undefined && current.holderId !== this._holderId && current.lapsesAtMs > utils.wallMs())
       return false;
     const appended = await log.append(leasesStream, utils.newId(), this._createRecord("take"));
     if (appended.err) return this.getToken() !== undefined;
     await utils
       .withDeadline(follower.waitFor(appended.val.offset), durationMs, "A lease")
       .catch(() => undefined);
-    const now = fold.getLease(lease);
-    if (now?.holderId !== this._holderId || now.fencingToken !== appended.val.offset) return false;
+    const granted = fold.getLease(lease);
+    if (granted?.holderId !== this._holderId || granted.fencingToken !== appended.val.offset) return false;
     if (this._fencingToken === undefined)
-      timeline.add("lease-taken", { subject: lease, detail: `token ${now.fencingToken}` });
-    this._fencingToken = now.fencingToken;
-    this._usableUntilMs = startMs + durationMs * usablePart;
-    this._renewAtMs = startMs + durationMs * renewPart;
+      timeline.add("lease-taken", { subject: lease, detail: `token ${granted.fencingToken}` });
+    this._fencingToken = granted.fencingToken;
+    this._usableUntilMs = startMs + durationMs * usableFraction;
+    this._renewAtMs = startMs + durationMs * renewalFraction;
     return this.getToken() !== undefined;
   }
 
-  /** Gives the lease back, so that the next holder need not wait. */
+  /** Releases the lease, so that the next holder does not have to wait for its expiry. */
   async release(): Promise<void> {
     if (this._fencingToken === undefined) return;
-    this._lapse();
+    this._markLapsed();
     await this._structure.log.append(leasesStream, utils.newId(), this._createRecord("release"));
   }
 
-  private _lapse(): void {
+  private _markLapsed(): void {
     this._fencingToken = undefined;
     this._usableUntilMs = Number.NEGATIVE_INFINITY;
     this._renewAtMs = Number.NEGATIVE_INFINITY;
--- a/packages/lease/src/orders.ts
+++ b/packages/lease/src/orders.ts
@@ -1,24 +1,24 @@
-/** Orders to model engines: load, unload, another version or another range of layers. */
+/** Orders to model engines: load or unload layers, or change to another version or range of layers. */
 import { errors, results } from "@shedtiller/common";
 import { classifyHttpError } from "@shedtiller/logservice";
 import got from "got";
 import * as zod from "zod";
 
 export const orderSchema = zod.object({
-  /** Offset of the lease record under which the order is given. Engines that check reject lower ones. */
+  /** Offset of the lease record under which the order is sent. An engine that checks the token rejects one lower than the last. */
   fencingToken: zod.number().int().nonnegative(),
-  /** Wall time after which the order must not take effect. */
+  /** Wall-clock time after which the order must not take effect. */
   expiresAtMs: zod.number(),
   model: zod.string(),
   version: zod.string(),
-  /** Layers to hold; absent to unload. */
+  /** Layers to load, the end exclusive; absent to unload. */
   layers: zod.tuple([zod.number().int().nonnegative(), zod.number().int().positive()]).optional(),
 });
 
-/** One order. */
+/** An order to a model engine. */
 export type Order = zod.infer<typeof orderSchema>;
 
-/** The engine has seen a newer lease, or the order came too late. */
+/** The engine rejected an order because it has seen a higher fencing token or because the order expired. */
 export class OrderStaleError extends errors.ShedtillerError {
   readonly code = "order_stale";
 
@@ -32,7 +32,7 @@
 const orderTimeoutMs = 2_000;
 const okStatus = 200;
 
-/** Sends an order. After `ConnectionLostError` it may have taken effect: read the engine's state before the next. */
+/** Sends an order to an engine. After a `ConnectionLostError` it may have taken effect: read the engine's state before sending another. */
 export async function sendOrder(
   endpoint: string,
   address: string,
--- a/packages/lease/src/tests/leaseTests.ts
+++ b/packages/lease/src/tests/leaseTests.ts
@@ -12,7 +12,7 @@
 import { LeaseFold, leasesStream } from "../LeaseFold.js";
 import { LeaseHolder } from "../LeaseHolder.js";
 
-/** A log in memory whose clock the test sets. */
+/** An in-memory log with a clock that the test sets. */
 class ClockedLog extends LogService {
   readonly records: LogRecord[] = [];
   nowMs = utils.wallMs();
@@ -62,7 +62,7 @@
   return { fold, holder, follower };
 }
 
-test("of two that take a lease at once, both zones' views give it to the first in the log", async (t) => {
+test("if two holders acquire a lease at once, both projections grant it to the first in the log", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const [a, b] = [createHolder(log, "a", 60_000, stop), createHolder(log, "b", 60_000, stop)];
   const kept = await Promise.all([a.holder.keep(), b.holder.keep()]);
@@ -72,13 +72,13 @@
   t.is(b.holder.getToken(), undefined);
 });
 
-test("a holder stops acting well before the log lets another in, whose token is higher", async (t) => {
+test("a holder stops acting well before the log grants the lease to another one, whose token is higher", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const durationMs = 400;
   const [a, b] = [createHolder(log, "a", durationMs, stop), createHolder(log, "b", durationMs, stop)];
   t.true(await a.holder.keep());
   const first = a.holder.getToken();
-  // The holder stands still past its lapse, and wakes still having the token in its memory.
+  // Simulates a holder that was suspended until after the expiry and still has the token in memory when it resumes.
   await utils.waitUntil(() => a.holder.getToken() === undefined, 10_000, 1);
   t.is(a.holder.getToken(), undefined);
   log.nowMs += durationMs + 1;
@@ -87,7 +87,7 @@
   t.true((b.holder.getToken() ?? 0) > (first ?? 0));
 });
 
-test("a lease that was given back is free at once", async (t) => {
+test("a released lease can be acquired at once", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const [a, b] = [createHolder(log, "a", 60_000, stop), createHolder(log, "b", 60_000, stop)];
   t.true(await a.holder.keep());
