--- a/packages/placement/src/BalanceSearch.ts
+++ b/packages/placement/src/BalanceSearch.ts
@@ -1,34 +1,34 @@
 /**
- * Balances the layers of one availability zone: fills gaps, gives empty engines work, and shifts boundaries between
- * neighbours until no single step helps any more (hill climbing). Works on any number of copies.
+ * Balances the layers of an availability zone by hill climbing: fills gaps, assigns layers to empty engines and shifts boundaries between
+ * neighbours until no single step lowers the cost. Works with any number of copies of the model.
  */
 import { getSteps, type BalanceStep } from "./balanceSteps.js";
 import { isCovered } from "./isCovered.js";
 import { getTokensBeside, type CopyModel } from "./planLayerCopies.js";
 import { ZoneArrangement, type BalancedSpan } from "./ZoneArrangement.js";
 
-/** Steps of one search at most; what is left is found by the next one. */
-const mostSteps = 400;
-/** A step has to lower the cost by more than this; less is rounding. */
-const leastGain = 1e-6;
+/** Maximum number of steps of a search; the next search continues from its result. */
+const maxSteps = 400;
+/** A step has to lower the cost by more than this; smaller gains are rounding errors. */
+const minGain = 1e-6;
 
-/** What a search aims at, and what it may do. */
+/** Constraints of a {@link BalanceSearch}. */
 export interface BalanceOptions {
-  /** Whether engines only take on layers and give none up. */
+  /** Whether engines may only add layers and remove none. */
   readonly isGrowthOnly?: boolean;
-  /** Spans, by index, that engines may leave for others at once, where all their layers have another holder. */
+  /** Indices of the spans whose engines may move to other layers at once, if all their layers are also on other engines. */
   readonly leavable?: ReadonlySet<number>;
-  /** Whether only engines that held nothing at first may change. */
+  /** Whether only engines that had no layers at the start may change. */
   readonly isFillOnly?: boolean;
-  /** Layers by which one step shifts a boundary at most. */
+  /** Maximum number of layers by which one step shifts a boundary. */
   readonly longestShift?: number;
-  /** Layers that an engine loads at most: loads take time, and until the last one is done a gap stays open. */
+  /** Maximum number of layers that an engine loads: loads take time, and a gap remains open until the last one is done. */
   readonly mostLoads?: number;
-  /** Tokens that have to fit beside the layers that an engine holds now and those that it gets, while it changes over. */
+  /** Tokens of KV cache that have to fit beside the union of an engine's current and new layers while it changes over. */
   readonly leastTokensBeside?: number;
 }
 
-/** A search for a better balance. Its steps are taken one by one, so that a caller can let other work in between. */
+/** Searches for a better balance step by step, so that callers can yield to other work between steps. */
 export class BalanceSearch {
   readonly costBefore: number;
   private readonly _spans: BalancedSpan[];
@@ -37,17 +37,17 @@
   private _steps = 0;
 
   constructor(
-    private readonly _held: readonly BalancedSpan[],
+    private readonly _initial: readonly BalancedSpan[],
     private readonly _model: CopyModel,
     private readonly _options: BalanceOptions = {},
   ) {
-    this._spans = [..._held];
-    this._arrangement = new ZoneArrangement(_held, _model);
+    this._spans = [..._initial];
+    this._arrangement = new ZoneArrangement(_initial, _model);
     this.costBefore = this.cost;
-    this._relocatable = new Set(findRedundant(_held).filter((index) => _options.leavable?.has(index)));
+    this._relocatable = new Set(findRedundant(_initial).filter((index) => _options.leavable?.has(index)));
   }
 
-  /** The spans as they are now, in the order in which they were given. */
+  /** The current spans, in the order of the initial ones. */
   get spans(): readonly BalancedSpan[] {
     return this._spans;
   }
@@ -56,26 +56,26 @@
     return this._arrangement.getCost();
   }
 
-  /** Whether every layer has room for a request. */
+  /** Whether every layer has KV cache for at least one request. */
   get isWhole(): boolean {
     return this._arrangement.isWhole;
   }
 
-  /** Takes the step that helps most; tells whether there was one. */
+  /** Applies the step that lowers the cost most; returns whether there was one. */
   improve(): boolean {
-    if (this._steps >= mostSteps) return false;
+    if (this._steps >= maxSteps) return false;
     const step = this._findBestStep();
     if (step === undefined) return false;
     this._steps += 1;
     for (const { index, span } of step) this._spans[index] = span;
-    // Anew, since sums that are changed back and forth lose precision.
+    // The arrangement is built anew, since its sums lose precision by repeated additions and subtractions.
     this._arrangement = new ZoneArrangement(this._spans, this._model);
     return true;
   }
 
   private _findBestStep(): BalanceStep | undefined {
     let best: BalanceStep | undefined;
-    let bestGain = leastGain;
+    let bestGain = minGain;
     for (const step of getSteps(this._spans, this._model, this._options.longestShift, this._relocatable)) {
       if (!step.every(({ index, span }) => this._isAllowed(index, span))) continue;
       const gain = this._getGain(step);
@@ -87,19 +87,20 @@
   }
 
   private _isAllowed(index: number, span: BalancedSpan): boolean {
-    const held = this._held[index];
-    if (held === undefined) return true;
-    if (countLoads(held, span) > (this._options.mostLoads ?? Number.POSITIVE_INFINITY)) return false;
-    const leastTokens = this._options.leastTokensBeside ?? 0;
+    const initial = this._initial[index];
+    if (initial === undefined) return true;
+    if (countLoads(initial, span) > (this._options.mostLoads ?? Number.POSITIVE_INFINITY)) return false;
+    const minTokens = this._options.leastTokensBeside ?? 0;
     const hasRoom = (layers: number): boolean =>
-      getTokensBeside(span.engine, layers, this._model) >= leastTokens;
-    const isNew = held.end <= held.start || (this._relocatable.has(index) && !isOverlapping(held, span));
+      getTokensBeside(span.engine, layers, this._model) >= minTokens;
+    const isNew =
+      initial.end <= initial.start || (this._relocatable.has(index) && !isOverlapping(initial, span));
     if (isNew) return hasRoom(span.end - span.start);
-    const start = Math.min(held.start, span.start);
-    const end = Math.max(held.end, span.end);
+    const start = Math.min(initial.start, span.start);
+    const end = Math.max(initial.end, span.end);
     if (this._options.isGrowthOnly === true && (start < span.start || end > span.end)) return false;
     if (this._options.isFillOnly === true) return false;
-    const isGrowing = start < held.start || end > held.end;
+    const isGrowing = start < initial.start || end > initial.end;
     return !isGrowing || hasRoom(end - start);
   }
 
@@ -123,13 +124,13 @@
   }
 }
 
-/** Plans the balance of `held` in one go. */
+/** Runs a search from the `initial` spans to its end and returns the balanced spans. */
 export function planBalance(
-  held: readonly BalancedSpan[],
+  initial: readonly BalancedSpan[],
   model: CopyModel,
   options: BalanceOptions = {},
 ): readonly BalancedSpan[] {
-  const search = new BalanceSearch(held, model, options);
+  const search = new BalanceSearch(initial, model, options);
   while (search.improve());
   return search.spans;
 }
@@ -138,9 +139,9 @@
   return step.map(({ span }) => span);
 }
 
-/** Layers of a span that its engine does not hold yet. */
-function countLoads(held: BalancedSpan, span: BalancedSpan): number {
-  const common = Math.min(held.end, span.end) - Math.max(held.start, span.start);
+/** Returns the number of layers of `span` that its engine does not have in its initial span and has to load. */
+function countLoads(initial: BalancedSpan, span: BalancedSpan): number {
+  const common = Math.min(initial.end, span.end) - Math.max(initial.start, span.start);
   return span.end - span.start - Math.max(0, common);
 }
 
@@ -148,7 +149,7 @@
   return a.start < b.end && b.start < a.end;
 }
 
-/** Spans, by index, whose layers are all held by others as well. */
+/** Returns the indices of the spans whose layers are all on other engines as well. */
 function findRedundant(spans: readonly BalancedSpan[]): number[] {
   return [...spans.keys()].filter((index) => {
     const span = spans[index];
--- a/packages/placement/src/PlacementEngine.ts
+++ b/packages/placement/src/PlacementEngine.ts
@@ -1,22 +1,22 @@
-/** What the planner knows of an engine. */
+/** The engines and placements of the planner. */
 
-/** Layers [first, past-the-last]. */
+/** A range of layers as a tuple of the first layer and the exclusive end. */
 export type LayerRange = readonly [number, number];
 
-/** One engine that may be given layers. */
+/** An engine to which the planner can assign layers. */
 export interface PlacementEngine {
   readonly name: string;
   readonly availabilityZone: string;
-  /** Layer applications a second at a full batch: slots ÷ step time of one layer. */
+  /** Layer applications per second at a full batch: slots ÷ step time of one layer. */
   readonly layersPerSecond: number;
-  /** Layers that fit into its memory. */
+  /** Number of layers that fit in the engine's memory. */
   readonly memoryLayers: number;
 }
 
-/** Which engine holds which layers. Engines that are left out hold none. */
+/** Layer range by engine name. Engines without layers are absent. */
 export type Placement = ReadonlyMap<string, LayerRange>;
 
-/** Tokens a second that one engine gives while it holds `count` layers. */
+/** Returns the tokens per second of an engine with `count` layers. */
 export function getEngineRate(engine: PlacementEngine, count: number): number {
   return engine.layersPerSecond / count;
 }
--- a/packages/placement/src/ZoneArrangement.ts
+++ b/packages/placement/src/ZoneArrangement.ts
@@ -1,57 +1,59 @@
 /**
- * Rates how the engines of a zone hold a model's layers. Spans are put in and taken out one by one, and the rating follows at the
- * cost of the layers that they touch.
+ * Cost of an arrangement of a model's layers on the engines of a zone. The sums are updated incrementally as spans are added and removed,
+ * which costs time only for the layers of the span.
  */
 import { getTokensBeside, type CopyEngine, type CopyModel } from "./planLayerCopies.js";
 import { getTokensBeyondBurst } from "./burst.js";
 
-/** An engine and the layers that it holds; `end` equals `start` where it holds none. */
+/** An engine and its layers; `end` is exclusive and equals `start` if the engine has no layers. */
 export interface BalancedSpan {
   readonly engine: CopyEngine;
   readonly start: number;
   readonly end: number;
 }
 
-/** Cost of a layer where no request fits: far above what anything else can save. */
+/** Cost of a layer on which no request fits: far above the gain of any other change. */
 const gapCost = 1_000;
 /**
- * How much faster answers count beside more of them. Without it the search is indifferent over a wide range of room; measured
- * over a day of streams, pauses come late for 2 in 100 of them at 15 ms a token and for 25 in 100 at 25 ms.
+ * Weight of faster answers relative to more answers. Without it, the search is indifferent over a wide range of KV cache sizes. Over a day
+ * of streams, pauses between tokens were late in 2 of 100 streams at 15 ms per token and in 25 of 100 at 25 ms.
  */
 const speedWeight = 0.15;
 /**
- * What it is worth that a zone goes on without any one engine, as the logarithm of a factor on the rate. Without it four days with losses
- * earned 0.03 less of their worth on average.
+ * Credit for a zone that survives the loss of any one engine, as the logarithm of a factor on the rate. Without it, four days with losses
+ * served 0.03 less of their value on average.
  */
 const secondHolderCredit = Math.log(1.25);
-/** Where several engines hold a layer, requests take the fastest first: shares fall with this power of the step factor. */
+/** If several engines have a layer, requests prefer the fastest: their shares fall with this power of the step factor. */
 const preferencePower = 3;
-/** A holder with room for less than this share of a usual batch takes over nothing when another is lost. */
-const leastBatchShare = 0.5;
-/** Room for this many standard deviations of the number of requests (Poisson) is left free. */
-const freeDeviations = 2;
+/** An engine with KV cache for less than this share of a usual batch can't take over the requests of a lost engine. */
+const minBatchShare = 0.5;
+/** Headroom for random variation of the number of requests, in standard deviations of a Poisson distribution. */
+const headroomDeviations = 2;
 
-/** Sums over the layers that have room. */
+/** Sums over the layers of the model. */
 interface Totals {
+  /** Number of layers with KV cache for at least one request. */
   covered: number;
-  /** Layers with a second holder. */
-  doubled: number;
-  /** Layers held, each as often as it has a holder. */
-  held: number;
+  /** Number of covered layers that are on at least two engines. */
+  redundant: number;
+  /** Number of copies of layers: every layer, covered or not, counts once for each engine that could take over its requests. */
+  copies: number;
+  /** Sum of the mean step factors of the covered layers. */
   stepFactors: number;
-  /** Of the eighth power of 1 / usable tokens: a soft minimum. */
+  /** Sum of the eighth powers of 1 / usable tokens of the covered layers, for a soft minimum. */
   scarcity: number;
 }
 
-/** One arrangement. */
+/** Computes the cost of an arrangement of spans and updates it incrementally. */
 export class ZoneArrangement {
   private readonly _tokens: Float64Array;
-  /** The part of the tokens that is left beyond each holder's burst. */
+  /** Tokens of each layer that remain beside the bursts of its engines. */
   private readonly _usable: Float64Array;
   private readonly _shares: Float64Array;
   private readonly _sharedFactors: Float64Array;
   private readonly _holders: Int32Array;
-  private readonly _totals: Totals = { covered: 0, doubled: 0, held: 0, stepFactors: 0, scarcity: 0 };
+  private readonly _totals: Totals = { covered: 0, redundant: 0, copies: 0, stepFactors: 0, scarcity: 0 };
 
   constructor(
     spans: readonly BalancedSpan[],
@@ -66,7 +68,7 @@
     for (const span of spans) this.add(span);
   }
 
-  /** Whether every layer has room for a request. */
+  /** Whether every layer has KV cache for at least one request. */
   get isWhole(): boolean {
     return this._totals.covered === this._model.layerCount;
   }
@@ -79,19 +81,22 @@
     this._change(span, -1);
   }
 
-  /** The lower the better: gaps first, then the rate of requests, speed, and layers that a single loss takes away. */
+  /** Returns the cost, which is lower for better arrangements: gaps dominate, then come request rate, speed and redundancy of layers. */
   getCost(): number {
     const { layerCount, stepMs, stepMsPerRequest, tokensPerRequest } = this._model;
-    const { covered, doubled, held, stepFactors, scarcity } = this._totals;
+    const { covered, redundant, copies, stepFactors, scarcity } = this._totals;
     const gaps = (layerCount - covered) * gapCost;
     if (covered === 0) return gaps;
     const room = (covered / scarcity) ** (1 / 8) / tokensPerRequest;
-    const requests = Math.max(1, room - freeDeviations * Math.sqrt(room));
-    // Each copy of the layers runs its part of the requests side by side.
-    const stepLoad = 1 + (requests * layerCount * stepMsPerRequest) / (Math.max(layerCount, held) * stepMs);
+    const requests = Math.max(1, room - headroomDeviations * Math.sqrt(room));
+    // The requests are distributed over the copies of the layers, which run concurrently.
+    const stepLoad = 1 + (requests * layerCount * stepMsPerRequest) / (Math.max(layerCount, copies) * stepMs);
     const tokenTime = Math.log(stepFactors / covered) + Math.log(stepLoad);
     return (
-      gaps + (1 + speedWeight) * tokenTime - Math.log(requests) - (secondHolderCredit * doubled) / layerCount
+      gaps +
+      (1 + speedWeight) * tokenTime -
+      Math.log(requests) -
+      (secondHolderCredit * redundant) / layerCount
     );
   }
 
@@ -99,7 +104,7 @@
     const { engine, start, end } = span;
     const tokens = getTokensBeside(engine, end - start, this._model);
     const usable = getTokensBeyondBurst(tokens, this._model);
-    const isHolder = usable >= leastBatchShare * getBatchTokens(this._model);
+    const isHolder = usable >= minBatchShare * getBatchTokens(this._model);
     const share = usable / engine.stepFactor ** preferencePower;
     for (let layer = start; layer < end; layer++) {
       this._count(layer, -1);
@@ -112,20 +117,20 @@
     }
   }
 
-  /** Adds a layer to the totals, or takes it out of them. */
+  /** Adds a layer to the totals, or subtracts it from them. */
   private _count(layer: number, sign: 1 | -1): void {
     const tokens = this._tokens[layer] ?? 0;
     const holders = this._holders[layer] ?? 0;
-    this._totals.held += sign * holders;
+    this._totals.copies += sign * holders;
     if (tokens < this._model.tokensPerRequest) return;
     this._totals.covered += sign;
-    if (holders > 1) this._totals.doubled += sign;
+    if (holders > 1) this._totals.redundant += sign;
     this._totals.stepFactors += (sign * (this._sharedFactors[layer] ?? 0)) / (this._shares[layer] ?? 1);
     this._totals.scarcity += sign * getEighthPower(1 / (this._usable[layer] ?? 0));
   }
 }
 
-/** Tokens of as many requests as double the duration of a step: more of them add less and less to the rate. */
+/** Returns the tokens of the number of requests that doubles the duration of a step; further requests add little to the rate. */
 function getBatchTokens(model: CopyModel): number {
   return (model.tokensPerRequest * model.stepMs) / model.stepMsPerRequest;
 }
--- a/packages/placement/src/balanceSteps.ts
+++ b/packages/placement/src/balanceSteps.ts
@@ -1,29 +1,32 @@
-/** The single steps that change an arrangement of layers: an engine begins, grows or shrinks, or boundaries shift. */
+/** The single steps that change an arrangement of layers: an empty engine gets layers, an engine grows or shrinks, or boundaries shift. */
 import type { BalancedSpan } from "./ZoneArrangement.js";
 import type { CopyEngine, CopyModel } from "./planLayerCopies.js";
 
-/** A boundary is shifted by at most this many layers in one step, where nothing else is said; many steps make a large shift. */
-const usualLongestShift = 4;
+/** Default for the maximum number of layers by which one step shifts a boundary; larger shifts take several steps. */
+const defaultMaxShift = 4;
 
-/** Spans, by index, that one step replaces. */
+/** The spans that a step replaces, with their indices. */
 export type BalanceStep = readonly { readonly index: number; readonly span: BalancedSpan }[];
 
-/** All steps from here: an empty engine takes layers, an engine grows or shrinks, a boundary between neighbours shifts. */
+/**
+ * Yields all possible steps: an empty or relocatable engine gets new layers, an engine grows or shrinks, or the boundaries between
+ * neighbours shift.
+ */
 export function* getSteps(
   spans: readonly BalancedSpan[],
   model: CopyModel,
-  longestShift = usualLongestShift,
+  maxShift = defaultMaxShift,
   relocatable: ReadonlySet<number> = new Set(),
 ): Generator<BalanceStep> {
   const emptyKinds = new Set<string>();
   for (const [index, span] of spans.entries()) {
     if (span.end > span.start) {
-      yield* getResized(index, span, model, longestShift);
-      yield* getShifted(index, spans, model, longestShift);
+      yield* getResized(index, span, model, maxShift);
+      yield* getShifted(index, spans, model, maxShift);
       if (relocatable.has(index)) yield* getFirstSpans(index, span, model);
       continue;
     }
-    // Of empty engines that are alike one is enough.
+    // Equal empty engines are interchangeable, so only the first of each kind is tried.
     const kind = `${span.engine.memoryMb}|${span.engine.stepFactor}`;
     if (!emptyKinds.has(kind)) yield* getFirstSpans(index, span, model);
     emptyKinds.add(kind);
@@ -31,9 +34,9 @@
 }
 
 function* getFirstSpans(index: number, span: BalancedSpan, model: CopyModel): Generator<BalanceStep> {
-  const most = getMostLayers(span.engine, model);
+  const maxLayers = getMaxLayers(span.engine, model);
   for (let start = 0; start < model.layerCount; start++) {
-    for (let end = start + 1; end <= Math.min(model.layerCount, start + most); end++) {
+    for (let end = start + 1; end <= Math.min(model.layerCount, start + maxLayers); end++) {
       yield [{ index, span: { ...span, start, end } }];
     }
   }
@@ -43,10 +46,10 @@
   index: number,
   span: BalancedSpan,
   model: CopyModel,
-  longestShift: number,
+  maxShift: number,
 ): Generator<BalanceStep> {
   const { start, end } = span;
-  for (let layers = 1; layers <= longestShift; layers++) {
+  for (let layers = 1; layers <= maxShift; layers++) {
     const resized = [
       { ...span, start: start - layers },
       { ...span, start: start + layers },
@@ -58,19 +61,19 @@
 }
 
 /**
- * Shifts all boundaries from the end of a span to the start of one further down its chain: the two ends trade layers, and those
- * between them keep as many as they had.
+ * Yields the steps that shift all boundaries between a span and a later span of its chain: the first and the last span exchange layers,
+ * and the spans between them keep their number of layers.
  */
 function* getShifted(
   index: number,
   spans: readonly BalancedSpan[],
   model: CopyModel,
-  longestShift: number,
+  maxShift: number,
 ): Generator<BalanceStep> {
   const chain = followChain(index, spans);
   for (let length = 2; length <= chain.length; length++) {
     const part = chain.slice(0, length);
-    for (let layers = -longestShift; layers <= longestShift; layers++) {
+    for (let layers = -maxShift; layers <= maxShift; layers++) {
       if (layers === 0) continue;
       const step = shiftBoundaries(part, spans, layers);
       if (step.every(({ span }) => isPossible(span, model))) yield step;
@@ -78,7 +81,7 @@
   }
 }
 
-/** The spans that follow each other from one on, by index; where several go on at a boundary, the first of them. */
+/** Returns the indices of consecutive spans from `first` on; if several spans start at a boundary, the first of them continues the chain. */
 function followChain(first: number, spans: readonly BalancedSpan[]): number[] {
   const chain = [first];
   for (let at: number | undefined = first; at !== undefined;) {
@@ -110,11 +113,11 @@
     span.start >= 0 &&
     span.end <= model.layerCount &&
     layers >= 0 &&
-    layers <= getMostLayers(span.engine, model)
+    layers <= getMaxLayers(span.engine, model)
   );
 }
 
-/** Layers that an engine's memory holds. */
-function getMostLayers(engine: CopyEngine, model: CopyModel): number {
+/** Returns the number of layers that fit in an engine's memory. */
+function getMaxLayers(engine: CopyEngine, model: CopyModel): number {
   return Math.min(model.layerCount, Math.floor(engine.memoryMb / model.layerMb));
 }
--- a/packages/placement/src/burst.ts
+++ b/packages/placement/src/burst.ts
@@ -1,22 +1,22 @@
 /**
- * Room that engines need for bursts. Those who choose engines know each other's load only as it was some hundred milliseconds before.
- * Until they learn of it, all requests that begin may pass the same engine, and one without room for as many refuses some of them.
+ * KV cache headroom of engines for bursts. Instances choose engines by load figures that are some hundred milliseconds old. Until the
+ * figures are updated, all new requests may go to the same engine (a thundering herd), which rejects those that exceed its free KV cache.
  */
 import { utils } from "@shedtiller/common";
 import type { CopyEngine, CopyModel } from "./planLayerCopies.js";
 
-/** Load is told to a collector, and by it to all, every 200 ms: what is known is up to twice that old. */
-const loadAgeMs = 400;
-/** An engine with no room beyond the burst still serves something; it counts with this share of its tokens. */
-const leastUsableShare = 0.3;
+/** Maximum age of load figures: they are sent to a collector, and from there to all instances, every 200 ms each. */
+const maxLoadAgeMs = 400;
+/** An engine without headroom beyond the burst can still serve requests; it counts with this share of its tokens. */
+const minUsableShare = 0.3;
 
 /**
- * Requests that a zone begins within the age of its loads, at the best rate that its engines reach with any number of copies of equal
- * memory and of the mean speed. A rough bound, by memory and speed alone: 40 for 35 engines of 1,245 GB.
+ * Returns the number of requests that a zone starts within the maximum age of its load figures, at the best rate of any number of copies
+ * with equal memory and mean speed. This is a rough bound based on memory and speed alone: 40 requests for 35 engines with 1,245 GB.
  *
- * None where one copy is best: there is no choice that old knowledge could mislead, whatever begins passes the same engines, and room
- * kept for it is lost. Measured on a zone of 13 engines of 288 GB: with ten requests kept an overloaded day earned 0.49 of its worth,
- * without 0.58.
+ * Returns 0 if one copy is best: all requests then use the same engines, so outdated load figures can't mislead the choice, and headroom
+ * would only be lost. On a zone of 13 engines with 288 GB, an overloaded day served 0.49 of its value with headroom for ten requests and
+ * 0.58 without.
  */
 export function getBurstRequests(engines: readonly CopyEngine[], model: CopyModel): number {
   const memoryMb = utils.getSum(engines.map((engine) => engine.memoryMb));
@@ -31,11 +31,11 @@
     const perMs = (copies * requests) / (tokenMs * model.answerTokens);
     if (perMs > best.perMs) best = { copies, perMs };
   }
-  return best.copies > 1 ? best.perMs * loadAgeMs : 0;
+  return best.copies > 1 ? best.perMs * maxLoadAgeMs : 0;
 }
 
-/** The tokens of an engine that are left beside a burst. */
+/** Returns the tokens of an engine's KV cache that remain usable beside a burst. */
 export function getTokensBeyondBurst(tokens: number, model: CopyModel): number {
   const burstTokens = (model.burstRequests ?? 0) * model.tokensPerRequest;
-  return Math.max(tokens * leastUsableShare, tokens - burstTokens);
+  return Math.max(tokens * minUsableShare, tokens - burstTokens);
 }
--- a/packages/placement/src/getThroughput.ts
+++ b/packages/placement/src/getThroughput.ts
@@ -1,4 +1,4 @@
-/** The throughput that a placement allows, and the bound that no placement can pass. */
+/** The throughput of a placement, and the upper bound for all placements. */
 import type { LayerRange, Placement, PlacementEngine } from "./PlacementEngine.js";
 import { getEngineRate } from "./PlacementEngine.js";
 
@@ -9,8 +9,8 @@
 }
 
 /**
- * Tokens a second through a placement: the largest flow from layer boundary 0 to the last one, where each engine is an
- * arc over its layers with its rate as capacity (max-flow by shortest augmenting paths; Edmonds and Karp, 1972).
+ * Returns the tokens per second of a placement: the maximum flow from the first layer boundary to the last, where each engine is an arc
+ * over its layers with its rate as capacity (shortest augmenting paths; Edmonds and Karp, 1972).
  */
 export function getThroughput(
   engines: readonly PlacementEngine[],
@@ -28,14 +28,15 @@
 }
 
 /**
- * Upper bound for any placement: each token needs `layerCount` layer applications, and the engines together give no
- * more than their sum (work conservation; the single-resource case of the utilisation law, Denning and Buzen, 1978).
+ * Returns the upper bound of the throughput of any placement, in tokens per second: each token needs `layerCount` layer applications, and
+ * the engines together can't exceed the sum of their rates (work conservation; the single-resource case of the utilisation law, Denning
+ * and Buzen, 1978).
  */
 export function getHardwareBound(engines: readonly PlacementEngine[], layerCount: number): number {
   return engines.reduce((sum, engine) => sum + engine.layersPerSecond, 0) / layerCount;
 }
 
-/** Replicas of one range act as one arc, which keeps the graph small. */
+/** Returns the total rate of the engines of each range, so that replicas of a range are one arc, which keeps the graph small. */
 function sumByRange(engines: readonly PlacementEngine[], placement: Placement): [LayerRange, number][] {
   const sums = new Map<string, [LayerRange, number]>();
   for (const engine of engines) {
@@ -56,22 +57,22 @@
   backward.push({ to: from, capacity: 0, reverse: forward.length - 1 });
 }
 
-/** Finds a shortest path with room and fills it; gives what it took. */
+/** Augments the flow along a shortest path with residual capacity; returns the added flow, 0 if there is no path. */
 function augment(arcs: Arc[][], sink: number): number {
-  const cameBy = new Map<number, { from: number; arc: Arc }>();
+  const predecessors = new Map<number, { from: number; arc: Arc }>();
   const queue = [0];
-  while (queue.length > 0 && !cameBy.has(sink)) {
+  while (queue.length > 0 && !predecessors.has(sink)) {
     const node = queue.shift() ?? 0;
     for (const arc of arcs[node] ?? []) {
-      if (arc.capacity <= 1e-9 || arc.to === 0 || cameBy.has(arc.to)) continue;
-      cameBy.set(arc.to, { from: node, arc });
+      if (arc.capacity <= 1e-9 || arc.to === 0 || predecessors.has(arc.to)) continue;
+      predecessors.set(arc.to, { from: node, arc });
       queue.push(arc.to);
     }
   }
-  if (!cameBy.has(sink)) return 0;
+  if (!predecessors.has(sink)) return 0;
   const path: Arc[] = [];
   for (let node = sink; node !== 0;) {
-    const step = cameBy.get(node);
+    const step = predecessors.get(node);
     if (step === undefined) return 0;
     path.push(step.arc);
     node = step.from;
--- a/packages/placement/src/isCovered.ts
+++ b/packages/placement/src/isCovered.ts
@@ -1,17 +1,17 @@
-/** A run of layers, `end` exclusive. */
+/** An interval of layers, `end` exclusive. */
 export interface LayerRun {
   readonly start: number;
   readonly end: number;
 }
 
-/** Whether each layer of `run` is in one of `others`. */
-export function isCovered(run: LayerRun, others: readonly LayerRun[]): boolean {
-  let layer = run.start;
-  while (layer < run.end) {
+/** Returns whether every layer of `interval` is in at least one of `others`. */
+export function isCovered(interval: LayerRun, others: readonly LayerRun[]): boolean {
+  let layer = interval.start;
+  while (layer < interval.end) {
     const at = layer;
-    const holder = others.find((other) => other.start <= at && at < other.end);
-    if (holder === undefined) return false;
-    layer = holder.end;
+    const covering = others.find((other) => other.start <= at && at < other.end);
+    if (covering === undefined) return false;
+    layer = covering.end;
   }
   return true;
 }
--- a/packages/placement/src/planLayerCopies.ts
+++ b/packages/placement/src/planLayerCopies.ts
@@ -1,36 +1,36 @@
 /**
- * Plans whole copies of a model for one availability zone, with room for requests: what the layers leave of an
- * accelerator's memory holds the KV cache, and a chain holds as many tokens as its tightest engine.
+ * Placement of complete copies of a model in an availability zone with memory for requests: the memory of an accelerator beside its layers
+ * is used for the KV cache, and the engine with the fewest tokens limits the tokens of its chain.
  */
 import { utils } from "@shedtiller/common";
 
-/** An accelerator that can hold layers. */
+/** An engine to which layers can be assigned. */
 export interface CopyEngine {
   readonly name: string;
   readonly memoryMb: number;
-  /** Factor on the duration of token steps. */
+  /** Factor on the duration of a token step; higher is slower. */
   readonly stepFactor: number;
 }
 
-/** The model, and what a usual request needs. */
+/** Sizes and speed of the model, and the demand of a usual request. */
 export interface CopyModel {
   readonly layerCount: number;
   readonly layerMb: number;
-  /** KV cache of one token in one layer. */
+  /** KV cache size of one token in one layer. */
   readonly kvMbPerTokenLayer: number;
   readonly tokensPerRequest: number;
   readonly answerTokens: number;
-  /** One token step over all layers at factor 1, without requests. */
+  /** Duration of one token step over all layers at factor 1, without the time for concurrent requests. */
   readonly stepMs: number;
-  /** What each request side by side adds to that. */
+  /** Time that each concurrent request adds to a token step. */
   readonly stepMsPerRequest: number;
-  /** Time that each boundary between engines adds to a token. */
+  /** Time that each engine of a chain adds to a token for the transfer between engines. */
   readonly hopMs: number;
-  /** Room that each engine should have beyond what it serves, in requests (see `getBurstRequests`); 0 where left out. */
+  /** KV cache headroom of each engine in requests, see {@link getBurstRequests}; 0 if omitted. */
   readonly burstRequests?: number;
 }
 
-/** The layers of one engine, `end` exclusive. */
+/** The layers of an engine, `end` exclusive. */
 export interface PlannedSpan {
   readonly name: string;
   readonly start: number;
@@ -38,56 +38,57 @@
 }
 
 /**
- * With two copies a zone goes on when any one engine is lost; that is worth this factor on the rate. Measured on days
- * with crashes: one copy everywhere lost more to them than it won in room (0.10 of the worth instead of 0.59), two everywhere starved a
- * small zone.
+ * Factor on the rate for a plan with two or more copies, with which a zone survives the loss of any one engine. On days with crashes, one
+ * copy in every zone lost more to crashes than its larger KV cache gained (0.10 of the value served instead of 0.59), while two copies in
+ * every zone left too little KV cache in a small zone.
  */
 const secondCopyCredit = 1.6;
-/** A copy that holds fewer usual requests than this is not worth its weights. */
+/** Minimum number of usual requests for which a copy needs KV cache; below it, a copy is not worth the memory of its weights. */
 const minRequestsPerCopy = 12;
-/** Share of engines that are usually down; it makes long chains worth less. An assumption, not a measurement. */
+/** Assumed, not measured, share of engines that are down; it lowers the value of long chains. */
 const engineLossShare = 0.03;
-const improvementRounds = 40;
-/** A move or swap has to help by more than this factor; less is rounding. */
-const worthwhileGain = 1.0001;
-/** What a copy with enough room is worth in the search against a rate of one a second, and each request of room until then. */
-const wholeCopyValue = 1e6;
-const requestRoomValue = 1e3;
-/** Where the search for the most tokens beside the layers begins. */
-const tokensCeiling = 1e7;
-/** Halvings of the interval of token counts; this many leave it far below one token. */
+const maxImprovementRounds = 40;
+/** A move or swap has to raise the value by more than this factor; smaller gains are rounding errors. */
+const minGainFactor = 1.0001;
+/** Value in the search of a copy with KV cache for enough requests, relative to a rate of one request per second. */
+const completeCopyValue = 1e6;
+/** Value in the search of KV cache for each request up to that number. */
+const requestCapacityValue = 1e3;
+/** Upper end of the bisection for the most tokens beside the layers. */
+const maxTokens = 1e7;
+/** Number of halvings of the bisection; they narrow the interval to far less than one token. */
 const bisectionSteps = 40;
 
-/** Engines that hold one copy together. */
+/** Engines that have one copy of the model together. */
 interface CopyGroup {
   readonly engines: readonly CopyEngine[];
   readonly rate: number;
   readonly requests: number;
 }
 
-/** Plans the copies of one zone. Gives nothing where its memory does not hold the model. */
+/** Plans the copies of the model in a zone. Returns no spans if the model does not fit in the zone's memory. */
 export function planLayerCopies(engines: readonly CopyEngine[], model: CopyModel): PlannedSpan[] {
   const sorted = [...engines].sort(
     (a, b) => a.stepFactor - b.stepFactor || b.memoryMb - a.memoryMb || compareNames(a, b),
   );
-  const most = Math.floor(
+  const maxCopies = Math.floor(
     utils.getSum(sorted.map((engine) => engine.memoryMb)) / (model.layerCount * model.layerMb),
   );
   let best: CopyGroup[] | undefined;
-  for (let copies = 1; copies <= most; copies++) {
-    const groups = improve(cutByMemory(sorted, copies, model), model);
+  for (let copies = 1; copies <= maxCopies; copies++) {
+    const groups = improve(createGroups(sorted, copies, model), model);
     if (isBetter(groups, best)) best = groups;
   }
   return (best ?? []).flatMap((group) => spreadLayers(group.engines, model) ?? []);
 }
 
-/** Layers that an engine can hold while `tokens` tokens fit beside them. */
+/** Returns the number of layers that fit on an engine beside the KV cache of `tokens` tokens. */
 export function getLayersBeside(engine: CopyEngine, tokens: number, model: CopyModel): number {
   const perLayerMb = model.layerMb + tokens * model.kvMbPerTokenLayer;
   return Math.min(model.layerCount, Math.floor(engine.memoryMb / perLayerMb));
 }
 
-/** Tokens that fit beside `layers` layers. */
+/** Returns the number of tokens whose KV cache fits on an engine beside `layers` layers. */
 export function getTokensBeside(engine: CopyEngine, layers: number, model: CopyModel): number {
   if (layers <= 0) return 0;
   return Math.max(0, engine.memoryMb - layers * model.layerMb) / (layers * model.kvMbPerTokenLayer);
@@ -97,7 +98,7 @@
   return a.name < b.name ? -1 : 1;
 }
 
-/** The higher rate wins, with some credit for a second copy; a copy without room for requests rules a plan out. */
+/** Returns whether a plan is better: the higher rate wins, with a credit for a second copy. A copy with too little KV cache rules it out. */
 function isBetter(groups: readonly CopyGroup[], best: readonly CopyGroup[] | undefined): boolean {
   if (groups.some((group) => group.requests < minRequestsPerCopy)) return false;
   if (best === undefined) return true;
@@ -109,8 +110,8 @@
   return utils.getSum(groups.map((group) => group.rate));
 }
 
-/** Cuts the engines, fastest first, into runs of about equal memory. */
-function cutByMemory(sorted: readonly CopyEngine[], copies: number, model: CopyModel): CopyGroup[] {
+/** Cuts the engines, fastest first, into groups of about equal memory. */
+function createGroups(sorted: readonly CopyEngine[], copies: number, model: CopyModel): CopyGroup[] {
   const total = utils.getSum(sorted.map((engine) => engine.memoryMb));
   const runs: CopyEngine[][] = Array.from({ length: copies }, () => []);
   let sumMb = 0;
@@ -122,10 +123,10 @@
   return runs.map((run) => createGroup(run, model));
 }
 
-/** Moves or swaps engines between groups while that lifts the total rate. */
+/** Moves or swaps engines between groups while that raises the value. */
 function improve(start: readonly CopyGroup[], model: CopyModel): CopyGroup[] {
   let groups = [...start];
-  for (let round = 0; round < improvementRounds; round++) {
+  for (let round = 0; round < maxImprovementRounds; round++) {
     const next = findBetter(groups, model);
     if (next === undefined) break;
     groups = next;
@@ -133,7 +134,7 @@
   return groups;
 }
 
-/** Finds the one move or swap of engines between groups that helps most. */
+/** Finds the move or swap of engines between groups that raises the value most. */
 function findBetter(groups: readonly CopyGroup[], model: CopyModel): CopyGroup[] | undefined {
   let best: CopyGroup[] | undefined;
   let bestValue = getValue(groups);
@@ -145,7 +146,7 @@
         candidate[from] = createGroup(left, model);
         candidate[to] = createGroup(right, model);
         const value = getValue(candidate);
-        if (value <= bestValue * worthwhileGain) continue;
+        if (value <= bestValue * minGainFactor) continue;
         best = candidate;
         bestValue = value;
       }
@@ -154,14 +155,14 @@
   return best;
 }
 
-/** Groups without enough room pull the value down hard, so that the search first makes every copy whole. */
+/** Returns the value of a plan. Copies with KV cache for enough requests dominate it, so that the search completes all copies first. */
 function getValue(groups: readonly CopyGroup[]): number {
-  const whole = groups.filter((group) => group.requests >= minRequestsPerCopy).length;
-  const room = utils.getSum(groups.map((group) => Math.min(minRequestsPerCopy, group.requests)));
-  return whole * wholeCopyValue + room * requestRoomValue + getTotalRate(groups);
+  const complete = groups.filter((group) => group.requests >= minRequestsPerCopy).length;
+  const capacity = utils.getSum(groups.map((group) => Math.min(minRequestsPerCopy, group.requests)));
+  return complete * completeCopyValue + capacity * requestCapacityValue + getTotalRate(groups);
 }
 
-/** All single moves and swaps; of engines that are alike one is enough. */
+/** Yields all single moves and swaps of engines; equal engines are tried only once. */
 function* getExchanges(source: CopyGroup, target: CopyGroup): Generator<[CopyEngine[], CopyEngine[]]> {
   for (const moved of getDistinct(source.engines)) {
     const left = source.engines.filter((engine) => engine !== moved);
@@ -179,7 +180,7 @@
   return [...new Map(engines.map((engine) => [`${engine.memoryMb}|${engine.stepFactor}`, engine])).values()];
 }
 
-/** Rates the copy that some engines can hold together. */
+/** Creates a group and computes the rate of its copy. The requests are negative if the model does not fit, so that the search can improve it. */
 function createGroup(engines: readonly CopyEngine[], model: CopyModel): CopyGroup {
   const spans = spreadLayers(engines, model);
   if (spans === undefined) {
@@ -190,7 +191,7 @@
   return { engines, ...rateChain(engines, spans, model) };
 }
 
-/** The requests that a chain holds, and how many it ends in a second. */
+/** Returns the number of concurrent requests of a chain, and how many requests it completes per second. */
 function rateChain(
   engines: readonly CopyEngine[],
   spans: readonly PlannedSpan[],
@@ -207,7 +208,7 @@
     factor += (layers / model.layerCount) * engine.stepFactor;
   }
   const requests = tokens / model.tokensPerRequest;
-  // The requests of a chain are spread over its engines, so each pass has only a part of them.
+  // The requests are distributed over the engines of the chain, so each step of an engine processes only a part of them.
   const stepMs = model.stepMs + (model.stepMsPerRequest * requests) / spans.length;
   const tokenMs = spans.length * model.hopMs + factor * stepMs;
   const perSecond = (requests * utils.msPerSecond) / (tokenMs * model.answerTokens);
@@ -215,14 +216,14 @@
 }
 
 /**
- * Gives each engine of a chain layers so that the tightest one holds the most tokens: the largest token count for which
- * the engines together hold all layers beside it (a bottleneck allocation, found by bisection).
+ * Distributes the layers over the engines of a chain so that the engine with the fewest tokens has as many as possible. The token count is
+ * the largest one beside which all layers fit on the engines together (a bottleneck allocation, found by bisection).
  */
 function spreadLayers(engines: readonly CopyEngine[], model: CopyModel): PlannedSpan[] | undefined {
   const count = (tokens: number): number =>
     utils.getSum(engines.map((engine) => getLayersBeside(engine, tokens, model)));
   if (count(1) < model.layerCount) return undefined;
-  const tokens = findMostTokens(count, model.layerCount);
+  const tokens = findMaxTokens(count, model.layerCount);
   const spans: PlannedSpan[] = [];
   let start = 0;
   for (const engine of engines) {
@@ -233,10 +234,10 @@
   return spans;
 }
 
-/** The most tokens beside which `countLayers` still gives all layers. */
-function findMostTokens(countLayers: (tokens: number) => number, layerCount: number): number {
+/** Finds the largest number of tokens for which `countLayers` returns at least `layerCount`. */
+function findMaxTokens(countLayers: (tokens: number) => number, layerCount: number): number {
   let low = 1;
-  let high = tokensCeiling;
+  let high = maxTokens;
   for (let step = 0; step < bisectionSteps; step++) {
     const middle = (low + high) / 2;
     if (countLayers(middle) >= layerCount) low = middle;
--- a/packages/placement/src/planPlacement.ts
+++ b/packages/placement/src/planPlacement.ts
@@ -1,13 +1,14 @@
-/** The planner: contiguous layer ranges on mixed engines, each availability zone whole in itself where it can be. */
+/** Placement of contiguous layer ranges on heterogeneous engines. Each availability zone with enough memory gets the whole model. */
 import { utils } from "@shedtiller/common";
 import { getThroughput } from "./getThroughput.js";
 import type { LayerRange, Placement, PlacementEngine } from "./PlacementEngine.js";
 
-const mostStages = 8;
-const improvementRounds = 12;
-const largestForSwaps = 40;
+const maxStages = 8;
+const maxImprovementRounds = 12;
+/** Largest number of engines in a pool for which swaps are tried besides moves. */
+const maxEnginesForSwaps = 40;
 
-/** Plans a model of `layerCount` layers. Gives an empty placement where the engines' memory does not hold it. */
+/** Plans the placement of a model with `layerCount` layers. Returns an empty placement if the model does not fit in the engines' memory. */
 export function planPlacement(engines: readonly PlacementEngine[], layerCount: number): Placement {
   const placement = new Map<string, LayerRange>();
   for (const pool of groupIntoPools(engines, layerCount)) {
@@ -16,29 +17,32 @@
   return placement;
 }
 
-/** A zone that can hold the whole model is a pool; what is left of the others is one pool together. */
+/**
+ * Groups the engines into pools: one for each zone in which the whole model fits, and one for all other zones together. If the model does
+ * not fit in the latter, its engines are added to the first pool.
+ */
 function groupIntoPools(engines: readonly PlacementEngine[], layerCount: number): PlacementEngine[][] {
   const byZone = new Map<string, PlacementEngine[]>();
   for (const engine of engines) {
     byZone.set(engine.availabilityZone, [...(byZone.get(engine.availabilityZone) ?? []), engine]);
   }
-  const whole: PlacementEngine[][] = [];
-  const rest: PlacementEngine[] = [];
+  const pools: PlacementEngine[][] = [];
+  const remaining: PlacementEngine[] = [];
   for (const zone of byZone.values()) {
     const memory = utils.getSum(zone.map((engine) => Math.min(engine.memoryLayers, layerCount)));
-    if (memory >= layerCount) whole.push(zone);
-    else rest.push(...zone);
+    if (memory >= layerCount) pools.push(zone);
+    else remaining.push(...zone);
   }
-  const restMemory = utils.getSum(rest.map((engine) => engine.memoryLayers));
-  if (rest.length > 0 && restMemory >= layerCount) whole.push(rest);
-  else if (rest.length > 0 && whole[0] !== undefined) whole[0].push(...rest);
-  return whole;
+  const remainingMemory = utils.getSum(remaining.map((engine) => engine.memoryLayers));
+  if (remaining.length > 0 && remainingMemory >= layerCount) pools.push(remaining);
+  else if (remaining.length > 0 && pools[0] !== undefined) pools[0].push(...remaining);
+  return pools;
 }
 
-/** Tries every number of stages and keeps the best; fewer stages win a tie, since each one adds latency. */
+/** Returns the best placement over all numbers of stages; fewer stages win a tie, since each stage adds latency. */
 function planPool(pool: readonly PlacementEngine[], layerCount: number): Placement {
   let best: { placement: Placement; rate: number } = { placement: new Map(), rate: 0 };
-  const limit = Math.min(mostStages, pool.length, layerCount);
+  const limit = Math.min(maxStages, pool.length, layerCount);
   for (let stages = 1; stages <= limit; stages++) {
     const groups = assignGroups(pool, stages, layerCount);
     if (groups === undefined) continue;
@@ -49,7 +53,7 @@
   return best.placement;
 }
 
-/** The engines that hold one range. */
+/** The engines that get the same range of layers. */
 interface Group {
   engines: PlacementEngine[];
   layers: number;
@@ -68,21 +72,22 @@
 }
 
 /**
- * Sorted by memory, the engines are cut into runs of about equal rate (so that small memories stand together), each run
- * gets layers by its rate within its memory, and then engines move or swap while that lifts the slowest stage.
+ * Assigns the engines and layers to stages. The engines, sorted by memory, are cut into groups of about equal rate, so that engines with
+ * little memory are in the same group. Each group gets layers in proportion to its rate within its memory. Then engines are moved or
+ * swapped between groups as long as that raises the rate of the slowest stage.
  */
 function assignGroups(
   pool: readonly PlacementEngine[],
   stages: number,
   layerCount: number,
 ): Group[] | undefined {
-  const groups = cutIntoRuns(pool, stages);
-  if (groups === undefined || !shareLayers(groups, layerCount)) return undefined;
-  for (let round = 0; round < improvementRounds; round++) if (!improve(groups, layerCount)) break;
+  const groups = createGroups(pool, stages);
+  if (groups === undefined || !distributeLayers(groups, layerCount)) return undefined;
+  for (let round = 0; round < maxImprovementRounds; round++) if (!improve(groups, layerCount)) break;
   return groups;
 }
 
-function cutIntoRuns(pool: readonly PlacementEngine[], stages: number): Group[] | undefined {
+function createGroups(pool: readonly PlacementEngine[], stages: number): Group[] | undefined {
   const sorted = [...pool].sort(
     (a, b) => a.memoryLayers - b.memoryLayers || b.layersPerSecond - a.layersPerSecond,
   );
@@ -92,7 +97,7 @@
   let latest = -1;
   for (const [index, engine] of sorted.entries()) {
     const byRate = Math.floor(((sum + engine.layersPerSecond / 2) / total) * stages);
-    // Every group gets at least one engine: never so late that too few are left for the groups behind.
+    // Every group needs at least one engine, so an engine goes to a later group if too few would remain for the groups after it.
     const earliest = stages - (sorted.length - index);
     const target = Math.min(stages - 1, latest + 1, Math.max(byRate, earliest, 0));
     groups[target]?.engines.push(engine);
@@ -102,32 +107,35 @@
   return groups.every((group) => group.engines.length > 0) ? groups : undefined;
 }
 
-/** Gives each group layers by its rate: one each, then always to the group that stays the fastest with one more. */
-function shareLayers(groups: readonly Group[], layerCount: number): boolean {
+/**
+ * Distributes the layers to the groups: one to each group, then each further layer to the group that remains the fastest with it. Returns
+ * false if the layers don't fit.
+ */
+function distributeLayers(groups: readonly Group[], layerCount: number): boolean {
   for (const group of groups) group.layers = 1;
   for (let left = layerCount - groups.length; left > 0; left--) {
-    const open = groups.filter((group) => group.layers < getMemory(group));
-    const next = pickBest(open, (group) => getRate(group) / (group.layers + 1));
+    const candidates = groups.filter((group) => group.layers < getMemory(group));
+    const next = findBest(candidates, (group) => getRate(group) / (group.layers + 1));
     if (next === undefined) return false;
     next.layers += 1;
   }
   return groups.every((group) => group.layers <= getMemory(group));
 }
 
-/** Makes the one move or swap that lifts the slowest stage most. Tells whether there was one. */
+/** Applies the move or swap that raises the rate of the slowest stage most; returns whether there was one. */
 function improve(groups: Group[], layerCount: number): boolean {
   let best: { groups: Group[]; rate: number } | undefined;
   const consider = (candidate: Group[]): void => {
     if (candidate.some((group) => group.engines.length === 0)) return;
-    if (!shareLayers(candidate, layerCount)) return;
+    if (!distributeLayers(candidate, layerCount)) return;
     const rate = getBottleneck(candidate);
     if (rate > (best?.rate ?? getBottleneck(groups)) * 1.0001) best = { groups: candidate, rate };
   };
   const size = utils.getSum(groups.map((group) => group.engines.length));
   for (const [from, source] of groups.entries()) {
-    for (const engine of distinct(source.engines)) {
+    for (const engine of getDistinct(source.engines)) {
       for (let to = 0; to < groups.length; to++) if (to !== from) consider(move(groups, engine, from, to));
-      if (size <= largestForSwaps) for (const swapped of getSwaps(groups, engine, from)) consider(swapped);
+      if (size <= maxEnginesForSwaps) for (const swapped of getSwaps(groups, engine, from)) consider(swapped);
     }
   }
   if (best === undefined) return false;
@@ -135,8 +143,8 @@
   return true;
 }
 
-/** One of each kind is enough to try: engines of one kind are alike. */
-function distinct(engines: readonly PlacementEngine[]): PlacementEngine[] {
+/** Returns one engine of each kind, since engines with equal rate and memory are interchangeable. */
+function getDistinct(engines: readonly PlacementEngine[]): PlacementEngine[] {
   const kinds = new Map(
     engines.map((engine) => [`${engine.layersPerSecond}|${engine.memoryLayers}`, engine]),
   );
@@ -157,7 +165,7 @@
 
 function* getSwaps(groups: readonly Group[], engine: PlacementEngine, from: number): Generator<Group[]> {
   for (let to = from + 1; to < groups.length; to++) {
-    for (const other of distinct(groups[to]?.engines ?? [])) {
+    for (const other of getDistinct(groups[to]?.engines ?? [])) {
       yield move(move(groups, engine, from, to), other, to, from);
     }
   }
@@ -173,7 +181,7 @@
   return placement;
 }
 
-function pickBest<T>(items: readonly T[], getValue: (item: T) => number): T | undefined {
+function findBest<T>(items: readonly T[], getValue: (item: T) => number): T | undefined {
   return items.reduce<T | undefined>(
     (best, item) => (best === undefined || getValue(item) > getValue(best) ? item : best),
     undefined,
--- a/packages/placement/src/tests/BalanceSearchTests.ts
+++ b/packages/placement/src/tests/BalanceSearchTests.ts
@@ -1,4 +1,4 @@
-/** A balance fills gaps, keeps what is whole whole, and gives the scarcest layer as much room as its steps find. */
+/** A balance fills gaps, never increases the cost, and leaves KV cache for enough requests on the layer with the fewest tokens. */
 import test from "ava";
 import * as fc from "fast-check";
 import { ZoneArrangement, type BalancedSpan } from "../ZoneArrangement.js";
@@ -21,10 +21,10 @@
   { memoryMb: 14_400, stepFactor: 5.3 },
   { memoryMb: 21_600, stepFactor: 16 },
 ];
-/** A zone that lost any engine has room for this many usual requests at least. */
-const leastRequests = 25;
+/** Minimum number of usual requests that a zone can serve after the loss of any one engine. */
+const minRequests = 25;
 
-function hold(fleet: readonly CopyEngine[]): BalancedSpan[] {
+function planSpans(fleet: readonly CopyEngine[]): BalancedSpan[] {
   const planned = planLayerCopies(fleet, model);
   return fleet.map((engine) => {
     const span = planned.find((item) => item.name === engine.name);
@@ -32,8 +32,8 @@
   });
 }
 
-/** Tokens that fit at the scarcest layer. */
-function getScarcestTokens(spans: readonly BalancedSpan[]): number {
+/** Returns the tokens of the layer with the fewest. */
+function getMinTokens(spans: readonly BalancedSpan[]): number {
   const tokens = Array.from({ length: model.layerCount }, (_, layer) =>
     spans
       .filter((span) => span.start <= layer && layer < span.end)
@@ -48,66 +48,68 @@
   [1, 6, 6],
   [1, 10, 4],
 ]) {
-  test(`a zone of ${counts.join(", ")} engines is whole without any one of them, with room for requests`, (t) => {
-    const balanced = planBalance(hold(createFleet(kinds, counts)), model);
+  test(`a zone of ${counts.join(", ")} engines can serve requests after the loss of any one of them`, (t) => {
+    const balanced = planBalance(planSpans(createFleet(kinds, counts)), model);
     for (const [index, lost] of balanced.entries()) {
-      const held = balanced.filter((_, at) => at !== index);
-      const moved = planBalance(held, model);
-      const anew = planBalance(hold(held.map(({ engine }) => engine)), model);
-      const tokens = Math.max(getScarcestTokens(moved), getScarcestTokens(anew));
-      t.true(tokens > leastRequests * model.tokensPerRequest, lost.engine.name);
+      const remaining = balanced.filter((_, at) => at !== index);
+      const moved = planBalance(remaining, model);
+      const anew = planBalance(planSpans(remaining.map(({ engine }) => engine)), model);
+      const tokens = Math.max(getMinTokens(moved), getMinTokens(anew));
+      t.true(tokens > minRequests * model.tokensPerRequest, lost.engine.name);
     }
   });
 }
 
-test("an empty engine takes the gap that a lost one left", (t) => {
-  const held = hold(createFleet(kinds, [2, 2, 5]));
-  const [first, ...others] = held;
+test("an empty engine gets the layers of a lost one", (t) => {
+  const spans = planSpans(createFleet(kinds, [2, 2, 5]));
+  const [first, ...others] = spans;
   if (first === undefined) return t.fail();
   const empty = { engine: { ...first.engine, name: "returned" }, start: 0, end: 0 };
   const returned = planBalance([...others, empty], model).at(-1);
   t.true(returned !== undefined && returned.start <= first.start && returned.end >= first.end - 4);
 });
 
-test("an engine that is empty in a zone that is whole takes work as well", (t) => {
-  const held = hold(createFleet(kinds, [1, 6, 6]));
+test("an empty engine gets layers also in a zone without gaps", (t) => {
+  const before = planSpans(createFleet(kinds, [1, 6, 6]));
   const empty = { engine: { name: "new", memoryMb: 72_000, stepFactor: 2.4 }, start: 0, end: 0 };
-  const after = planBalance([...held, empty], model);
+  const after = planBalance([...before, empty], model);
   t.true((after.at(-1)?.end ?? 0) > 0);
-  t.true(getScarcestTokens(after) >= leastRequests * model.tokensPerRequest);
+  t.true(getMinTokens(after) >= minRequests * model.tokensPerRequest);
 });
 
-test("any zone that lost engines ends at no higher cost, each engine within its memory", (t) => {
+test("after any losses the balance has no higher cost, and each engine stays within its memory", (t) => {
   const lost = fc.uniqueArray(fc.nat({ max: 12 }), { maxLength: 4 });
   const counts = fc.tuple(fc.integer({ min: 1, max: 3 }), fc.nat({ max: 6 }), fc.nat({ max: 6 }));
   const property = fc.property(counts, lost, (fleetCounts, lostIndexes) => {
-    const held = hold(createFleet(kinds, fleetCounts)).filter((_, index) => !lostIndexes.includes(index));
-    const balanced = planBalance(held, model);
+    const remaining = planSpans(createFleet(kinds, fleetCounts)).filter(
+      (_, index) => !lostIndexes.includes(index),
+    );
+    const balanced = planBalance(remaining, model);
     const cost = (spans: readonly BalancedSpan[]): number => new ZoneArrangement(spans, model).getCost();
     const fits = balanced.every(
       ({ engine, start, end }) =>
         start >= 0 && end <= model.layerCount && (end - start) * model.layerMb <= engine.memoryMb,
     );
-    const keepsNames = balanced.every((span, index) => span.engine === held[index]?.engine);
-    return fits && keepsNames && cost(balanced) <= cost(held) + 1e-6;
+    const keepsNames = balanced.every((span, index) => span.engine === remaining[index]?.engine);
+    return fits && keepsNames && cost(balanced) <= cost(remaining) + 1e-6;
   });
   t.notThrows(() => fc.assert(property, { seed: 5, numRuns: 40 }));
 });
 
-test("the neighbours of any lost engine grow over its layers and give none up", (t) => {
+test("the neighbours of any lost engine add its layers and remove none", (t) => {
   for (const counts of [
     [2, 4, 4],
     [1, 6, 6],
     [1, 10, 4],
   ]) {
-    const whole = hold(createFleet(kinds, counts));
-    for (const lost of whole) {
-      // The largest hold so much that their neighbours have no room for it.
+    const spans = planSpans(createFleet(kinds, counts));
+    for (const lost of spans) {
+      // The largest engines have so many layers that they don't fit on their neighbours.
       if (lost.engine.memoryMb > 50_000) continue;
-      const held = whole.filter((span) => span !== lost);
-      const grown = planBalance(held, model, { isGrowthOnly: true });
-      t.true(getScarcestTokens(grown) > model.tokensPerRequest, lost.engine.name);
-      const isOnlyMore = held.every((span, index) => {
+      const remaining = spans.filter((span) => span !== lost);
+      const grown = planBalance(remaining, model, { isGrowthOnly: true });
+      t.true(getMinTokens(grown) > model.tokensPerRequest, lost.engine.name);
+      const isOnlyMore = remaining.every((span, index) => {
         const now = grown[index];
         return now !== undefined && now.start <= span.start && span.end <= now.end;
       });
@@ -116,12 +118,12 @@
   }
 });
 
-test("what is held while an engine changes over leaves the room that is asked for", (t) => {
-  const held = hold(createFleet(kinds, [1, 6, 6]));
+test("the current and new layers of a growing engine together leave the required tokens", (t) => {
+  const before = planSpans(createFleet(kinds, [1, 6, 6]));
   const empty = { engine: { name: "new", memoryMb: 72_000, stepFactor: 2.4 }, start: 0, end: 0 };
   const leastTokensBeside = 100_000;
-  const after = planBalance([...held, empty], model, { leastTokensBeside });
-  for (const [index, { engine, start, end }] of held.entries()) {
+  const after = planBalance([...before, empty], model, { leastTokensBeside });
+  for (const [index, { engine, start, end }] of before.entries()) {
     const now = after[index] ?? { start, end };
     const layers = Math.max(end, now.end) - Math.min(start, now.start);
     const isGrowing = now.start < start || now.end > end;
--- a/packages/placement/src/tests/burstTests.ts
+++ b/packages/placement/src/tests/burstTests.ts
@@ -1,4 +1,4 @@
-/** Room for a burst is kept where requests have a choice between copies, and nowhere else. */
+/** Headroom for bursts is reserved only if requests have a choice between copies of the model. */
 import test from "ava";
 import { getBurstRequests, getTokensBeyondBurst } from "../burst.js";
 import type { CopyEngine, CopyModel } from "../planLayerCopies.js";
@@ -27,7 +27,7 @@
   );
 }
 
-test("a zone with memory for many copies keeps room for what it begins within 0.4 s", (t) => {
+test("a zone with memory for many copies reserves headroom for the requests that it starts within 0.4 s", (t) => {
   const engines = create([
     [2, 72_000, 2.4],
     [18, 43_200, 5.6],
@@ -37,7 +37,7 @@
   t.true(burst > 30 && burst < 50, `${burst}`);
 });
 
-test("a zone that is best with one copy keeps none", (t) => {
+test("a zone for which one copy is best reserves no headroom", (t) => {
   const engines = create([
     [1, 72_000, 2.4],
     [6, 14_400, 5.3],
@@ -47,7 +47,7 @@
   t.is(getBurstRequests([], model), 0);
 });
 
-test("an engine with no room beyond a burst still counts", (t) => {
+test("an engine without tokens beyond a burst still counts with a share of its tokens", (t) => {
   t.is(getTokensBeyondBurst(95_000, { ...model, burstRequests: 40 }), 57_000);
   t.is(getTokensBeyondBurst(9_500, { ...model, burstRequests: 40 }), 2_850);
   t.is(getTokensBeyondBurst(9_500, model), 9_500);
--- a/packages/placement/src/tests/planLayerCopiesTests.ts
+++ b/packages/placement/src/tests/planLayerCopiesTests.ts
@@ -1,4 +1,4 @@
-/** Plans hold whole copies, within the memory of each engine, with room for requests. */
+/** Plans contain complete copies only, within the memory of each engine, with KV cache for requests. */
 import test from "ava";
 import * as fc from "fast-check";
 import { getTokensBeside, planLayerCopies, type CopyModel } from "../planLayerCopies.js";
@@ -27,7 +27,7 @@
   );
 }
 
-test("any fleet gets whole copies only, each engine at most once and with room beside its layers", (t) => {
+test("any fleet gets complete copies only, with each engine at most once and KV cache beside its layers", (t) => {
   const property = fc.property(
     fc.tuple(fc.nat({ max: 4 }), fc.nat({ max: 8 }), fc.nat({ max: 10 })),
     (counts) => {
@@ -47,11 +47,11 @@
   t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 60 }));
 });
 
-test("a zone that cannot hold the model with room for requests holds nothing", (t) => {
+test("a zone without memory for the model and its requests gets no layers", (t) => {
   t.deepEqual(planLayerCopies(createFleet(kinds, [1, 1, 0]), model), []);
 });
 
-test("a zone whose second copy would leave little room has one copy", (t) => {
+test("a zone gets one copy if a second one would leave too little KV cache", (t) => {
   t.is(countHolders(planLayerCopies(createFleet(kinds, [2, 2, 5]), model))[0], 1);
   t.is(countHolders(planLayerCopies(createFleet(kinds, [1, 3, 8]), model))[0], 2);
 });
--- a/packages/placement/src/tests/planPlacementTests.ts
+++ b/packages/placement/src/tests/planPlacementTests.ts
@@ -13,7 +13,7 @@
   return { name, availabilityZone, layersPerSecond, memoryLayers };
 }
 
-/** The best throughput over every assignment of every range, for small cases. */
+/** Returns the best throughput over all assignments of ranges by exhaustive search, for small cases. */
 function findOptimum(engines: readonly PlacementEngine[], layerCount: number): number {
   const ranges: (LayerRange | undefined)[] = [undefined];
   for (let first = 0; first < layerCount; first++)
@@ -38,7 +38,7 @@
   return best;
 }
 
-test("throughput is the bottleneck of a chain, and parallel ways add up", (t) => {
+test("the throughput of a chain is that of its bottleneck, and parallel chains add up", (t) => {
   const engines = [createEngine("a", 160), createEngine("b", 320), createEngine("c", 320)];
   const chain = new Map<string, LayerRange>([
     ["a", [0, 16]],
@@ -65,7 +65,7 @@
   t.true(Math.min(...ratios) >= 0.9, ratios.map((ratio) => ratio.toFixed(3)).join(" "));
 });
 
-test("no engine gets more layers than fit into its memory, and each zone that can is whole in itself", (t) => {
+test("no engine gets more layers than fit in its memory, and each zone with enough memory gets the whole model", (t) => {
   const engines = ["x", "y"].flatMap((zone) => [
     createEngine(`${zone}1`, 100, 20, zone),
     createEngine(`${zone}2`, 100, 14, zone),
@@ -82,6 +82,6 @@
   }
 });
 
-test("engines whose memory does not hold the model get no placement", (t) => {
+test("engines without enough memory for the model get no placement", (t) => {
   t.is(planPlacement([createEngine("a", 100, 10), createEngine("b", 100, 10)], 32).size, 0);
 });
