--- a/packages/logservice/src/LogFollower.ts
+++ b/packages/logservice/src/LogFollower.ts
@@ -1,23 +1,23 @@
-/** One task that follows a stream of the log and hands each record on, in order and once. */
+/** Consumption of a stream of the log: each record is delivered once and in order. */
 import { utils } from "@shedtiller/common";
 import type { LogRecord, LogService } from "./LogService.js";
 
 const pollWaitMs = 10_000;
 const retryMs = 250;
 
-/** Takes the records of a stream. */
+/** Consumer of the records of a stream. */
 export interface LogSink {
-  /** Takes one record. Records come in order of offset. */
+  /** Processes a record. Records are delivered in the order of their offsets. */
   acceptRecord(record: LogRecord): void;
-  /** Records before `oldestOffset` aged out before they were read. */
+  /** Called when the records before `oldestOffset` have expired before they were read. */
   skipTo(oldestOffset: number): void;
 }
 
-/** Follows one stream. `isCaughtUp` and `lastContactMs` tell how fresh what it handed on is. */
+/** Reads a stream by long polling and delivers its records to a sink. `isCaughtUp` and `lastContactMs` show the freshness of the sink. */
 export class LogFollower {
-  /** The offset that is read next. */
+  /** Offset of the next record to read. */
   nextOffset = 0;
-  /** Monotonic milliseconds of the last answer of the log; undefined before the first. */
+  /** Monotonic time of the last successful read; undefined before the first. */
   lastContactMs: number | undefined;
   /** Whether the end of the stream has been reached at least once. */
   isCaughtUp = false;
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Resolves once the record at `offset` has been handed on. */
+  /** Resolves once the record at `offset` has been delivered to the sink or skipped. */
   waitFor(offset: number): Promise<void> {
     if (this.nextOffset > offset) return Promise.resolve();
     const done = new utils.Deferred<void>();
@@ -49,26 +49,26 @@
     const page = await this._log.read(this._stream, this.nextOffset, waitMs, signal);
     if (page.err || signal.aborted) return false;
     this.lastContactMs = utils.monotonicMs();
-    this._skipAgedOut(page.val.oldestOffset);
-    for (const record of page.val.records) this._handOn(record);
+    this._skipExpired(page.val.oldestOffset);
+    for (const record of page.val.records) this._deliver(record);
     if (this.nextOffset >= page.val.nextOffset) this.isCaughtUp = true;
-    this._wakeWaiters();
+    this._resolveWaiters();
     return true;
   }
 
-  private _skipAgedOut(oldestOffset: number): void {
+  private _skipExpired(oldestOffset: number): void {
     if (oldestOffset <= this.nextOffset) return;
     this._sink.skipTo(oldestOffset);
     this.nextOffset = oldestOffset;
   }
 
-  private _handOn(record: LogRecord): void {
+  private _deliver(record: LogRecord): void {
     if (record.offset !== this.nextOffset) return;
     this._sink.acceptRecord(record);
     this.nextOffset += 1;
   }
 
-  private _wakeWaiters(): void {
+  private _resolveWaiters(): void {
     for (let index = this._waiters.length - 1; index >= 0; index--) {
       const waiter = this._waiters[index];
       if (waiter === undefined || waiter.offset >= this.nextOffset) continue;
--- a/packages/logservice/src/LogService.ts
+++ b/packages/logservice/src/LogService.ts
@@ -1,54 +1,54 @@
-/** The platform's append-only log service, as the system sees it. */
+/** Interface of the platform's append-only log service. */
 import { errors, type results } from "@shedtiller/common";
 import * as zod from "zod";
 
 export const logRecordSchema = zod.object({
   offset: zod.number().int().nonnegative(),
-  /** When the service took the record, in milliseconds since the Unix epoch. */
+  /** Time at which the service stored the record, in milliseconds since the Unix epoch. */
   atMs: zod.number(),
   id: zod.string(),
   payload: zod.unknown(),
 });
 
-/** One record. Offsets of a stream rise by one from 0; `id` is the appender's own. */
+/** A record of a stream. Offsets start at 0 and increase by one; `id` is set by the appender. */
 export type LogRecord = zod.infer<typeof logRecordSchema>;
 
 export const logPageSchema = zod.object({
   records: zod.array(logRecordSchema),
-  /** The oldest offset still kept; records before it have aged out. */
+  /** Offset of the oldest retained record; earlier records have expired. */
   oldestOffset: zod.number().int().nonnegative(),
-  /** The offset that the next append will get. */
+  /** Offset that the next append will get. */
   nextOffset: zod.number().int().nonnegative(),
 });
 
-/** A run of records and the bounds of what the service keeps. */
+/** Consecutive records of a stream, and the range of offsets that the service retains. */
 export type LogPage = zod.infer<typeof logPageSchema>;
 
-/** What an append that got its reply tells. */
+/** The reply to a successful append. */
 export interface AppendReceipt {
   readonly offset: number;
   readonly atMs: number;
 }
 
-/** Why the log did not answer as asked. Only `NotReachedError` proves that an append took no effect. */
+/** Reasons for which a call to the log fails. After a `NotReachedError` or `LogRefusedError` an append has certainly had no effect. */
 export type LogError =
   errors.NotReachedError | errors.ConnectionLostError | errors.DeadlineError | LogRefusedError;
 
-/** The log service answered that it did not take the append: too many a second, or out of service. */
+/** The log service rejected a call, for example because of its rate limit or because it is out of service. */
 export class LogRefusedError extends errors.ShedtillerError {
   readonly code = "log_refused";
 
   constructor(readonly status: number) {
-    super(`The log service refused with status ${status}.`);
+    super(`The log service rejected the call with status ${status}.`);
   }
 }
 
-/** Appends to and reads from streams of the log service. */
+/** Appends records to streams of the log service and reads them. */
 export abstract class LogService {
   /**
-   * Appends one record.
-   * @param id - Unique id of the record, by which a lost reply can be resolved.
-   * @param timeoutMs - How long to wait for the reply; without a reply it is not known whether the append took effect.
+   * Appends a record.
+   * @param id - Unique id of the record, with which the outcome of an append can be found after a lost reply.
+   * @param timeoutMs - Maximum time to wait for the reply; after a timeout, the append may or may not have taken effect.
    */
   abstract append(
     stream: string,
@@ -58,8 +58,8 @@
   ): Promise<results.Result<AppendReceipt, LogError>>;
 
   /**
-   * Reads records from an offset on.
-   * @param waitMs - How long the service may hold the call while there is nothing new.
+   * Reads records starting at an offset.
+   * @param waitMs - Maximum time for which the service delays its answer while there are no new records (long polling).
    */
   abstract read(
     stream: string,
--- a/packages/logservice/src/http/HttpInstanceList.ts
+++ b/packages/logservice/src/http/HttpInstanceList.ts
@@ -1,4 +1,4 @@
-/** The instance list over HTTP. The form is stated in docs/INTERFACES.md. */
+/** Client of the instance list over HTTP. The protocol is specified in docs/INTERFACES.md. */
 import { errors, results } from "@shedtiller/common";
 import got from "got";
 import {
@@ -12,14 +12,14 @@
 const requestTimeoutMs = 2_000;
 const notModifiedStatus = 304;
 
-/** Talks to the instance list at one address. */
+/** Reads the instance list from an address over HTTP, with conditional requests. */
 export class HttpInstanceList extends InstanceList {
   private _entityTag: string | undefined;
-  private _known: ListedInstance[] = [];
+  private _cached: ListedInstance[] = [];
 
   /**
    * @param address - IP address and port of the list.
-   * @param viewer - Name of the asking instance.
+   * @param viewer - Name of the instance that sends the requests.
    */
   constructor(
     readonly address: string,
@@ -36,12 +36,12 @@
         retry: { limit: 0 },
         timeout: { request: requestTimeoutMs },
       });
-      // The page is large and changes seldom; where it has not changed, the service says just that.
-      if (response.statusCode === notModifiedStatus) return results.Ok(this._known);
+      // The list is large and changes rarely, so the service omits it if its entity tag has not changed.
+      if (response.statusCode === notModifiedStatus) return results.Ok(this._cached);
       const page = instancePageSchema.safeParse(JSON.parse(response.body));
       if (!page.success) return results.Err(errors.fromSchemaIssues("instance list", page.error.issues));
       this._entityTag = response.headers.etag;
-      this._known = page.data.instances;
+      this._cached = page.data.instances;
       return results.Ok(page.data.instances);
     } catch (error) {
       return results.Err(classifyHttpError(this.address, error));
--- a/packages/logservice/src/http/HttpLogService.ts
+++ b/packages/logservice/src/http/HttpLogService.ts
@@ -1,4 +1,4 @@
-/** The log service over HTTP. The form is stated in docs/INTERFACES.md. */
+/** Client of the log service over HTTP. The protocol is specified in docs/INTERFACES.md. */
 import { errors, results } from "@shedtiller/common";
 import got from "got";
 import * as zod from "zod";
@@ -19,7 +19,7 @@
 const okStatus = 200;
 const receiptSchema = zod.object({ offset: zod.number().int().nonnegative(), atMs: zod.number() });
 
-/** Talks to the log service at one address. */
+/** Appends and reads records of the log service at an address over HTTP. */
 export class HttpLogService extends LogService {
   /** @param address - IP address and port of the service. */
   constructor(readonly address: string) {
--- a/packages/logservice/src/http/classifyHttpError.ts
+++ b/packages/logservice/src/http/classifyHttpError.ts
@@ -1,4 +1,4 @@
-/** What a failed HTTP call proves about the other side. */
+/** Classification of failed HTTP calls by whether the server may have received the request. */
 import { errors } from "@shedtiller/common";
 import * as got from "got";
 
@@ -14,8 +14,8 @@
 const neverConnectedPhases = new Set(["lookup", "connect", "secureConnect"]);
 
 /**
- * Tells a connection that never stood, on which nothing was written, from one that was lost.
- * Only calls on fresh connections may rely on it: on a kept one a reset can come after the write.
+ * Converts the error of an HTTP call to `NotReachedError` if the connection was never established, so that nothing was written, and to
+ * `ConnectionLostError` otherwise. Valid for new connections only: on a reused connection, a reset can occur after the write.
  */
 export function classifyHttpError(
   address: string,
--- a/packages/settings/src/checkSettings.ts
+++ b/packages/settings/src/checkSettings.ts
@@ -1,4 +1,4 @@
-/** The check of a whole settings file: every fault is listed with its line, unknown keys with the nearest known one. */
+/** Validation of settings files. All errors are reported together with their lines, and unknown keys with the closest known one. */
 import * as fs from "node:fs";
 import { errors, results } from "@shedtiller/common";
 import type * as zod from "zod";
@@ -6,10 +6,10 @@
 import { getNearest } from "./getNearest.js";
 import { readIni, type IniDocument } from "./readIni.js";
 
-/** How far clocks of callers and the log may differ; the claims fold uses the same figure. */
-const clockDifferenceMs = 60_000;
+/** Maximum clock skew between callers and the log; the projection of the claims stream uses the same value. */
+const maxClockSkewMs = 60_000;
 
-/** All faults of a settings file together. */
+/** All errors of a settings file. */
 export class SettingsError extends errors.ShedtillerError {
   readonly code = "invalid_settings";
 
@@ -18,7 +18,7 @@
   }
 }
 
-/** Reads and checks the settings file of an entry instance. */
+/** Reads and validates the settings file of an entry instance. */
 export function loadSettings(file: string): results.Result<InstanceSettings, SettingsError> {
   let text: string;
   try {
@@ -29,20 +29,20 @@
   return checkSettings(text, file);
 }
 
-/** Checks the text of a settings file. `file` names it in faults. */
+/** Validates the text of a settings file. `file` is its name in errors. */
 export function checkSettings(text: string, file: string): results.Result<InstanceSettings, SettingsError> {
   const checked = checkSections(instanceSettingsSchema, text, file);
   if (checked.err) return checked;
-  return checkTogether(checked.val.settings, checked.val.document, file);
+  return checkCombinations(checked.val.settings, checked.val.document, file);
 }
 
-/** Settings that passed the check of their fields, and where each key stands. */
+/** Settings whose fields are valid, and the document with the line of each key. */
 export interface CheckedSections<T> {
   readonly settings: T;
   readonly document: IniDocument;
 }
 
-/** Checks INI text against a schema of sections. `file` names it in faults. */
+/** Validates INI text against a schema of sections. `file` is its name in errors. */
 export function checkSections<Shape extends zod.ZodRawShape>(
   schema: zod.ZodObject<Shape>,
   text: string,
@@ -58,8 +58,8 @@
   return results.Err(new SettingsError(faults));
 }
 
-/** Faults that only show when fields are looked at together. */
-function checkTogether(
+/** Validates the rules that involve several fields. */
+function checkCombinations(
   settings: InstanceSettings,
   document: IniDocument,
   file: string,
@@ -68,12 +68,12 @@
   const add = (section: string, key: string, reason: string): void => {
     faults.push(new errors.InvalidInputError(getPlace([section, key], document, file), reason));
   };
-  if (settings.claims.horizonMs + clockDifferenceMs >= settings.platform.logRetentionMs) {
-    add("claims", "horizonMs", `must stay ${clockDifferenceMs} ms or more below [platform] logRetentionMs`);
+  if (settings.claims.horizonMs + maxClockSkewMs >= settings.platform.logRetentionMs) {
+    add("claims", "horizonMs", `must be more than ${maxClockSkewMs} ms below [platform] logRetentionMs`);
   }
   const { tlsCertificateFile, tlsKeyFile } = settings.security;
   if ((tlsCertificateFile === undefined) !== (tlsKeyFile === undefined)) {
-    add("security", "tlsCertificateFile", "goes together with tlsKeyFile");
+    add("security", "tlsCertificateFile", "must be set together with tlsKeyFile");
   }
   return faults.length === 0 ? results.Ok(settings) : results.Err(new SettingsError(faults));
 }
@@ -100,8 +100,8 @@
 ): errors.InvalidInputError {
   const key = path[path.length - 1] ?? "";
   const nearest = getNearest(key, getKnownKeys(path.slice(0, -1), shape));
-  const advice = nearest === undefined ? "" : `; did you mean ${nearest}`;
-  return new errors.InvalidInputError(getPlace(path, document, file), `is not a known name${advice}`);
+  const suggestion = nearest === undefined ? "" : `; did you mean ${nearest}`;
+  return new errors.InvalidInputError(getPlace(path, document, file), `is not a known name${suggestion}`);
 }
 
 function getKnownKeys(sectionPath: readonly string[], shape: zod.ZodRawShape): string[] {
@@ -110,7 +110,7 @@
   return Object.keys(unwrapShape(shape[section]));
 }
 
-/** Sections with defaults wrap their object; this finds the keys behind the wrapping. */
+/** Returns the shape of a section's object schema, which may be wrapped in schemas for defaults. */
 function unwrapShape(schema: unknown): object {
   const candidate = schema as { shape?: object; def?: { innerType?: unknown } };
   if (candidate.shape !== undefined) return candidate.shape;
--- a/packages/settings/src/getNearest.ts
+++ b/packages/settings/src/getNearest.ts
@@ -1,6 +1,6 @@
-/** The nearest known name to a mistyped one. */
+/** Suggestions for mistyped names. */
 
-/** Edit distance (Levenshtein, 1966) between two short texts. */
+/** Returns the edit distance (Levenshtein, 1966) between two short texts. */
 export function getEditDistance(a: string, b: string): number {
   let previous = Array.from({ length: b.length + 1 }, (_, index) => index);
   for (let i = 1; i <= a.length; i++) {
@@ -14,7 +14,7 @@
   return previous[b.length] ?? 0;
 }
 
-/** Gives the known name nearest to `name`, or undefined where none is alike. */
+/** Returns the known name closest to `name`; undefined if none is similar. */
 export function getNearest(name: string, known: readonly string[]): string | undefined {
   const lower = name.toLowerCase();
   const ranked = known
--- a/packages/settings/src/instanceSettings.ts
+++ b/packages/settings/src/instanceSettings.ts
@@ -1,11 +1,11 @@
-/** The schema of an entry instance's settings. */
+/** Schema of the settings of an entry instance. */
 import * as zod from "zod";
 
 const address = zod
   .string()
   .regex(
     /^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d{1,5}$/i,
-    "expected an IP address and a port, as 10.0.0.1:8080",
+    "expected an IP address and a port, such as 10.0.0.1:8080",
   );
 const positive = zod.coerce.number().positive();
 const sizeBytes = zod.coerce.number().int().positive();
@@ -26,14 +26,14 @@
     logAddress: address,
     instanceListAddress: address,
     appendsPerSecond: positive.default(100),
-    /** How long the log service keeps records. */
+    /** Time for which the log service retains records. */
     logRetentionMs: positive.default(86_400_000),
   }),
   security: zod
     .strictObject({
-      /** File that holds the secret which instances prove to each other; else SHEDTILLER_PEER_SECRET. */
+      /** File with the shared secret by which instances authenticate each other; if absent, SHEDTILLER_PEER_SECRET is used. */
       peerSecretFile: filePath.optional(),
-      /** File that holds the operators' token hash, as `shedtiller key` prints it; else SHEDTILLER_OPERATOR_TOKEN_HASH. */
+      /** File with the operators' token hash as printed by `shedtiller key`; if absent, SHEDTILLER_OPERATOR_TOKEN_HASH is used. */
       operatorTokenHashFile: filePath.optional(),
       tlsCertificateFile: filePath.optional(),
       tlsKeyFile: filePath.optional(),
@@ -50,7 +50,7 @@
     .prefault({}),
   claims: zod
     .strictObject({
-      /** How old an idempotency key may be. Must stay below the log's retention, less clock differences. */
+      /** Maximum age of an idempotency key. Must be below the retention of the log by more than the maximum clock skew. */
       horizonMs: positive.default(600_000),
       answersKept: zod.coerce.number().int().positive().default(10_000),
     })
@@ -63,5 +63,5 @@
     .prefault({}),
 });
 
-/** The settings of one entry instance, checked. */
+/** The validated settings of an entry instance. */
 export type InstanceSettings = zod.infer<typeof instanceSettingsSchema>;
--- a/packages/settings/src/readIni.ts
+++ b/packages/settings/src/readIni.ts
@@ -1,11 +1,11 @@
-/** Reading of INI text into sections, remembering the line of each key. */
+/** Parsing of INI text into sections, with the line of each key for error messages. */
 import { errors, results } from "@shedtiller/common";
 import * as ini from "ini";
 
-/** Sections of keys and their texts; a section `[a.b]` stands under the name `a.b`. */
+/** Values by section and key; a section `[a.b]` has the name `a.b`. */
 export type IniSections = Record<string, Record<string, string>>;
 
-/** What was read: the sections, and the line of each `section/key`. */
+/** A parsed document: its sections, and the line of each `section/key`. */
 export interface IniDocument {
   readonly sections: IniSections;
   readonly lines: ReadonlyMap<string, number>;
@@ -15,25 +15,25 @@
 const keyPattern = /^\s*([^=;#\s][^=]*?)\s*=/;
 const commentPattern = /^\s*([;#].*)?$/;
 
-/** Reads INI text. Fails on a line that is none of section, key, comment or blank, and on a key given twice. */
+/** Parses INI text. Fails on a line that is neither a section, a key, a comment nor blank, and on a duplicate key. */
 export function readIni(text: string, file: string): results.Result<IniDocument, errors.InvalidInputError> {
   const located = locateKeys(text, file);
   if (located.err) return located;
   const sections: IniSections = {};
-  for (const [place] of located.val) {
-    const [section, key] = splitPlace(place);
+  for (const [keyPath] of located.val) {
+    const [section, key] = splitKeyPath(keyPath);
     const parsed = getParsed(ini.parse(text, { bracketedArray: false }), section)[key];
     (sections[section] ??= {})[key] = String(parsed ?? "");
   }
   return results.Ok({ sections, lines: located.val });
 }
 
-function splitPlace(place: string): [section: string, key: string] {
-  const cut = place.lastIndexOf("/");
-  return [place.slice(0, cut), place.slice(cut + 1)];
+function splitKeyPath(keyPath: string): [section: string, key: string] {
+  const separator = keyPath.lastIndexOf("/");
+  return [keyPath.slice(0, separator), keyPath.slice(separator + 1)];
 }
 
-/** The library nests `[a.b]` as an object in an object; this follows the dots. */
+/** Returns the values of a section; the library parses `[a.b]` into nested objects. */
 function getParsed(document: object, section: string): Record<string, unknown> {
   let current: unknown = document;
   for (const part of section === "" ? [] : section.split(".")) {
@@ -42,6 +42,7 @@
   return (current ?? {}) as Record<string, unknown>;
 }
 
+/** Validates the lines and returns the line number of each `section/key`. */
 function locateKeys(
   text: string,
   file: string,
@@ -57,12 +58,13 @@
       continue;
     }
     const key = keyPattern.exec(line)?.[1];
-    if (key === undefined) return fault(`${file}:${number}`, "expected [section], key = value or a comment");
+    if (key === undefined)
+      return fault(`${file}:${number}`, "expected a [section], a key = value pair or a comment");
     if (key.includes("/") || key.endsWith("[]"))
       return fault(`${file}:${number}`, `the key ${key} is not a plain name`);
-    const place = `${section}/${key}`;
-    if (lines.has(place)) return fault(`${file}:${number}`, `${key} is given twice in [${section}]`);
-    lines.set(place, number);
+    const keyPath = `${section}/${key}`;
+    if (lines.has(keyPath)) return fault(`${file}:${number}`, `${key} appears twice in [${section}]`);
+    lines.set(keyPath, number);
   }
   return results.Ok(lines);
 }
--- a/packages/settings/src/tests/checkSettingsTests.ts
+++ b/packages/settings/src/tests/checkSettingsTests.ts
@@ -3,7 +3,7 @@
 import { checkSettings } from "../checkSettings.js";
 import { readIni } from "../readIni.js";
 
-const wanted = `[instance]
+const validText = `[instance]
 name = e1
 availabilityZone = east-plant
 callerAddress = 127.0.0.1:8080
@@ -15,15 +15,15 @@
 [security]
 `;
 
-test("a whole file is accepted, with its defaults", (t) => {
-  const settings = checkSettings(wanted, "a.ini").unwrap();
+test("a valid file is accepted, with defaults for absent keys", (t) => {
+  const settings = checkSettings(validText, "a.ini").unwrap();
   t.is(settings.instance.availabilityZone, "east-plant");
   t.is(settings.platform.appendsPerSecond, 100);
   t.is(settings.limits.bodySizeBytes, 1_048_576);
 });
 
-test("every fault is listed with its line, an unknown key with the nearest known one", (t) => {
-  const text = wanted.replace("name = e1", "name = e 1").replace("logAddress", "logAdress");
+test("every error is listed with its line, and an unknown key with the closest known one", (t) => {
+  const text = validText.replace("name = e1", "name = e 1").replace("logAddress", "logAdress");
   const checked = checkSettings(text, "a.ini");
   t.true(checked.err);
   if (!checked.err) return;
@@ -35,12 +35,12 @@
   t.true(faults.some((fault) => fault.includes("[platform] logAddress: ")));
 });
 
-test("a key given twice is a fault, not a silent choice", (t) => {
+test("a duplicate key is an error", (t) => {
   const checked = readIni("[a]\nb = 1\nb = 2\n", "a.ini");
   t.true(checked.err && checked.val.message.includes("a.ini:3"));
 });
 
-test("any text is read or refused with a typed error", (t) => {
+test("any text is parsed or rejected with a typed error", (t) => {
   fc.assert(
     fc.property(fc.string(), (text) => {
       const read = readIni(text, "fuzz.ini");
--- a/packages/timeline/src/HybridClock.ts
+++ b/packages/timeline/src/HybridClock.ts
@@ -1,4 +1,4 @@
-/** Hybrid logical clock (Kulkarni and others, 2014): wall time, and a counter that keeps causes before effects. */
+/** Hybrid logical clock (Kulkarni et al., 2014): wall-clock time and a counter that orders causes before effects. */
 import { utils } from "@shedtiller/common";
 import * as zod from "zod";
 
@@ -7,19 +7,19 @@
   counter: zod.number().int().nonnegative(),
 });
 
-/** A stamp that orders events over processes: by wall time, then by counter. */
+/** A timestamp that orders events of several processes by wall-clock time, then by counter. */
 export type HybridStamp = zod.infer<typeof hybridStampSchema>;
 
-/** Compares two stamps for sorting. */
+/** Compares two timestamps for sorting. */
 export function compareStamps(a: HybridStamp, b: HybridStamp): number {
   return a.wallMs - b.wallMs || a.counter - b.counter;
 }
 
-/** One process's clock. Its stamps never go back, also when the wall clock does. */
+/** Creates the timestamps of a process, which never go back even if the wall clock does. */
 export class HybridClock {
   private _last: HybridStamp = { wallMs: 0, counter: 0 };
 
-  /** Stamps a local event. */
+  /** Returns the timestamp of a new local event. */
   next(): HybridStamp {
     const nowMs = utils.wallMs();
     this._last =
@@ -29,7 +29,7 @@
     return this._last;
   }
 
-  /** Takes note of another process's stamp, so that later local stamps follow it. */
+  /** Advances the clock to the timestamp of another process, so that later local timestamps follow it. */
   observe(other: HybridStamp): void {
     if (compareStamps(other, this._last) > 0) this._last = other;
   }
--- a/packages/timeline/src/Timeline.ts
+++ b/packages/timeline/src/Timeline.ts
@@ -1,8 +1,8 @@
-/** One process's events in a bounded ring. */
+/** Ring buffer with the events of a process. */
 import * as zod from "zod";
 import { HybridClock, hybridStampSchema } from "./HybridClock.js";
 
-/** What can happen. The names are part of the operators' interface. */
+/** The kinds of events. Their names are part of the operators' interface. */
 export const eventKinds = [
   "admitted",
   "queued",
@@ -39,51 +39,51 @@
 export type EventKind = (typeof eventKinds)[number];
 export type TimelineEvent = zod.infer<typeof timelineEventSchema>;
 
-/** What an event tells beside its kind. */
+/** Optional details of an event. */
 export interface EventStructure {
   readonly requestId?: string;
   /** The endpoint, instance or object that the event is about. */
   readonly subject?: string;
   readonly detail?: string;
-  /** How long the thing took that the event ends. */
+  /** Duration of the operation that the event ends. */
   readonly durationMs?: number;
 }
 
-/** Records events; the oldest are forgotten beyond the capacity. */
+/** Stores the newest events of a process in a ring buffer. */
 export class Timeline {
   readonly clock = new HybridClock();
   private readonly _ring: TimelineEvent[] = [];
   private _nextIndex = 0;
 
   /**
-   * @param instance - Name of the instance that records here.
-   * @param capacity - How many events are kept at the most.
+   * @param instance - Name of the instance whose events are recorded.
+   * @param capacity - Maximum number of stored events.
    */
   constructor(
     readonly instance: string,
     readonly capacity = 20_000,
   ) {}
 
-  /** Records an event. */
-  add(kind: EventKind, structure: EventStructure = {}): void {
+  /** Records an event with the current timestamp. */
+  add(kind: EventKind, details: EventStructure = {}): void {
     this._ring[this._nextIndex % this.capacity] = {
       stamp: this.clock.next(),
       instance: this.instance,
       kind,
-      ...structure,
+      ...details,
     };
     this._nextIndex += 1;
   }
 
-  /** Gives the kept events, oldest first, of one request where `requestId` is given. */
+  /** Returns the stored events that match the filter, oldest first. */
   getEvents(filter: { requestId?: string; sinceMs?: number } = {}): TimelineEvent[] {
     const start = this._ring.length < this.capacity ? 0 : this._nextIndex % this.capacity;
     const ordered = [...this._ring.slice(start), ...this._ring.slice(0, start)];
-    return ordered.filter((event) => isWanted(event, filter));
+    return ordered.filter((event) => isMatch(event, filter));
   }
 }
 
-function isWanted(event: TimelineEvent, filter: { requestId?: string; sinceMs?: number }): boolean {
+function isMatch(event: TimelineEvent, filter: { requestId?: string; sinceMs?: number }): boolean {
   if (filter.requestId !== undefined && event.requestId !== filter.requestId) return false;
   return event.stamp.wallMs >= (filter.sinceMs ?? 0);
 }
--- a/packages/timeline/src/renderTimeline.ts
+++ b/packages/timeline/src/renderTimeline.ts
@@ -1,13 +1,13 @@
-/** Merging and rendering of events from several processes. */
+/** Merging and rendering of the events of several processes. */
 import { compareStamps } from "./HybridClock.js";
 import type { TimelineEvent } from "./Timeline.js";
 
-/** Merges the events of several processes into one order. */
+/** Merges the events of several processes in the order of their timestamps. */
 export function mergeEvents(lists: readonly (readonly TimelineEvent[])[]): TimelineEvent[] {
   return lists.flat().sort((a, b) => compareStamps(a.stamp, b.stamp) || (a.instance < b.instance ? -1 : 1));
 }
 
-/** One event as a line of text, with the time since `startMs`. */
+/** Renders an event as a line of text, with the time since `startMs`. */
 export function renderEventText(event: TimelineEvent, startMs: number): string {
   const time = `+${event.stamp.wallMs - startMs} ms`.padStart(10);
   const parts = [time, event.instance.padEnd(12), event.kind.padEnd(22)];
@@ -20,7 +20,7 @@
 
 const microsecondsPerMs = 1000;
 
-/** Events as Trace Event JSON (the format that trace viewers open); one row per instance and request. */
+/** Renders events as JSON in the Trace Event format of trace viewers, with one row per instance and request. */
 export function renderTraceEvents(events: readonly TimelineEvent[]): string {
   const traceEvents = events.map((event) => ({
     name: event.subject === undefined ? event.kind : `${event.kind} ${event.subject}`,
