--- a/packages/intent/src/intents.ts
+++ b/packages/intent/src/intents.ts
@@ -66,7 +66,7 @@
 /** Renders a plan as text for operators. */
 export function renderPlan(plan: Plan): string {
   const lines = [
-    `Plan ${plan.planId}, stated by ${plan.operator}, made against offset ${plan.baseOffset}.`,
+    `Plan ${plan.planId} for ${plan.operator}, based on configuration offset ${plan.baseOffset}.`,
     "",
   ];
   lines.push("Objects:");
--- a/packages/lease/src/LeaseHolder.ts
+++ b/packages/lease/src/LeaseHolder.ts
@@ -50,7 +50,7 @@
     const appended = await log.append(leasesStream, utils.newId(), this._createRecord("take"));
     if (appended.err) return this.getToken() !== undefined;
     await utils
-      .withDeadline(follower.waitFor(appended.val.offset), durationMs, "A lease")
+      .withDeadline(follower.waitFor(appended.val.offset), durationMs, "The read of a lease record")
       .catch(() => undefined);
     const granted = fold.getLease(lease);
     if (granted?.holderId !== this._holderId || granted.fencingToken !== appended.val.offset) return false;
--- a/packages/membership/src/LinkFailureDetector.ts
+++ b/packages/membership/src/LinkFailureDetector.ts
@@ -29,12 +29,12 @@
   }
 
   /** Checks all links once: probes silent links, and closes links that have been silent for too long. */
-  check(links: Iterable<Pick<PeerLink, "heardAtMs" | "isDialled" | "ping" | "close">>): void {
+  check(links: Iterable<Pick<PeerLink, "lastReceivedAtMs" | "isDialled" | "ping" | "close">>): void {
     const nowMs = this._nowMs();
     const wasSuspended = nowMs - this._checkedAtMs > linkCheckIntervalMs + suspensionThresholdMs;
     this._checkedAtMs = nowMs;
     for (const link of [...links]) {
-      const silenceMs = nowMs - link.heardAtMs;
+      const silenceMs = nowMs - link.lastReceivedAtMs;
       if (silenceMs >= maxSilenceMs && !wasSuspended) link.close();
       else if (silenceMs >= getProbeAfterMs(link)) link.ping();
     }
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -202,7 +202,7 @@
       if (isReceiver(member)) this._links.get(member.name)?.notify(topic, body);
   }
 
-  /** Sends a request to an instance, directly or forwarded by a linked instance of its zone. */
+  /** Sends a request to an instance, over its link or else forwarded by a linked instance of its zone. */
   async request(
     name: string,
     topic: string,
@@ -357,7 +357,7 @@
 
   private _closeSilentLinks(maxSilenceMs: number): void {
     const nowMs = utils.monotonicMs();
-    for (const link of this._links.values()) if (nowMs - link.heardAtMs > maxSilenceMs) link.close();
+    for (const link of this._links.values()) if (nowMs - link.lastReceivedAtMs > maxSilenceMs) link.close();
   }
 
   private _storeHeartbeat(body: unknown, from: PeerIdentity): void {
--- a/packages/membership/src/PeerLink.ts
+++ b/packages/membership/src/PeerLink.ts
@@ -27,7 +27,7 @@
 /** Multiplexes requests, replies and notices over an authenticated WebSocket. */
 export class PeerLink {
   /** Monotonic time at which a frame, ping or pong of the peer was last received. */
-  heardAtMs = utils.monotonicMs();
+  lastReceivedAtMs = utils.monotonicMs();
   private _nextId = 1;
   private readonly _waiting = new Map<
     number,
@@ -43,8 +43,8 @@
     private readonly _events: PeerLinkEvents,
   ) {
     _socket.on("message", (data) => this._accept(data));
-    _socket.on("ping", () => this._noteReceived());
-    _socket.on("pong", () => this._noteReceived());
+    _socket.on("ping", () => this._recordReceived());
+    _socket.on("pong", () => this._recordReceived());
     _socket.on("close", () => this._close());
     _socket.on("error", () => this._close());
   }
@@ -64,7 +64,10 @@
     const done = new utils.Deferred<results.Result<unknown, PeerError>>();
     this._waiting.set(id, { topic, done });
     const timer = setTimeout(
-      () => done.resolve(results.Err(new errors.DeadlineError(`${topic} at ${this.peer.name}`, timeoutMs))),
+      () =>
+        done.resolve(
+          results.Err(new errors.DeadlineError(`The request ${topic} to ${this.peer.name}`, timeoutMs)),
+        ),
       timeoutMs,
     );
     this._send({ kind: "request", id, topic, body });
@@ -98,7 +101,7 @@
   private _accept(data: ws.RawData): void {
     const frame = decodePeerFrame(data);
     if (frame.err) return this.close();
-    this._noteReceived();
+    this._recordReceived();
     this._events.onTraffic("received", getTopic(frame.val, this._waiting), byteLength(data));
     switch (frame.val.kind) {
       case "request":
@@ -112,8 +115,8 @@
     }
   }
 
-  private _noteReceived(): void {
-    this.heardAtMs = utils.monotonicMs();
+  private _recordReceived(): void {
+    this.lastReceivedAtMs = utils.monotonicMs();
   }
 
   private async _answer(id: number, topic: string, body: unknown): Promise<void> {
--- a/packages/membership/src/tests/LinkFailureDetectorTests.ts
+++ b/packages/membership/src/tests/LinkFailureDetectorTests.ts
@@ -8,14 +8,14 @@
   isDialled = true;
 
   constructor(
-    public heardAtMs: number,
+    public lastReceivedAtMs: number,
     private readonly _answers: boolean,
     private readonly _clock: { nowMs: number },
   ) {}
 
   ping(): void {
     this.pings += 1;
-    if (this._answers) this.heardAtMs = this._clock.nowMs;
+    if (this._answers) this.lastReceivedAtMs = this._clock.nowMs;
   }
 
   close(): void {
@@ -41,7 +41,7 @@
   const detector = new LinkFailureDetector(() => clock.nowMs);
   const link = new Link(0, true, clock);
   for (; clock.nowMs <= 5_000; clock.nowMs += linkCheckIntervalMs) {
-    link.heardAtMs = clock.nowMs - 100;
+    link.lastReceivedAtMs = clock.nowMs - 100;
     detector.check([link]);
   }
   t.is(link.pings, 0);
@@ -69,7 +69,7 @@
   for (; clock.nowMs < 20_000; clock.nowMs += linkCheckIntervalMs) {
     const before = dialling.pings;
     detectors[0]?.check([dialling]);
-    if (dialling.pings > before) dialled.heardAtMs = clock.nowMs;
+    if (dialling.pings > before) dialled.lastReceivedAtMs = clock.nowMs;
     detectors[1]?.check([dialled]);
   }
   t.is(dialling.pings, 9);
--- a/packages/settings/src/instanceSettings.ts
+++ b/packages/settings/src/instanceSettings.ts
@@ -11,7 +11,7 @@
 const sizeBytes = zod.coerce.number().int().positive();
 const name = zod
   .string()
-  .regex(/^[A-Za-z0-9][A-Za-z0-9._-]*$/, "expected a name of letters, digits, dots and dashes");
+  .regex(/^[A-Za-z0-9][A-Za-z0-9._-]*$/, "expected a name of letters, digits, dots, dashes and underscores");
 const filePath = zod.string().min(1);
 
 export const instanceSettingsSchema = zod.strictObject({
--- a/packages/settings/src/readIni.ts
+++ b/packages/settings/src/readIni.ts
@@ -61,7 +61,7 @@
     if (key === undefined)
       return fault(`${file}:${number}`, "expected a [section], a key = value pair or a comment");
     if (key.includes("/") || key.endsWith("[]"))
-      return fault(`${file}:${number}`, `the key ${key} is not a plain name`);
+      return fault(`${file}:${number}`, `the key ${key} must not contain "/" or end with "[]"`);
     const keyPath = `${section}/${key}`;
     if (lines.has(keyPath)) return fault(`${file}:${number}`, `${key} appears twice in [${section}]`);
     lines.set(keyPath, number);
