--- a/packages/common/src/utils/tasks.ts
+++ b/packages/common/src/utils/tasks.ts
@@ -24,9 +24,9 @@
 }
 
 /** Settles like `work`, or rejects with `DeadlineError` after `durationMs`. The work itself is not aborted. */
-export function withDeadline<T>(work: Promise<T>, durationMs: number, what: string): Promise<T> {
+export function withDeadline<T>(work: Promise<T>, durationMs: number, operation: string): Promise<T> {
   return new Promise((resolve, reject) => {
-    const timer = setTimeout(() => reject(new errors.DeadlineError(what, durationMs)), durationMs);
+    const timer = setTimeout(() => reject(new errors.DeadlineError(operation, durationMs)), durationMs);
     work.then(
       (value) => {
         clearTimeout(timer);
--- a/packages/membership/src/peerHandshake.ts
+++ b/packages/membership/src/peerHandshake.ts
@@ -41,12 +41,17 @@
   if (challenge.kind !== "challenge")
     return fail(socket, new PeerRejectedError(address, "it did not send a challenge"));
   const nonce = createNonce();
-  const proof = prove(secret, "dial", [challenge.nonce, nonce, self.name, self.availabilityZone]);
+  const proof = computeProof(secret, "dial", [challenge.nonce, nonce, self.name, self.availabilityZone]);
   socket.send(packr.pack({ kind: "hello", ...self, nonce, proof }));
   const welcome = await frames.next();
   if (welcome?.kind !== "welcome")
     return fail(socket, new PeerRejectedError(address, "it did not send a welcome"));
-  const expected = prove(secret, "accept", [nonce, challenge.nonce, welcome.name, welcome.availabilityZone]);
+  const expected = computeProof(secret, "accept", [
+    nonce,
+    challenge.nonce,
+    welcome.name,
+    welcome.availabilityZone,
+  ]);
   if (!isEqual(expected, welcome.proof))
     return fail(socket, new PeerRejectedError(address, "its proof is wrong"));
   frames.stop();
@@ -66,10 +71,10 @@
   socket.send(packr.pack({ kind: "challenge", nonce }));
   const hello = await frames.next();
   if (hello?.kind !== "hello") return fail(socket, new PeerRejectedError(address, "it did not send a hello"));
-  const expected = prove(secret, "dial", [nonce, hello.nonce, hello.name, hello.availabilityZone]);
+  const expected = computeProof(secret, "dial", [nonce, hello.nonce, hello.name, hello.availabilityZone]);
   if (!isEqual(expected, hello.proof))
     return fail(socket, new PeerRejectedError(address, "its proof is wrong"));
-  const proof = prove(secret, "accept", [hello.nonce, nonce, self.name, self.availabilityZone]);
+  const proof = computeProof(secret, "accept", [hello.nonce, nonce, self.name, self.availabilityZone]);
   frames.stop();
   const link = new PeerLink(pickIdentity(hello), false, socket, events);
   socket.send(packr.pack({ kind: "welcome", ...self, proof }));
@@ -132,7 +137,7 @@
 }
 
 /** Computes an HMAC over the role, both nonces and the identity, so that a proof can't be replayed in another handshake or direction. */
-function prove(secret: string, role: "dial" | "accept", parts: readonly string[]): string {
+function computeProof(secret: string, role: "dial" | "accept", parts: readonly string[]): string {
   return crypto
     .createHmac("sha256", secret)
     .update(JSON.stringify([role, ...parts]))
--- a/packages/placement/src/ZoneArrangement.ts
+++ b/packages/placement/src/ZoneArrangement.ts
@@ -23,7 +23,7 @@
  * Credit for a zone that survives the loss of any one engine, as the logarithm of a factor on the rate. Without it, four days with losses
  * served 0.03 less of their value on average.
  */
-const secondHolderCredit = Math.log(1.25);
+const redundancyCredit = Math.log(1.25);
 /** If several engines have a layer, requests prefer the fastest: their shares fall with this power of the step factor. */
 const preferencePower = 3;
 /** An engine with KV cache for less than this share of a usual batch can't take over the requests of a lost engine. */
@@ -52,7 +52,7 @@
   private readonly _usable: Float64Array;
   private readonly _shares: Float64Array;
   private readonly _sharedFactors: Float64Array;
-  private readonly _holders: Int32Array;
+  private readonly _replicas: Int32Array;
   private readonly _totals: Totals = { covered: 0, redundant: 0, copies: 0, stepFactors: 0, scarcity: 0 };
 
   constructor(
@@ -64,7 +64,7 @@
     this._usable = new Float64Array(layerCount);
     this._shares = new Float64Array(layerCount);
     this._sharedFactors = new Float64Array(layerCount);
-    this._holders = new Int32Array(layerCount);
+    this._replicas = new Int32Array(layerCount);
     for (const span of spans) this.add(span);
   }
 
@@ -93,10 +93,7 @@
     const stepLoad = 1 + (requests * layerCount * stepMsPerRequest) / (Math.max(layerCount, copies) * stepMs);
     const tokenTime = Math.log(stepFactors / covered) + Math.log(stepLoad);
     return (
-      gaps +
-      (1 + speedWeight) * tokenTime -
-      Math.log(requests) -
-      (secondHolderCredit * redundant) / layerCount
+      gaps + (1 + speedWeight) * tokenTime - Math.log(requests) - (redundancyCredit * redundant) / layerCount
     );
   }
 
@@ -104,7 +101,7 @@
     const { engine, start, end } = span;
     const tokens = getTokensBeside(engine, end - start, this._model);
     const usable = getTokensBeyondBurst(tokens, this._model);
-    const isHolder = usable >= minBatchShare * getBatchTokens(this._model);
+    const isReplica = usable >= minBatchShare * getBatchTokens(this._model);
     const share = usable / engine.stepFactor ** preferencePower;
     for (let layer = start; layer < end; layer++) {
       this._count(layer, -1);
@@ -112,7 +109,7 @@
       this._usable[layer] = (this._usable[layer] ?? 0) + sign * usable;
       this._shares[layer] = (this._shares[layer] ?? 0) + sign * share;
       this._sharedFactors[layer] = (this._sharedFactors[layer] ?? 0) + sign * share * engine.stepFactor;
-      if (isHolder) this._holders[layer] = (this._holders[layer] ?? 0) + sign;
+      if (isReplica) this._replicas[layer] = (this._replicas[layer] ?? 0) + sign;
       this._count(layer, 1);
     }
   }
@@ -120,11 +117,11 @@
   /** Adds a layer to the totals, or subtracts it from them. */
   private _count(layer: number, sign: 1 | -1): void {
     const tokens = this._tokens[layer] ?? 0;
-    const holders = this._holders[layer] ?? 0;
-    this._totals.copies += sign * holders;
+    const replicas = this._replicas[layer] ?? 0;
+    this._totals.copies += sign * replicas;
     if (tokens < this._model.tokensPerRequest) return;
     this._totals.covered += sign;
-    if (holders > 1) this._totals.redundant += sign;
+    if (replicas > 1) this._totals.redundant += sign;
     this._totals.stepFactors += (sign * (this._sharedFactors[layer] ?? 0)) / (this._shares[layer] ?? 1);
     this._totals.scarcity += sign * getEighthPower(1 / (this._usable[layer] ?? 0));
   }
