--- a/packages/common/src/errors/ShedtillerError.ts
+++ b/packages/common/src/errors/ShedtillerError.ts
@@ -1,7 +1,7 @@
 /** Base class of the typed errors, and the errors that all packages share. */
 
 /** Whether the work of a failed call may have been executed: `no` only if that is certain. */
-export type Ran = "no" | "unknown";
+export type ExecutionStatus = "no" | "unknown";
 
 /** Base class of all typed errors. Callers match on the class or on `code`. */
 export abstract class ShedtillerError extends Error {
--- a/packages/common/src/utils/Patience.ts
+++ b/packages/common/src/utils/AdaptiveTimeout.ts
@@ -9,7 +9,7 @@
  * of a core, a report takes longer than 400 ms, so that every report timed out and was requested again, and instances had no engines for
  * 17 s.
  */
-export class Patience {
+export class AdaptiveTimeout {
   private readonly _timeoutsMs = new Map<string, number>();
 
   constructor(
@@ -18,14 +18,14 @@
   ) {}
 
   /** Returns the current timeout for a peer. */
-  getMs(name: string): number {
+  getTimeoutMs(name: string): number {
     return this._timeoutsMs.get(name) ?? this._initialMs;
   }
 
   /** Records a timeout; returns whether the previous request timed out or was slow as well, which is evidence of a failed peer. */
   noteTimeout(name: string): boolean {
     const isRepeated = this._timeoutsMs.has(name);
-    this._timeoutsMs.set(name, Math.min(this._maxMs, this.getMs(name) * growthFactor));
+    this._timeoutsMs.set(name, Math.min(this._maxMs, this.getTimeoutMs(name) * growthFactor));
     return isRepeated;
   }
 
--- a/packages/common/src/utils/KeyedCache.ts
+++ b/packages/common/src/utils/BoundedMap.ts
@@ -1,5 +1,5 @@
 /** A map with a fixed capacity that evicts the entry that was set the longest time ago. */
-export class KeyedCache<V> {
+export class BoundedMap<V> {
   private readonly _entries = new Map<string, V>();
 
   /** @param capacity - Maximum number of entries. */
--- a/packages/common/src/utils/PauseWatch.ts
+++ b/packages/common/src/utils/PauseDetector.ts
@@ -10,7 +10,7 @@
 const backlogReadMs = 250;
 
 /** Detects pauses of this process by late ticks of a periodic task. One per task. */
-export class PauseWatch {
+export class PauseDetector {
   private _tickedAtMs: number;
   private _pauseMs = 0;
   private _pauseEndedAtMs = Number.NEGATIVE_INFINITY;
--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -55,7 +55,7 @@
     this._forgetLinks();
     return {
       self,
-      getDutyCandidates: () => {
+      getZoneRoleCandidates: () => {
         const inZone = this._getLinked(self).filter(
           (peer) => peer.availabilityZone === self.availabilityZone,
         );
--- a/packages/intent/src/ConfigurationFold.ts
+++ b/packages/intent/src/ConfigurationProjection.ts
@@ -15,13 +15,13 @@
 }
 
 /** Derives the current configuration and the outcomes of plans from the records of the stream. */
-export class ConfigurationFold implements LogSink {
+export class ConfigurationProjection implements LogSink {
   /** Records that could not be parsed; the `status` command shows them. */
   readonly unknownRecords: UnknownRecord[] = [];
   private _offset = -1;
-  private readonly _objects = new Map<string, records.HeldObject>();
-  private readonly _removedAt = new Map<string, Omit<records.HeldObject, "value">>();
-  private readonly _outcomes = new utils.KeyedCache<records.PlanOutcome>(maxOutcomes);
+  private readonly _objects = new Map<string, records.StoredObject>();
+  private readonly _removedAt = new Map<string, Omit<records.StoredObject, "value">>();
+  private readonly _outcomes = new utils.BoundedMap<records.PlanOutcome>(maxOutcomes);
   /** Records received while earlier ones were missing; they are applied after a snapshot. */
   private _buffered: LogRecord[] = [];
   private _isMissingPast = false;
@@ -36,7 +36,7 @@
   }
 
   /** Whether records expired from the log before they were read, and no snapshot or peer state has replaced them yet. */
-  get isMissingPast(): boolean {
+  get hasHistoryGap(): boolean {
     return this._isMissingPast;
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** Returns the objects by key, each with the plan and operator that set it. */
-  getHeldObjects(): ReadonlyMap<string, records.HeldObject> {
+  getStoredObjects(): ReadonlyMap<string, records.StoredObject> {
     return this._objects;
   }
 
@@ -209,7 +209,7 @@
     else this._objects.set(change.key, { value: change.value, ...origin });
   }
 
-  private _getLastChange(key: string): Omit<records.HeldObject, "value"> | undefined {
+  private _getLastChange(key: string): Omit<records.StoredObject, "value"> | undefined {
     return this._objects.get(key) ?? this._removedAt.get(key);
   }
 
--- a/packages/intent/src/Confirmer.ts
+++ b/packages/intent/src/Confirmer.ts
@@ -1,7 +1,7 @@
 /** Confirmation of plans by an append with the plan's id, whose outcome is determined also if the reply is lost. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { AppendReceipt, LogError, LogService } from "@shedtiller/logservice";
-import type { ConfigurationFold } from "./ConfigurationFold.js";
+import type { ConfigurationProjection } from "./ConfigurationProjection.js";
 import * as records from "./configurationRecords.js";
 import type { Plan } from "./intents.js";
 
@@ -35,7 +35,7 @@
 export class Confirmer {
   constructor(
     private readonly _log: LogService,
-    private readonly _projection: ConfigurationFold,
+    private readonly _projection: ConfigurationProjection,
     /** Monotonic clock, replaced in tests. */
     private readonly _nowMs: () => number = utils.monotonicMs,
   ) {}
--- a/packages/intent/src/tests/ConfirmerTests.ts
+++ b/packages/intent/src/tests/ConfirmerTests.ts
@@ -8,7 +8,7 @@
   type LogError,
   type LogPage,
 } from "@shedtiller/logservice";
-import { ConfigurationFold } from "../ConfigurationFold.js";
+import { ConfigurationProjection } from "../ConfigurationProjection.js";
 import { Confirmer } from "../Confirmer.js";
 import type { Plan } from "../intents.js";
 
@@ -48,7 +48,7 @@
 // Guards against an unknown outcome under load, when the log rejects an append only after more than two seconds.
 test("a late rejection by the log is reported as not confirmed", async (t) => {
   const log = new SlowLog();
-  const confirmed = await new Confirmer(log, new ConfigurationFold(), () => log.nowMs).confirm(
+  const confirmed = await new Confirmer(log, new ConfigurationProjection(), () => log.nowMs).confirm(
     plan,
     timeoutMs,
   );
--- a/packages/intent/src/tests/configurationFoldTests.ts
+++ b/packages/intent/src/tests/configurationProjectionTests.ts
@@ -2,7 +2,7 @@
 import type { LogRecord } from "@shedtiller/logservice";
 import test from "ava";
 import * as fc from "fast-check";
-import { ConfigurationFold } from "../ConfigurationFold.js";
+import { ConfigurationProjection } from "../ConfigurationProjection.js";
 import { absentOffset, type Change } from "../configurationRecords.js";
 
 function createClassChange(name: string, rank: number, baseOffset: number): Change {
@@ -19,7 +19,7 @@
 }
 
 test("of two plans on one object the first in log order wins; the outcome of the other names the object and operator", (t) => {
-  const projection = new ConfigurationFold();
+  const projection = new ConfigurationProjection();
   projection.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)], "anna"));
   projection.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, absentOffset)], "bo"));
   projection.acceptRecord(createRecord(2, "p3", [createClassChange("b", 3, absentOffset)], "bo"));
@@ -33,7 +33,7 @@
 });
 
 test("a duplicate record in the log has no effect", (t) => {
-  const projection = new ConfigurationFold();
+  const projection = new ConfigurationProjection();
   const changes = [createClassChange("a", 1, absentOffset)];
   projection.acceptRecord(createRecord(0, "p1", changes));
   projection.acceptRecord(createRecord(1, "p1", changes));
@@ -43,7 +43,7 @@
 });
 
 test("a plan made before the removal of its object is rejected", (t) => {
-  const projection = new ConfigurationFold();
+  const projection = new ConfigurationProjection();
   projection.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   projection.acceptRecord(createRecord(1, "p2", [{ key: "class/a", baseOffset: 0, value: null }]));
   projection.acceptRecord(createRecord(2, "p3", [createClassChange("a", 2, 0)]));
@@ -52,7 +52,7 @@
 });
 
 test("a record of an unknown version is stored and reported", (t) => {
-  const projection = new ConfigurationFold();
+  const projection = new ConfigurationProjection();
   projection.acceptRecord({ offset: 0, atMs: 0, id: "x", payload: { version: 9, type: "confirm" } });
   projection.acceptRecord(createRecord(1, "p1", [createClassChange("a", 1, absentOffset)]));
   t.is(projection.unknownRecords[0]?.reason, "has version 9");
@@ -61,7 +61,7 @@
 });
 
 test("the state of a peer is adopted only if it is newer", (t) => {
-  const [older, newer] = [new ConfigurationFold(), new ConfigurationFold()];
+  const [older, newer] = [new ConfigurationProjection(), new ConfigurationProjection()];
   older.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   newer.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   newer.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, 0)]));
@@ -71,7 +71,7 @@
   t.is(older.getObject("class", "a")?.rank, 2);
 });
 
-function createSnapshot(offset: number, projection: ConfigurationFold): LogRecord {
+function createSnapshot(offset: number, projection: ConfigurationProjection): LogRecord {
   return {
     offset,
     atMs: offset,
@@ -81,7 +81,7 @@
 }
 
 test("a late or duplicate snapshot has no effect on an instance that has already read later records", (t) => {
-  const projection = new ConfigurationFold();
+  const projection = new ConfigurationProjection();
   projection.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   const late = createSnapshot(2, projection);
   projection.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, 0)]));
@@ -92,19 +92,19 @@
 });
 
 test("an instance that starts after records expired applies a snapshot that leaves no gap, and no other", (t) => {
-  const whole = new ConfigurationFold();
+  const whole = new ConfigurationProjection();
   whole.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   const tooOld = createSnapshot(3, whole);
   whole.acceptRecord(createRecord(1, "p2", [createClassChange("b", 1, absentOffset)]));
   const second = createRecord(2, "p3", [createClassChange("b", 2, 1)]);
   const good = createSnapshot(4, whole);
-  const fresh = new ConfigurationFold();
+  const fresh = new ConfigurationProjection();
   fresh.skipTo(2);
   fresh.acceptRecord(second);
   fresh.acceptRecord(tooOld);
-  t.true(fresh.isMissingPast);
+  t.true(fresh.hasHistoryGap);
   fresh.acceptRecord(good);
-  t.false(fresh.isMissingPast);
+  t.false(fresh.hasHistoryGap);
   t.is(fresh.getObject("class", "a")?.rank, 1);
   t.is(fresh.getObject("class", "b")?.rank, 2);
 });
@@ -124,11 +124,15 @@
         const log = plans.map((p, offset) =>
           createRecord(offset, `p${p.plan}`, [createClassChange(p.name, offset + 1, p.base)]),
         );
-        const projections = [new ConfigurationFold(), new ConfigurationFold(), new ConfigurationFold()];
+        const projections = [
+          new ConfigurationProjection(),
+          new ConfigurationProjection(),
+          new ConfigurationProjection(),
+        ];
         for (const [turn, index] of turns.entries()) {
           const [projection, peer] = [
-            projections[index] as ConfigurationFold,
-            projections[(index + 1) % 3] as ConfigurationFold,
+            projections[index] as ConfigurationProjection,
+            projections[(index + 1) % 3] as ConfigurationProjection,
           ];
           const before = projection.offset;
           const next = log[before + 1];
--- a/packages/lease/src/LeaseFold.ts
+++ b/packages/lease/src/LeaseProjection.ts
@@ -19,7 +19,7 @@
 export type LeaseRecord = zod.infer<typeof leaseRecordSchema>;
 
 /** Current state of a lease. */
-export interface HeldLease {
+export interface LeaseState {
   readonly holder: string;
   readonly holderId: string;
   /** The fencing token: offset of the record that granted or last renewed the lease. */
@@ -29,9 +29,9 @@
 }
 
 /** Derives the current leases from the records of the stream. */
-export class LeaseFold implements LogSink {
+export class LeaseProjection implements LogSink {
   unknownRecords = 0;
-  private readonly _leases = new Map<string, HeldLease>();
+  private readonly _leases = new Map<string, LeaseState>();
 
   acceptRecord(record: LogRecord): void {
     const parsed = leaseRecordSchema.safeParse(record.payload);
@@ -49,11 +49,11 @@
     this._leases.clear();
   }
 
-  getLease(lease: string): HeldLease | undefined {
+  getLease(lease: string): LeaseState | undefined {
     return this._leases.get(lease);
   }
 
-  private _grant(record: LogRecord, take: LeaseRecord, current: HeldLease | undefined): void {
+  private _grant(record: LogRecord, take: LeaseRecord, current: LeaseState | undefined): void {
     const isAvailable =
       current === undefined || current.holderId === take.holderId || current.lapsesAtMs <= record.atMs;
     if (!isAvailable) return;
@@ -65,7 +65,7 @@
     });
   }
 
-  private _release(release: LeaseRecord, current: HeldLease | undefined): void {
+  private _release(release: LeaseRecord, current: LeaseState | undefined): void {
     if (current?.holderId === release.holderId) this._leases.delete(release.lease);
   }
 }
--- a/packages/lease/src/tests/leaseTests.ts
+++ b/packages/lease/src/tests/leaseTests.ts
@@ -9,7 +9,7 @@
 } from "@shedtiller/logservice";
 import { Timeline } from "@shedtiller/timeline";
 import test from "ava";
-import { LeaseFold, leasesStream } from "../LeaseFold.js";
+import { LeaseProjection, leasesStream } from "../LeaseProjection.js";
 import { LeaseHolder } from "../LeaseHolder.js";
 
 /** An in-memory log with a clock that the test sets. */
@@ -47,7 +47,7 @@
 }
 
 function createHolder(log: LogService, name: string, durationMs: number, stop: AbortController) {
-  const fold = new LeaseFold();
+  const fold = new LeaseProjection();
   const follower = new LogFollower(log, leasesStream, fold);
   void follower.run(stop.signal);
   const holder = new LeaseHolder({
@@ -55,7 +55,7 @@
     holder: name,
     durationMs,
     log,
-    fold,
+    projection: fold,
     follower,
     timeline: new Timeline(name),
   });
@@ -65,7 +65,7 @@
 test("if two holders acquire a lease at once, both projections grant it to the first in the log", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const [a, b] = [createHolder(log, "a", 60_000, stop), createHolder(log, "b", 60_000, stop)];
-  const kept = await Promise.all([a.holder.keep(), b.holder.keep()]);
+  const kept = await Promise.all([a.holder.acquireOrRenew(), b.holder.acquireOrRenew()]);
   stop.abort();
   t.deepEqual(kept, [true, false]);
   t.is(a.holder.getToken(), 0);
@@ -76,13 +76,13 @@
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const durationMs = 400;
   const [a, b] = [createHolder(log, "a", durationMs, stop), createHolder(log, "b", durationMs, stop)];
-  t.true(await a.holder.keep());
+  t.true(await a.holder.acquireOrRenew());
   const first = a.holder.getToken();
   // Simulates a holder that was suspended until after the expiry and still has the token in memory when it resumes.
   await utils.waitUntil(() => a.holder.getToken() === undefined, 10_000, 1);
   t.is(a.holder.getToken(), undefined);
   log.nowMs += durationMs + 1;
-  while (!(await b.holder.keep())) await utils.sleep(10);
+  while (!(await b.holder.acquireOrRenew())) await utils.sleep(10);
   stop.abort();
   t.true((b.holder.getToken() ?? 0) > (first ?? 0));
 });
@@ -90,9 +90,9 @@
 test("a released lease can be acquired at once", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const [a, b] = [createHolder(log, "a", 60_000, stop), createHolder(log, "b", 60_000, stop)];
-  t.true(await a.holder.keep());
+  t.true(await a.holder.acquireOrRenew());
   await a.holder.release();
   await b.follower.waitFor(1);
-  t.true(await b.holder.keep());
+  t.true(await b.holder.acquireOrRenew());
   stop.abort();
 });
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -172,7 +172,7 @@
   }
 
   /** Returns the names of the live instances of the own zone that can take a zone role, including this instance. */
-  getDutyCandidates(): string[] {
+  getZoneRoleCandidates(): string[] {
     const peers = this.getLinked().filter(
       (m) => m.availabilityZone === this.self.availabilityZone && !m.isLeaving,
     );
@@ -184,8 +184,8 @@
    * Returns whether this instance currently has a role of its zone. Two instances may both return true for a moment while their views of
    * the zone differ.
    */
-  ownsDuty(role: string): boolean {
-    return utils.pickOwner(role, this.getDutyCandidates()) === this.self.name;
+  ownsZoneRole(role: string): boolean {
+    return utils.pickOwner(role, this.getZoneRoleCandidates()) === this.self.name;
   }
 
   /** Returns the wall-clock time since when no other zone can be reached; undefined while one is reached or none is listed. */
--- a/packages/membership/src/NewsExchange.ts
+++ b/packages/membership/src/PeerBroadcast.ts
@@ -12,42 +12,42 @@
 /** Instances of each other zone that receive an update first. More than one, since one of them may have just died. */
 const relaysPerZone = 2;
 
-/** Dependencies of {@link NewsExchange}. */
-export interface NewsExchangeStructure<T> {
+/** Dependencies of {@link PeerBroadcast}. */
+export interface PeerBroadcastStructure<T> {
   readonly membership: Pick<Membership, "self" | "getLinked" | "notifyAll" | "onLinked" | "onNotice">;
   readonly topic: string;
   readonly schema: zod.ZodType<T>;
   /** Called for a message that does not match the schema. The message is dropped: a peer of another version may have sent it. */
   readonly onInvalid: (topic: string, from: PeerIdentity) => void;
   /** Applies an update from a peer; returns the part of it that was new here, or undefined if nothing was. */
-  readonly take: (update: T) => T | undefined;
+  readonly applyUpdate: (update: T) => T | undefined;
   /** Returns the full local state; undefined if it is empty. */
-  readonly tellAll: () => T | undefined;
+  readonly getFullState: () => T | undefined;
   /** Returns random numbers from 0 to 1; replaced in tests. */
   readonly random?: (() => number) | undefined;
 }
 
 /** Broadcasts updates of one topic to all instances and forwards those of other zones. One per topic and instance. */
-export class NewsExchange<T> {
-  constructor(private readonly _structure: NewsExchangeStructure<T>) {
+export class PeerBroadcast<T> {
+  constructor(private readonly _structure: PeerBroadcastStructure<T>) {
     const { membership, topic } = _structure;
     membership.onNotice(topic, (body, from) => this._receive(body, from));
     membership.onLinked((peer) => this._sendFullState(peer));
   }
 
   /** Broadcasts an update that originates at this instance. */
-  tell(update: T): void {
+  broadcast(update: T): void {
     const relays = this._sampleRelays();
     this._notify(update, (member) => this._isOwnZone(member) || relays.has(member.name));
   }
 
   private _sendFullState(peer: PeerIdentity): void {
-    const state = this._structure.tellAll();
+    const state = this._structure.getFullState();
     if (state !== undefined) this._notify(state, (member) => member.name === peer.name);
   }
 
   private _receive(body: unknown, from: PeerIdentity): void {
-    const { schema, topic, onInvalid, take } = this._structure;
+    const { schema, topic, onInvalid, applyUpdate: take } = this._structure;
     const parsed = schema.safeParse(body);
     if (!parsed.success) return onInvalid(topic, from);
     const newPart = take(parsed.data);
@@ -58,7 +58,7 @@
   private _sampleRelays(): Set<string> {
     const { membership, random = Math.random } = this._structure;
     const zones = utils.groupBy(membership.getLinked(), (member) => member.availabilityZone);
-    const relays = [...zones.values()].flatMap((members) => utils.pickSome(members, relaysPerZone, random));
+    const relays = [...zones.values()].flatMap((members) => utils.sample(members, relaysPerZone, random));
     return new Set(relays.map((member) => member.name));
   }
 
--- a/packages/membership/src/tests/membershipTests.ts
+++ b/packages/membership/src/tests/membershipTests.ts
@@ -116,7 +116,7 @@
   t.true(await utils.waitUntil(isFull(2), waitMs));
   const roles = Array.from({ length: 30 }, (_value, index) => `report:g${index}`);
   const countOwners = (role: string): number =>
-    [...peers.members.values()].filter((m) => m.ownsDuty(role)).length;
+    [...peers.members.values()].filter((m) => m.ownsZoneRole(role)).length;
   for (const role of roles) t.is(countOwners(role), 1);
   peers.kill("a");
   t.true(await utils.waitUntil(isFull(1), waitMs));
@@ -130,9 +130,9 @@
   peers.list();
   await utils.waitUntil(() => a.getLinked().length === 1 && b.getLinked().length === 1, waitMs);
   a.leave();
-  t.true(await utils.waitUntil(() => b.getDutyCandidates().length === 1, waitMs));
-  t.deepEqual(b.getDutyCandidates(), ["b"]);
-  t.deepEqual(a.getDutyCandidates(), ["b"]);
+  t.true(await utils.waitUntil(() => b.getZoneRoleCandidates().length === 1, waitMs));
+  t.deepEqual(b.getZoneRoleCandidates(), ["b"]);
+  t.deepEqual(a.getZoneRoleCandidates(), ["b"]);
   peers.close();
 });
 
--- a/packages/placement/src/BalanceSearch.ts
+++ b/packages/placement/src/BalanceSearch.ts
@@ -4,7 +4,7 @@
  */
 import { getSteps, type BalanceStep } from "./balanceSteps.js";
 import { isCovered } from "./isCovered.js";
-import { getTokensBeside, type CopyModel } from "./planLayerCopies.js";
+import { getKvTokenCapacity, type CopyModel } from "./planLayerCopies.js";
 import { ZoneArrangement, type BalancedSpan } from "./ZoneArrangement.js";
 
 /** Maximum number of steps of a search; the next search continues from its result. */
@@ -17,15 +17,15 @@
   /** Whether engines may only add layers and remove none. */
   readonly isGrowthOnly?: boolean;
   /** Indices of the spans whose engines may move to other layers at once, if all their layers are also on other engines. */
-  readonly leavable?: ReadonlySet<number>;
+  readonly relocatable?: ReadonlySet<number>;
   /** Whether only engines that had no layers at the start may change. */
   readonly isFillOnly?: boolean;
   /** Maximum number of layers by which one step shifts a boundary. */
-  readonly longestShift?: number;
+  readonly maxShift?: number;
   /** Maximum number of layers that an engine loads: loads take time, and a gap remains open until the last one is done. */
-  readonly mostLoads?: number;
+  readonly maxLoads?: number;
   /** Tokens of KV cache that have to fit beside the union of an engine's current and new layers while it changes over. */
-  readonly leastTokensBeside?: number;
+  readonly minKvTokens?: number;
 }
 
 /** Searches for a better balance step by step, so that callers can yield to other work between steps. */
@@ -44,7 +44,7 @@
     this._spans = [..._initial];
     this._arrangement = new ZoneArrangement(_initial, _model);
     this.costBefore = this.cost;
-    this._relocatable = new Set(findRedundant(_initial).filter((index) => _options.leavable?.has(index)));
+    this._relocatable = new Set(findRedundant(_initial).filter((index) => _options.relocatable?.has(index)));
   }
 
   /** The current spans, in the order of the initial ones. */
@@ -57,8 +57,8 @@
   }
 
   /** Whether every layer has KV cache for at least one request. */
-  get isWhole(): boolean {
-    return this._arrangement.isWhole;
+  get isComplete(): boolean {
+    return this._arrangement.isComplete;
   }
 
   /** Applies the step that lowers the cost most; returns whether there was one. */
@@ -76,7 +76,7 @@
   private _findBestStep(): BalanceStep | undefined {
     let best: BalanceStep | undefined;
     let bestGain = minGain;
-    for (const step of getSteps(this._spans, this._model, this._options.longestShift, this._relocatable)) {
+    for (const step of getSteps(this._spans, this._model, this._options.maxShift, this._relocatable)) {
       if (!step.every(({ index, span }) => this._isAllowed(index, span))) continue;
       const gain = this._getGain(step);
       if (gain <= bestGain) continue;
@@ -89,10 +89,10 @@
   private _isAllowed(index: number, span: BalancedSpan): boolean {
     const initial = this._initial[index];
     if (initial === undefined) return true;
-    if (countLoads(initial, span) > (this._options.mostLoads ?? Number.POSITIVE_INFINITY)) return false;
-    const minTokens = this._options.leastTokensBeside ?? 0;
+    if (countLoads(initial, span) > (this._options.maxLoads ?? Number.POSITIVE_INFINITY)) return false;
+    const minTokens = this._options.minKvTokens ?? 0;
     const hasRoom = (layers: number): boolean =>
-      getTokensBeside(span.engine, layers, this._model) >= minTokens;
+      getKvTokenCapacity(span.engine, layers, this._model) >= minTokens;
     const isNew =
       initial.end <= initial.start || (this._relocatable.has(index) && !isOverlapping(initial, span));
     if (isNew) return hasRoom(span.end - span.start);
--- a/packages/placement/src/ZoneArrangement.ts
+++ b/packages/placement/src/ZoneArrangement.ts
@@ -2,7 +2,7 @@
  * Cost of an arrangement of a model's layers on the engines of a zone. The sums are updated incrementally as spans are added and removed,
  * which costs time only for the layers of the span.
  */
-import { getTokensBeside, type CopyEngine, type CopyModel } from "./planLayerCopies.js";
+import { getKvTokenCapacity, type CopyEngine, type CopyModel } from "./planLayerCopies.js";
 import { getTokensBeyondBurst } from "./burst.js";
 
 /** An engine and its layers; `end` is exclusive and equals `start` if the engine has no layers. */
@@ -69,7 +69,7 @@
   }
 
   /** Whether every layer has KV cache for at least one request. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this._totals.covered === this._model.layerCount;
   }
 
@@ -99,7 +99,7 @@
 
   private _change(span: BalancedSpan, sign: 1 | -1): void {
     const { engine, start, end } = span;
-    const tokens = getTokensBeside(engine, end - start, this._model);
+    const tokens = getKvTokenCapacity(engine, end - start, this._model);
     const usable = getTokensBeyondBurst(tokens, this._model);
     const isReplica = usable >= minBatchShare * getBatchTokens(this._model);
     const share = usable / engine.stepFactor ** preferencePower;
--- a/packages/placement/src/isCovered.ts
+++ b/packages/placement/src/isCovered.ts
@@ -1,11 +1,11 @@
 /** An interval of layers, `end` exclusive. */
-export interface LayerRun {
+export interface LayerInterval {
   readonly start: number;
   readonly end: number;
 }
 
 /** Returns whether every layer of `interval` is in at least one of `others`. */
-export function isCovered(interval: LayerRun, others: readonly LayerRun[]): boolean {
+export function isCovered(interval: LayerInterval, others: readonly LayerInterval[]): boolean {
   let layer = interval.start;
   while (layer < interval.end) {
     const at = layer;
--- a/packages/placement/src/tests/planLayerCopiesTests.ts
+++ b/packages/placement/src/tests/planLayerCopiesTests.ts
@@ -1,7 +1,7 @@
 /** Plans contain complete copies only, within the memory of each engine, with KV cache for requests. */
 import test from "ava";
 import * as fc from "fast-check";
-import { getTokensBeside, planLayerCopies, type CopyModel } from "../planLayerCopies.js";
+import { getKvTokenCapacity, planLayerCopies, type CopyModel } from "../planLayerCopies.js";
 import { createFleet } from "./createFleet.js";
 
 const model: CopyModel = {
@@ -38,7 +38,7 @@
         const engine = fleet.find((item) => item.name === span.name);
         return (
           engine !== undefined &&
-          getTokensBeside(engine, span.end - span.start, model) > model.tokensPerRequest
+          getKvTokenCapacity(engine, span.end - span.start, model) > model.tokensPerRequest
         );
       });
       return holders.size === 1 && hasRoom && new Set(spans.map((span) => span.name)).size === spans.length;
--- a/packages/timeline/src/Timeline.ts
+++ b/packages/timeline/src/Timeline.ts
@@ -40,7 +40,7 @@
 export type TimelineEvent = zod.infer<typeof timelineEventSchema>;
 
 /** Optional details of an event. */
-export interface EventStructure {
+export interface EventDetails {
   readonly requestId?: string;
   /** The endpoint, instance or object that the event is about. */
   readonly subject?: string;
@@ -65,7 +65,7 @@
   ) {}
 
   /** Records an event with the current timestamp. */
-  add(kind: EventKind, details: EventStructure = {}): void {
+  add(kind: EventKind, details: EventDetails = {}): void {
     this._ring[this._nextIndex % this.capacity] = {
       stamp: this.clock.next(),
       instance: this.instance,
