--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -118,8 +118,8 @@
       end,
       msPerLayer,
       freeLayers,
-      freeLayersAcross,
-      mayBegin,
+      freeLayersCrossZone: freeLayersAcross,
+      canBeFirst: mayBegin,
     }));
   }
 }
--- a/packages/gateway/src/requests/CallerListener.ts
+++ b/packages/gateway/src/requests/CallerListener.ts
@@ -44,7 +44,7 @@
   /** Whether keys may be taken at their word now. */
   readonly areKeysFresh: () => boolean;
   /** Whether what the configuration does not have may be denied for good. */
-  readonly denialFreshness: Pick<DenialFreshness, "isProven" | "wait">;
+  readonly denialFreshness: Pick<DenialFreshness, "isFresh" | "waitUntilFresh">;
   readonly forward: (request: CallerRequest) => Promise<void>;
   /** How long a request may wait for the first configuration, replaced in tests. */
   readonly startupTimeoutMs?: number;
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -115,7 +115,7 @@
     () => 1_000,
     () => numbers.shift() ?? 0.5,
   );
-  const moved = { ...demand, firstEndpointId: "a", firstEnd: 2, isSpread: true };
+  const moved = { ...demand, firstEndpointId: "a", firstEnd: 2, isRandomized: true };
   t.is(describe(spreading.choose(engines, profile, moved)), "a=0-2,c=2-4");
   t.is(describe(spreading.choose(engines, profile, moved)), "a=0-2,b=2-4");
 });
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -155,9 +155,9 @@
     const codec = new TestCodec();
     const permits = createPermitParts(this.endpoints);
     const context = {
-      keeper: this.keeper,
+      activeConfiguration: this.keeper,
       endpoints: this.endpoints,
-      caller: this._caller,
+      httpClient: this._caller,
       codec,
       budgets,
       log,
@@ -181,7 +181,7 @@
         log,
       }),
       ...permits,
-      tellFull: () => undefined,
+      broadcastFull: () => undefined,
     };
     const chooser = new ChainChooser();
     const admission = new ChainAdmission(
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -61,9 +61,9 @@
   // The chain that begins at "a" waits for the engine "b".
   orders.reports.set("a", { stalled: [{ requestId: "r1", address: "b:1" }] });
   const context = {
-    keeper,
+    activeConfiguration: keeper,
     endpoints,
-    caller: new HttpClient(),
+    httpClient: new HttpClient(),
     codec: {} as MessageCodec,
     budgets: new RetryBudgets({ ratio: 1, slack: 10, windowMs: 10_000 }),
     log: new DecisionLog(new SilentSink(), () => 0),
@@ -82,7 +82,7 @@
     }),
     ...createPermitParts(endpoints),
     statements: { noteAnswer: () => undefined },
-    tellFull: () => undefined,
+    broadcastFull: () => undefined,
   };
   const chooser = new ChainChooser(
     () => clock.nowMs,
--- a/packages/gateway/src/tests/requests/denialTests.ts
+++ b/packages/gateway/src/tests/requests/denialTests.ts
@@ -77,7 +77,7 @@
 test("a wait for a proof ends with it, and without one when its time is over", async (t) => {
   let nowMs = 10_000;
   const keeper = new ActiveConfiguration(() => nowMs);
-  const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
+  const structure = { activeConfiguration: keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
   const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
   keeper.accept(createConfiguration(1));
   keeper.confirmFreshness(1, nowMs);
@@ -95,7 +95,7 @@
   for (const boundMs of [1_000, 2_000, deadlineMs, 60_000]) {
     let nowMs = 0;
     const keeper = new ActiveConfiguration(() => nowMs);
-    const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => boundMs };
+    const structure = { activeConfiguration: keeper, getBehindMs: () => 0, getDeadlineMs: () => boundMs };
     const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
     keeper.accept(createConfiguration(1));
     keeper.confirmFreshness(1, 0);
