--- a/packages/lease/src/LeaseHolder.ts
+++ b/packages/lease/src/LeaseHolder.ts
@@ -47,9 +47,9 @@
   /** Acquires or renews the lease if that is due; returns whether the holder may act under it. */
   async acquireOrRenew(): Promise<boolean> {
     if (utils.monotonicMs() < this._renewAtMs) return this.getToken() !== undefined;
-    const { projection: fold, lease, durationMs, log, follower, timeline } = this._structure;
+    const { projection, lease, durationMs, log, follower, timeline } = this._structure;
     const startMs = utils.monotonicMs();
-    const current = fold.getLease(lease);
+    const current = projection.getLease(lease);
     if (current !== undefined && current.holderId !== this._holderId && current.lapsesAtMs > utils.wallMs())
       return false;
     const appended = await log.append(leasesStream, utils.newId(), this._createRecord("take"));
@@ -57,7 +57,7 @@
     await utils
       .withDeadline(follower.waitFor(appended.val.offset), durationMs, "The read of a lease record")
       .catch(() => undefined);
-    const granted = fold.getLease(lease);
+    const granted = projection.getLease(lease);
     if (granted?.holderId !== this._holderId || granted.fencingToken !== appended.val.offset) return false;
     if (this._fencingToken === undefined)
       timeline.add("lease-taken", { subject: lease, detail: `token ${granted.fencingToken}` });
--- a/packages/lease/src/tests/leaseTests.ts
+++ b/packages/lease/src/tests/leaseTests.ts
@@ -47,27 +47,27 @@
 }
 
 function createHolder(log: LogService, name: string, durationMs: number, stop: AbortController) {
-  const fold = new LeaseProjection();
-  const follower = new LogFollower(log, leasesStream, fold);
+  const projection = new LeaseProjection();
+  const follower = new LogFollower(log, leasesStream, projection);
   void follower.run(stop.signal);
   const holder = new LeaseHolder({
     lease: "orders/x",
     holder: name,
     durationMs,
     log,
-    projection: fold,
+    projection,
     follower,
     timeline: new Timeline(name),
   });
-  return { fold, holder, follower };
+  return { projection, holder, follower };
 }
 
 test("if two holders acquire a lease at once, both projections grant it to the first in the log", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const [a, b] = [createHolder(log, "a", 60_000, stop), createHolder(log, "b", 60_000, stop)];
-  const kept = await Promise.all([a.holder.acquireOrRenew(), b.holder.acquireOrRenew()]);
+  const acquired = await Promise.all([a.holder.acquireOrRenew(), b.holder.acquireOrRenew()]);
   stop.abort();
-  t.deepEqual(kept, [true, false]);
+  t.deepEqual(acquired, [true, false]);
   t.is(a.holder.getToken(), 0);
   t.is(b.holder.getToken(), undefined);
 });
--- a/packages/membership/src/PeerBroadcast.ts
+++ b/packages/membership/src/PeerBroadcast.ts
@@ -47,10 +47,10 @@
   }
 
   private _receive(body: unknown, from: PeerIdentity): void {
-    const { schema, topic, onInvalid, applyUpdate: take } = this._structure;
+    const { schema, topic, onInvalid, applyUpdate } = this._structure;
     const parsed = schema.safeParse(body);
     if (!parsed.success) return onInvalid(topic, from);
-    const newPart = take(parsed.data);
+    const newPart = applyUpdate(parsed.data);
     if (newPart === undefined || this._isOwnZone(from)) return;
     this._notify(newPart, (member) => this._isOwnZone(member));
   }
--- a/packages/placement/src/tests/BalanceSearchTests.ts
+++ b/packages/placement/src/tests/BalanceSearchTests.ts
@@ -121,12 +121,12 @@
 test("the current and new layers of a growing engine together leave the required tokens", (t) => {
   const before = planSpans(createFleet(kinds, [1, 6, 6]));
   const empty = { engine: { name: "new", memoryMb: 72_000, stepFactor: 2.4 }, start: 0, end: 0 };
-  const leastTokensBeside = 100_000;
-  const after = planBalance([...before, empty], model, { minKvTokens: leastTokensBeside });
+  const minKvTokens = 100_000;
+  const after = planBalance([...before, empty], model, { minKvTokens });
   for (const [index, { engine, start, end }] of before.entries()) {
     const now = after[index] ?? { start, end };
     const layers = Math.max(end, now.end) - Math.min(start, now.start);
     const isGrowing = now.start < start || now.end > end;
-    t.true(!isGrowing || getKvTokenCapacity(engine, layers, model) >= leastTokensBeside);
+    t.true(!isGrowing || getKvTokenCapacity(engine, layers, model) >= minKvTokens);
   }
 });
