--- a/packages/common/src/utils/AdaptiveTimeout.ts
+++ b/packages/common/src/utils/AdaptiveTimeout.ts
@@ -1,7 +1,7 @@
 /** Timeouts that adapt to the response time of each peer: they grow after each timeout and shrink again with faster answers. */
 
 const growthFactor = 2;
-/** The next timeout is at least this many times the duration of the last answer. */
+/** Factor from the duration of an answer to the next timeout. */
 const answerFactor = 2;
 
 /**
--- a/packages/common/src/utils/PauseDetector.ts
+++ b/packages/common/src/utils/PauseDetector.ts
@@ -1,6 +1,6 @@
 /**
- * Detection of pauses of this process, such as a frozen process or a suspended machine. Silence of a peer during a pause is no evidence
- * against the peer: its messages have not been read yet, and they are as old as the pause.
+ * Detection of pauses of this process, which was frozen, or whose machine was suspended. Silence of a peer during a pause is no evidence
+ * against the peer: its messages have not been read yet, and may be as old as the pause is long.
  */
 import { monotonicMs } from "./clock.js";
 
--- a/packages/lease/src/orders.ts
+++ b/packages/lease/src/orders.ts
@@ -5,7 +5,7 @@
 import * as zod from "zod";
 
 export const orderSchema = zod.object({
-  /** Offset of the lease record under which the order is sent. An engine that checks the token rejects one lower than the last. */
+  /** Offset of the lease record under which the order is sent. An engine that checks it rejects orders with a lower token than before. */
   fencingToken: zod.number().int().nonnegative(),
   /** Wall-clock time after which the order must not take effect. */
   expiresAtMs: zod.number(),
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -1,4 +1,4 @@
-/** Membership of the entry instances: which of them are alive, judged by open links, and the links themselves. */
+/** Membership of the entry instances: the links between them, and which of them are alive according to these links. */
 import * as http from "node:http";
 import { errors, results, utils } from "@shedtiller/common";
 import type { ListedInstance } from "@shedtiller/logservice";
@@ -54,7 +54,7 @@
   private readonly _members = new Map<string, Member>();
   private readonly _links = new Map<string, PeerLink>();
   private readonly _dialling = new Set<string>();
-  /** Names of the contacts in other zones; undefined until computed again after a change of the members. */
+  /** Names of the contacts in other zones; undefined if they have to be computed again after a change of the members. */
   private _contacts: Set<string> | undefined;
   private readonly _requestHandlers = new Map<string, RequestHandler>();
   private readonly _noticeHandlers = new Map<string, NoticeHandler>();
--- a/packages/membership/src/peerFrames.ts
+++ b/packages/membership/src/peerFrames.ts
@@ -3,7 +3,7 @@
 
 const name = zod.string().min(1).max(128);
 
-/** Sent by the accepting side as soon as the connection is open. */
+/** Challenges the dialling side; sent by the accepting side as soon as the connection is open. */
 export const challengeFrameSchema = zod.object({
   kind: zod.literal("challenge"),
   nonce: zod.string().max(128),
--- a/packages/placement/src/ZoneArrangement.ts
+++ b/packages/placement/src/ZoneArrangement.ts
@@ -26,7 +26,10 @@
 const redundancyCredit = Math.log(1.25);
 /** If several engines have a layer, requests prefer the fastest: their shares fall with this power of the step factor. */
 const preferencePower = 3;
-/** An engine with KV cache for less than this share of a usual batch can't take over the requests of a lost engine. */
+/**
+ * An engine counts as a replica of its layers if it has KV cache for this share of a usual batch. With less it can't take over the requests
+ * of a lost engine.
+ */
 const minBatchShare = 0.5;
 /** Headroom for random variation of the number of requests, in standard deviations of a Poisson distribution. */
 const headroomDeviations = 2;
@@ -35,10 +38,10 @@
 interface Totals {
   /** Number of layers with KV cache for at least one request. */
   covered: number;
-  /** Number of covered layers that are on at least two engines. */
+  /** Number of covered layers with at least two replicas. */
   redundant: number;
-  /** Number of copies of layers: every layer, covered or not, counts once for each engine that could take over its requests. */
-  copies: number;
+  /** Number of replicas of all layers, covered or not. */
+  replicas: number;
   /** Sum of the mean step factors of the covered layers. */
   stepFactors: number;
   /** Sum of the eighth powers of 1 / usable tokens of the covered layers, for a soft minimum. */
@@ -53,7 +56,7 @@
   private readonly _shares: Float64Array;
   private readonly _sharedFactors: Float64Array;
   private readonly _replicas: Int32Array;
-  private readonly _totals: Totals = { covered: 0, redundant: 0, copies: 0, stepFactors: 0, scarcity: 0 };
+  private readonly _totals: Totals = { covered: 0, redundant: 0, replicas: 0, stepFactors: 0, scarcity: 0 };
 
   constructor(
     spans: readonly BalancedSpan[],
@@ -84,13 +87,14 @@
   /** Returns the cost, which is lower for better arrangements: gaps dominate, then come request rate, speed and redundancy of layers. */
   getCost(): number {
     const { layerCount, stepMs, stepMsPerRequest, tokensPerRequest } = this._model;
-    const { covered, redundant, copies, stepFactors, scarcity } = this._totals;
+    const { covered, redundant, replicas, stepFactors, scarcity } = this._totals;
     const gaps = (layerCount - covered) * gapCost;
     if (covered === 0) return gaps;
     const room = (covered / scarcity) ** (1 / 8) / tokensPerRequest;
     const requests = Math.max(1, room - headroomDeviations * Math.sqrt(room));
-    // The requests are distributed over the copies of the layers, which run concurrently.
-    const stepLoad = 1 + (requests * layerCount * stepMsPerRequest) / (Math.max(layerCount, copies) * stepMs);
+    // The requests are distributed over the replicas of the layers, which run concurrently.
+    const stepLoad =
+      1 + (requests * layerCount * stepMsPerRequest) / (Math.max(layerCount, replicas) * stepMs);
     const tokenTime = Math.log(stepFactors / covered) + Math.log(stepLoad);
     return (
       gaps + (1 + speedWeight) * tokenTime - Math.log(requests) - (redundancyCredit * redundant) / layerCount
@@ -118,7 +122,7 @@
   private _count(layer: number, sign: 1 | -1): void {
     const tokens = this._tokens[layer] ?? 0;
     const replicas = this._replicas[layer] ?? 0;
-    this._totals.copies += sign * replicas;
+    this._totals.replicas += sign * replicas;
     if (tokens < this._model.tokensPerRequest) return;
     this._totals.covered += sign;
     if (replicas > 1) this._totals.redundant += sign;
--- a/packages/placement/src/burst.ts
+++ b/packages/placement/src/burst.ts
@@ -12,11 +12,12 @@
 
 /**
  * Returns the number of requests that a zone starts within the maximum age of its load figures, at the best rate of any number of copies
- * with equal memory and mean speed. This is a rough bound based on memory and speed alone: 40 requests for 35 engines with 1,245 GB.
+ * with equal memory and mean speed. This is a rough bound based on memory and speed alone: 40 requests for 35 engines with 1,245 GB in
+ * total.
  *
  * Returns 0 if one copy is best: all requests then use the same engines, so outdated load figures can't mislead the choice, and headroom
- * would only be lost. On a zone of 13 engines with 288 GB, an overloaded day served 0.49 of its value with headroom for ten requests and
- * 0.58 without.
+ * would only be lost. In a zone of 13 engines with 288 GB in total, an overloaded day served 0.49 of its value with headroom for ten
+ * requests and 0.58 without.
  */
 export function getBurstRequests(engines: readonly CopyEngine[], model: CopyModel): number {
   const memoryMb = utils.getSum(engines.map((engine) => engine.memoryMb));
