--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -35,7 +35,7 @@
     return exitCodes.unusable;
   }
   const loaded = loaders[daemon](file);
-  const faults = loaded.ok ? [] : loaded.val.faults.filter((fault) => !isFilledIn(fault, text, file));
+  const faults = loaded.ok ? [] : loaded.val.faults.filter((fault) => !isPlaceholderFault(fault, text, file));
   if (options.json === true) {
     print(JSON.stringify({ file, daemon, faults: faults.map(({ place, reason }) => ({ place, reason })) }));
   } else if (faults.length === 0) print(`${file} is in order (${daemon}).`);
@@ -57,7 +57,7 @@
 }
 
 /** Whether a fault is only that a value is a placeholder of a template; a name is never filled in. */
-function isFilledIn(fault: errors.InvalidInputError, text: string, file: string): boolean {
+function isPlaceholderFault(fault: errors.InvalidInputError, text: string, file: string): boolean {
   if (unknownNamePattern.test(fault.reason)) return false;
   const place = fault.place.slice(file.length);
   const line = /^:(\d+):/.exec(place)?.[1];
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -3,7 +3,7 @@
 import { exitCodes, print, printError, type CommonOptions, type ExitCode } from "./CommandContext.js";
 import { readLogs } from "./readLogs.js";
 
-const usualSpanS = 2;
+const defaultSpanS = 2;
 
 /** What the command takes. */
 export interface LossesOptions extends CommonOptions {
@@ -13,7 +13,7 @@
 
 /** Prints the ends of all requests over time; answers no where the logs have none. */
 export function runLosses(files: readonly string[], options: LossesOptions): ExitCode {
-  const spanS = Number(options.span ?? usualSpanS);
+  const spanS = Number(options.span ?? defaultSpanS);
   if (!(spanS > 0)) {
     printError(`--span: ${String(options.span)} is no number of seconds above 0.`);
     return exitCodes.unusable;
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -18,7 +18,7 @@
 } from "./CommandContext.js";
 
 const timelineSchema = zod.object({ events: zod.array(timelineEventSchema), gaps: zod.array(zod.string()) });
-const followEveryMs = 500;
+const followIntervalMs = 500;
 
 /** Options of the command. */
 export interface TimelineOptions extends CommonOptions {
@@ -49,7 +49,7 @@
     const lastMs = events[events.length - 1]?.stamp.wallMs;
     // Late events of other instances may still come; asking a little back finds them.
     if (lastMs !== undefined) sinceMs = lastMs - utils.msPerSecond;
-    await utils.sleep(followEveryMs);
+    await utils.sleep(followIntervalMs);
   }
 }
 
--- a/packages/cli/src/explain/explainRequest.ts
+++ b/packages/cli/src/explain/explainRequest.ts
@@ -14,14 +14,14 @@
   /^zone-duty-changed$/,
 ];
 /** Lines of any instance that change the room for requests. */
-const roomMessages = [
+const capacityMessages = [
   /^layers-ordered$/,
   /^endpoint-(gone|draining|suspected)$/,
   /^endpoint-limit-/,
   /^leader-/,
 ];
 /** Outcomes and reasons that are about room. */
-const roomReasons: readonly unknown[] = ["no-room", "limited", "resting", "not-run"];
+const capacityReasons: readonly unknown[] = ["no-room", "limited", "resting", "not-run"];
 
 /** Gives the lines that explain a request, the earliest first; none where no line names it. */
 export function explainRequest(requestId: string, lines: readonly LogLine[]): LogLine[] {
@@ -31,7 +31,7 @@
   const toMs = Math.max(...own.map(getWallMs));
   const instances = new Set(own.map((line) => line.instance));
   const endpoints = new Set(own.flatMap(getEndpoints));
-  const isAboutRoom = own.some((line) => roomReasons.includes(line["reason"] ?? line["outcome"]));
+  const isAboutRoom = own.some((line) => capacityReasons.includes(line["reason"] ?? line["outcome"]));
   const digests = new Set(
     own.flatMap((line) => (typeof line["digest"] === "string" ? [line["digest"]] : [])),
   );
@@ -43,7 +43,7 @@
     if (wallMs < fromMs || wallMs > toMs) return false;
     if (getEndpoints(line).some((endpoint) => endpoints.has(endpoint))) return true;
     if (!instances.has(line.instance)) return false;
-    return matches(line, instanceMessages) || (isAboutRoom && matches(line, roomMessages));
+    return matches(line, instanceMessages) || (isAboutRoom && matches(line, capacityMessages));
   };
   const explaining = lines.filter((line) => line.requestId === requestId || isCause(line));
   return explaining.sort((a, b) => getWallMs(a) - getWallMs(b));
--- a/packages/cli/src/losses/judgeEnd.ts
+++ b/packages/cli/src/losses/classifyEnd.ts
@@ -25,7 +25,7 @@
 ] as const;
 export type EndKind = (typeof endKinds)[number];
 
-const refusals: Readonly<Record<string, EndKind>> = {
+const endsByRefusal: Readonly<Record<string, EndKind>> = {
   "no-room": "refused: no room",
   limited: "refused: limits of endpoints",
   resting: "refused: endpoints asked for rest",
@@ -38,28 +38,28 @@
   "no-key": "refused: key or route unknown",
   "no-route": "refused: key or route unknown",
 };
-const failures: Readonly<Record<string, EndKind>> = {
+const endsByFailure: Readonly<Record<string, EndKind>> = {
   "outcome-unknown": "failed: cut and not resumed",
   "out-of-time": "failed: out of time",
   "caller-left": "failed: caller left",
   open: "failed: caller left",
 };
 const successPattern = /^status 2\d\d$/;
-const ownStatusPattern = /^status \d+$/;
+const statusPattern = /^status \d+$/;
 
 /** Judges the line that ends a request; undefined for lines that end none. */
-export function judgeEnd(line: LogLine): EndKind | undefined {
-  if (line.message === "request-refused") return refusals[String(line["reason"])] ?? "refused: other";
+export function classifyEnd(line: LogLine): EndKind | undefined {
+  if (line.message === "request-refused") return endsByRefusal[String(line["reason"])] ?? "refused: other";
   if (line.message !== "request-ended") return undefined;
   const outcome = String(line["outcome"]);
-  if (outcome === "completed") return judgeStream(line);
+  if (outcome === "completed") return classifyStream(line);
   if (successPattern.test(outcome)) return "in time";
-  if (ownStatusPattern.test(outcome)) return "failed: endpoint's failure";
-  return refusals[outcome] ?? failures[outcome] ?? "refused: other";
+  if (statusPattern.test(outcome)) return "failed: endpoint's failure";
+  return endsByRefusal[outcome] ?? endsByFailure[outcome] ?? "refused: other";
 }
 
 /** A stream that came whole: the first thing that went wrong with it. */
-function judgeStream(line: LogLine): EndKind {
+function classifyStream(line: LogLine): EndKind {
   const attempts = Number(line["attempts"] ?? 1);
   if (line["isFirstEventLate"] === true) {
     const waitedMs = Number(line["queuedMs"] ?? 0);
--- a/packages/cli/src/losses/countLosses.ts
+++ b/packages/cli/src/losses/countLosses.ts
@@ -1,7 +1,7 @@
 /** Counts how requests ended, over time and over routes. */
 import { utils } from "@shedtiller/common";
 import { getWallMs, type LogLine } from "../explain/logLine.js";
-import { endKinds, judgeEnd, type EndKind } from "./judgeEnd.js";
+import { endKinds, classifyEnd, type EndKind } from "./classifyEnd.js";
 
 /** Requests of one route that arrived in one span of time and ended alike. */
 export interface LossRow {
@@ -17,7 +17,7 @@
   const firstMs = lines.reduce((least, line) => Math.min(least, getWallMs(line)), Number.POSITIVE_INFINITY);
   const counts = new Map<string, LossRow>();
   for (const line of lines) {
-    const end = judgeEnd(line);
+    const end = classifyEnd(line);
     if (end === undefined) continue;
     const arrivedS = (getWallMs(line) - Number(line["tookMs"] ?? 0) - firstMs) / utils.msPerSecond;
     const fromS = Math.max(0, Math.floor(arrivedS / spanS) * spanS);
--- a/packages/cli/src/tests/lossesTests.ts
+++ b/packages/cli/src/tests/lossesTests.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import type { LogLine } from "../explain/logLine.js";
 import { countLosses, formatLosses } from "../losses/countLosses.js";
-import { judgeEnd } from "../losses/judgeEnd.js";
+import { classifyEnd } from "../losses/classifyEnd.js";
 
 function create(second: number, fields: object, message = "request-ended"): LogLine {
   const timestamp = new Date(1_700_000_000_000 + second * 1_000).toISOString();
@@ -13,7 +13,7 @@
 
 test("each end has its cause", (t) => {
   const judge = (fields: object, message?: string): string | undefined =>
-    judgeEnd(create(0, fields, message));
+    classifyEnd(create(0, fields, message));
   t.is(judge(inTime), "in time");
   t.is(judge({ outcome: "status 200" }), "in time");
   t.is(
--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -13,7 +13,7 @@
 import * as timeline from "@shedtiller/timeline";
 import type * as inversify from "inversify";
 import { ConfigurationSync } from "./configuration/ConfigurationSync.js";
-import { ListFeed } from "./feeds/ListFeed.js";
+import { InstanceListPoller } from "./feeds/InstanceListPoller.js";
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
 import { ZoneFeed } from "./feeds/ZoneFeed.js";
@@ -39,9 +39,9 @@
 import { Tokenizer } from "./text/Tokenizer.js";
 
 const readyPollMs = 10;
-const retiringTickMs = 250;
+const retiringUpdateIntervalMs = 250;
 /** Without the log, an instance waits this long for peers before it takes what it has for the newest. */
-const peerGraceMs = 2_000;
+const peerWaitMs = 2_000;
 
 /** What a drain came to. */
 export interface DrainReport {
@@ -61,27 +61,27 @@
   private readonly _log: PartLog;
   private readonly _shutdown: AbortController;
   private readonly _inFlight: InFlight;
-  private readonly _callers: HttpListener;
-  private readonly _operators: HttpListener;
+  private readonly _callerListener: HttpListener;
+  private readonly _operatorListener: HttpListener;
   private _isDraining = false;
   private _startedAtMs = 0;
   private _wasReady = false;
-  private _cut: string[] = [];
+  private _abortedRequestIds: string[] = [];
   private _tasks: Promise<unknown>[] = [];
 
-  constructor(private readonly _parts: Pick<inversify.ResolutionContext, "get">) {
-    this.settings = _parts.get<InstanceSettings>(parts.settings);
-    this.timeline = _parts.get(timeline.Timeline);
-    this.fold = _parts.get(intent.ConfigurationFold);
-    this.membership = _parts.get(membership.Membership);
-    this.directory = _parts.get(routing.EndpointDirectory);
-    this.pipeline = _parts.get(pipeline.PipelineContext);
-    this.metrics = _parts.get(InstanceMetrics);
-    this._log = _parts.get<Logs>(parts.logs).forPart("entry");
-    this._shutdown = _parts.get<AbortController>(parts.shutdown);
-    this._inFlight = _parts.get(InFlight);
-    this._callers = this._createListener("callers", this.settings.instance.callerAddress);
-    this._operators = this._createListener("operators", this.settings.instance.operatorAddress);
+  constructor(private readonly _container: Pick<inversify.ResolutionContext, "get">) {
+    this.settings = _container.get<InstanceSettings>(parts.settings);
+    this.timeline = _container.get(timeline.Timeline);
+    this.fold = _container.get(intent.ConfigurationFold);
+    this.membership = _container.get(membership.Membership);
+    this.directory = _container.get(routing.EndpointDirectory);
+    this.pipeline = _container.get(pipeline.PipelineContext);
+    this.metrics = _container.get(InstanceMetrics);
+    this._log = _container.get<Logs>(parts.logs).forPart("entry");
+    this._shutdown = _container.get<AbortController>(parts.shutdown);
+    this._inFlight = _container.get(InFlight);
+    this._callerListener = this._createListener("callers", this.settings.instance.callerAddress);
+    this._operatorListener = this._createListener("operators", this.settings.instance.operatorAddress);
   }
 
   get name(): string {
@@ -89,11 +89,11 @@
   }
 
   get callerPort(): number {
-    return this._callers.port;
+    return this._callerListener.port;
   }
 
   get operatorPort(): number {
-    return this._operators.port;
+    return this._operatorListener.port;
   }
 
   get isDraining(): boolean {
@@ -117,9 +117,9 @@
     this._addRoutes();
     this._addMetricSources();
     await this.membership.listen();
-    await this._callers.listen();
-    await this._operators.listen();
-    this.fold.onChanged(() => this._noteConfiguration());
+    await this._callerListener.listen();
+    await this._operatorListener.listen();
+    this.fold.onChanged(() => this._recordConfiguration());
     this._startTasks(this._shutdown.signal);
     const ports = `callers on port ${this.callerPort}, operators on port ${this.operatorPort}, peers on port ${this.membership.port}`;
     this._log.info(`Listening for ${ports}.`);
@@ -140,36 +140,36 @@
     }
     await this._inFlight.waitForIdle();
     this.timeline.add("drain-ended");
-    await this._end();
+    await this._stop();
     this._log.info("Drained.");
-    return { cut: this._cut };
+    return { cut: this._abortedRequestIds };
   }
 
   /** Cuts short what a drain still waits for. */
   hurry(): void {
-    this._cut = this._inFlight.cutAll();
-    for (const requestId of this._cut) this._log.warn(`Cut the request ${requestId} short.`);
+    this._abortedRequestIds = this._inFlight.cutAll();
+    for (const requestId of this._abortedRequestIds) this._log.warn(`Cut the request ${requestId} short.`);
   }
 
   /** Vanishes at once, as a killed process does. */
   async kill(): Promise<void> {
     this._inFlight.cutAll();
-    await this._end();
+    await this._stop();
   }
 
   /** Reads the certificate files again; new connections use them. */
   reloadCertificates(): void {
     const tls = this._readTls();
     if (tls === undefined) return;
-    this._callers.setCertificate(tls.certificate, tls.key);
-    this._operators.setCertificate(tls.certificate, tls.key);
+    this._callerListener.setCertificate(tls.certificate, tls.key);
+    this._operatorListener.setCertificate(tls.certificate, tls.key);
     this._log.info("Read the certificates again.");
   }
 
-  private async _end(): Promise<void> {
+  private async _stop(): Promise<void> {
     this._shutdown.abort();
-    this._callers.destroy();
-    this._operators.destroy();
+    this._callerListener.destroy();
+    this._operatorListener.destroy();
     this.membership.close();
     const { connector } = this.pipeline;
     if (connector instanceof pipeline.WsEngineConnector) connector.close();
@@ -177,33 +177,37 @@
   }
 
   private _checkReady(): boolean {
-    const follower = this._parts.get<platform.LogFollower>(parts.configurationFollower);
+    const follower = this._container.get<platform.LogFollower>(parts.configurationFollower);
     if (this.fold.offset < 0 || this.fold.isMissingPast) return false;
     if (follower.isCaughtUp) return true;
-    const hasWaited = utils.monotonicMs() - this._startedAtMs > peerGraceMs;
-    return hasWaited && this._parts.get(ConfigurationSync).hasAskedPeers;
+    const hasWaited = utils.monotonicMs() - this._startedAtMs > peerWaitMs;
+    return hasWaited && this._container.get(ConfigurationSync).hasAnswerOfEveryPeer;
   }
 
   private _startTasks(signal: AbortSignal): void {
     const logParts = [parts.configurationFollower, parts.claimFollower, parts.leaseFollower];
-    const followers = logParts.map((part) => this._parts.get<platform.LogFollower>(part));
-    const list = new ListFeed(this._parts.get(platform.InstanceList), (page) => this._takeList(page));
+    const followers = logParts.map((part) => this._container.get<platform.LogFollower>(part));
+    const list = new InstanceListPoller(this._container.get(platform.InstanceList), (page) =>
+      this._applyInstanceList(page),
+    );
     const retire = (): void => updateRetiring(this.fold, this.directory);
     this._tasks = [
       ...followers.map((follower) => follower.run(signal)),
       list.run(signal),
       this.membership.run(signal),
-      this._parts.get(ConfigurationSync).run(signal),
-      this._parts.get(ZoneFeed).run(signal),
-      this._parts.get(ModelQueues).run(signal),
-      this._parts.get(OrderKeeper).run(signal),
-      utils.repeat(retiringTickMs, signal, retire, (error) => this._log.error(errors.describeError(error))),
+      this._container.get(ConfigurationSync).run(signal),
+      this._container.get(ZoneFeed).run(signal),
+      this._container.get(ModelQueues).run(signal),
+      this._container.get(OrderKeeper).run(signal),
+      utils.repeat(retiringUpdateIntervalMs, signal, retire, (error) =>
+        this._log.error(errors.describeError(error)),
+      ),
     ];
     for (const task of this._tasks)
       task.catch((error: unknown) => this._log.error(errors.describeError(error)));
   }
 
-  private _takeList(page: readonly platform.ListedInstance[]): void {
+  private _applyInstanceList(page: readonly platform.ListedInstance[]): void {
     this.directory.setListed(page);
     this.membership.setListed(page);
     const own = this.settings.instance.availabilityZone;
@@ -211,20 +215,20 @@
     const sources = new Set(entries.filter((e) => e.availabilityZone === own).map((e) => e.name));
     for (const entry of entries)
       if (entry.availabilityZone !== own) sources.add(getZoneSource(entry.availabilityZone));
-    this._parts.get(admission.AccountLimits).keepSources(sources);
-    this._parts.get(PipelineDemands).keepSources(sources);
-    this._parts.get(VersionsInUse).keepSources(sources);
+    this._container.get(admission.AccountLimits).keepSources(sources);
+    this._container.get(PipelineDemands).keepSources(sources);
+    this._container.get(VersionsInUse).retainSources(sources);
   }
 
-  private _noteConfiguration(): void {
+  private _recordConfiguration(): void {
     this.timeline.add("configuration-in-force", { detail: `offset ${this.fold.offset}` });
   }
 
   private _addRoutes(): void {
-    const p = this._parts;
+    const p = this._container;
     const shared = {
       settings: this.settings,
-      fold: this.fold,
+      configuration: this.fold,
       accounts: p.get(AccountDirectory),
       once: p.get(claims.AtMostOnce) as claims.AtMostOnce<StoredAnswer>,
       timeline: this.timeline,
@@ -242,10 +246,10 @@
     const services = new ServiceHandler({ ...shared, caller: p.get(claims.ServiceCaller) });
     const isReady = (): boolean => this.isReady;
     const isDraining = (): boolean => this._isDraining;
-    addCallerRoutes(this._callers, { ...shared, completions, services, isReady, isDraining });
-    addOperatorRoutes(this._operators, {
+    addCallerRoutes(this._callerListener, { ...shared, completions, services, isReady, isDraining });
+    addOperatorRoutes(this._operatorListener, {
       tokenHash: p.get<InstanceSecrets>(parts.secrets).operatorTokenHash,
-      fold: this.fold,
+      configuration: this.fold,
       planner: p.get(Planner),
       desk: p.get(PlanDesk),
       status: p.get(StatusGatherer),
@@ -257,14 +261,14 @@
   }
 
   private _addMetricSources(): void {
-    const queues = this._parts.get(ModelQueues);
+    const queues = this._container.get(ModelQueues);
     this.metrics.addSources({
       membership: this.membership,
       pipeline: this.pipeline,
       getConfigurationOffset: () => this.fold.offset,
       getActive: () => this._inFlight.size,
       getWaiting: () => queues.waiting,
-      getClaimKeys: () => this._parts.get(claims.ClaimFold).size,
+      getClaimKeys: () => this._container.get(claims.ClaimFold).size,
     });
   }
 
--- a/packages/entry/src/ModelQueues.ts
+++ b/packages/entry/src/ModelQueues.ts
@@ -15,8 +15,8 @@
 /** Streams for each slot: while some wait for a slot at the next stage, the slots stay full. */
 const streamsPerSlot = 1.75;
 const refreshMs = 100;
-const limitMaxAgeMs = 100;
-const growthPerSecond = 2;
+const limitCacheMs = 100;
+const limitGrowthPerSecond = 2;
 
 /** Makes a queue with a given limit; the bench puts another kind in its place. */
 export type QueueFactory = (getLimit: () => number) => Admission;
@@ -83,21 +83,24 @@
   private _getLimit(pipeline: PipelineObject): number {
     const nowMs = utils.monotonicMs();
     const known = this._limits.get(pipeline.name);
-    if (known !== undefined && nowMs - known.atMs < limitMaxAgeMs) return known.streams;
-    const all = this._getAllStreams(pipeline);
+    if (known !== undefined && nowMs - known.atMs < limitCacheMs) return known.streams;
+    const all = this._getTotalStreams(pipeline);
     const share = this._demands?.getShare(pipeline.name, all) ?? all;
     // What the others want is heard late. In a rush each begins with an equal part, and takes more of what they leave
     // only step by step, so that all together never take much more than there is.
     const equal = all / this._getInstanceCount();
     const elapsedMs = known === undefined ? 0 : nowMs - known.atMs;
-    const grown = Math.max(equal, (known?.streams ?? 0) * growthPerSecond ** (elapsedMs / utils.msPerSecond));
+    const grown = Math.max(
+      equal,
+      (known?.streams ?? 0) * limitGrowthPerSecond ** (elapsedMs / utils.msPerSecond),
+    );
     const streams = Math.max(1, Math.min(share, grown));
     this._limits.set(pipeline.name, { streams, atMs: nowMs });
     return streams;
   }
 
   /** Streams that keep all engines of a pipeline busy. */
-  private _getAllStreams(pipeline: PipelineObject): number {
+  private _getTotalStreams(pipeline: PipelineObject): number {
     const version = getServedVersion(this._directory, pipeline);
     const engines = this._directory.getEngines(pipeline.name, version);
     return utils.getSum(engines.map((engine) => engine.report.slots)) * streamsPerSlot;
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -125,7 +125,7 @@
     .bind(ConfigurationSync)
     .toDynamicValue((c) => {
       return new ConfigurationSync({
-        fold: c.get(intent.ConfigurationFold),
+        configuration: c.get(intent.ConfigurationFold),
         membership: c.get(membership.Membership),
         log: c.get(platform.LogService),
         logRetentionMs: settings.platform.logRetentionMs,
--- a/packages/entry/src/configuration/ConfigurationSync.ts
+++ b/packages/entry/src/configuration/ConfigurationSync.ts
@@ -13,12 +13,12 @@
 
 const sinceTopic = "configuration";
 const offsetField = "offset";
-const newsTopic = "configuration-news";
+const updateTopic = "configuration-news";
 const requestTimeoutMs = 2_000;
 const snapshotTickMs = 5_000;
-const snapshotAfterRecords = 500;
+const maxRecordsPerSnapshot = 500;
 /** A snapshot is written when this part of the retention has gone since the last one. */
-const retentionPart = 0.25;
+const snapshotRetentionFraction = 0.25;
 
 const sinceSchema = zod.object({ offset: zod.number().int() });
 const answerSchema = zod.object({
@@ -29,7 +29,7 @@
 
 /** What the sync works on. */
 export interface ConfigurationSyncStructure {
-  readonly fold: ConfigurationFold;
+  readonly configuration: ConfigurationFold;
   readonly membership: Membership;
   readonly log: LogService;
   readonly logRetentionMs: number;
@@ -37,18 +37,18 @@
 
 /** Learns from peers, tells peers, and writes snapshots before records age out. */
 export class ConfigurationSync {
-  private readonly _asking = new Set<string>();
-  private readonly _answered = new Set<string>();
+  private readonly _pendingPeers = new Set<string>();
+  private readonly _answeredPeers = new Set<string>();
 
   constructor(private readonly _structure: ConfigurationSyncStructure) {
-    const { fold, membership } = _structure;
-    membership.addHeartbeatField(offsetField, () => fold.offset);
+    const { configuration, membership } = _structure;
+    membership.addHeartbeatField(offsetField, () => configuration.offset);
     membership.onRequest(sinceTopic, (body) => this._answer(body));
-    membership.onNotice(newsTopic, (body, from) => {
-      if (typeof body === "number" && body > fold.offset) void this._ask(from);
+    membership.onNotice(updateTopic, (body, from) => {
+      if (typeof body === "number" && body > configuration.offset) void this._requestUpdate(from);
     });
-    membership.onLinked((peer) => void this._ask(peer));
-    fold.onChanged(() => membership.notifyAll(newsTopic, fold.offset));
+    membership.onLinked((peer) => void this._requestUpdate(peer));
+    configuration.onChanged(() => membership.notifyAll(updateTopic, configuration.offset));
   }
 
   /** Offset that a peer last told, or -1. */
@@ -58,57 +58,63 @@
   }
 
   /** Whether every peer that is linked now has been asked for its configuration. */
-  get hasAskedPeers(): boolean {
-    return this._structure.membership.getLinked().every((member) => this._answered.has(member.name));
+  get hasAnswerOfEveryPeer(): boolean {
+    return this._structure.membership.getLinked().every((member) => this._answeredPeers.has(member.name));
   }
 
   /** Asks the peers that are ahead, and writes snapshots, until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const ignore = (): void => undefined;
     await Promise.all([
-      utils.repeat(utils.msPerSecond, signal, () => this._askAhead(), ignore),
-      utils.repeat(snapshotTickMs, signal, () => this._keepSnapshot(), ignore),
+      utils.repeat(utils.msPerSecond, signal, () => this._requestFromNewerPeers(), ignore),
+      utils.repeat(snapshotTickMs, signal, () => this._writeSnapshotIfDue(), ignore),
     ]);
   }
 
-  private _askAhead(): void {
-    const { membership, fold } = this._structure;
+  private _requestFromNewerPeers(): void {
+    const { membership, configuration } = this._structure;
     for (const member of membership.getLinked())
-      if (this.getPeerOffset(member.name) > fold.offset) void this._ask(member);
+      if (this.getPeerOffset(member.name) > configuration.offset) void this._requestUpdate(member);
   }
 
-  private async _ask(peer: PeerIdentity): Promise<void> {
-    if (this._asking.has(peer.name)) return;
-    this._asking.add(peer.name);
-    const { membership, fold } = this._structure;
-    const reply = await membership.request(peer.name, sinceTopic, { offset: fold.offset }, requestTimeoutMs);
-    this._asking.delete(peer.name);
+  private async _requestUpdate(peer: PeerIdentity): Promise<void> {
+    if (this._pendingPeers.has(peer.name)) return;
+    this._pendingPeers.add(peer.name);
+    const { membership, configuration } = this._structure;
+    const reply = await membership.request(
+      peer.name,
+      sinceTopic,
+      { offset: configuration.offset },
+      requestTimeoutMs,
+    );
+    this._pendingPeers.delete(peer.name);
     if (reply.err) return;
     const answer = answerSchema.safeParse(reply.val);
     if (!answer.success) return;
-    this._answered.add(peer.name);
-    if (answer.data.records !== undefined) fold.adoptRecords(answer.data.records);
-    if (answer.data.state !== undefined) fold.adoptState(answer.data.state);
+    this._answeredPeers.add(peer.name);
+    if (answer.data.records !== undefined) configuration.adoptRecords(answer.data.records);
+    if (answer.data.state !== undefined) configuration.adoptState(answer.data.state);
   }
 
   private _answer(body: unknown): unknown {
-    const { fold } = this._structure;
+    const { configuration } = this._structure;
     const asked = sinceSchema.safeParse(body);
     if (!asked.success) return undefined;
-    const records = fold.getRecordsSince(asked.data.offset);
-    if (records.ok) return { offset: fold.offset, records: records.val };
-    return { offset: fold.offset, state: fold.state };
+    const records = configuration.getRecordsSince(asked.data.offset);
+    if (records.ok) return { offset: configuration.offset, records: records.val };
+    return { offset: configuration.offset, state: configuration.state };
   }
 
-  private async _keepSnapshot(): Promise<void> {
-    const { fold, membership, log, logRetentionMs } = this._structure;
-    if (fold.offset < 0 || fold.isMissingPast || !membership.ownsDuty("snapshot")) return;
-    const last = fold.lastSnapshot;
+  private async _writeSnapshotIfDue(): Promise<void> {
+    const { configuration, membership, log, logRetentionMs } = this._structure;
+    if (configuration.offset < 0 || configuration.isMissingPast || !membership.ownsDuty("snapshot")) return;
+    const last = configuration.lastSnapshot;
     const ageMs = last === undefined ? Number.POSITIVE_INFINITY : utils.wallMs() - last.atMs;
     const isDue =
-      ageMs > logRetentionMs * retentionPart || fold.offset - (last?.offset ?? -1) > snapshotAfterRecords;
+      ageMs > logRetentionMs * snapshotRetentionFraction ||
+      configuration.offset - (last?.offset ?? -1) > maxRecordsPerSnapshot;
     if (!isDue) return;
-    const record: SnapshotRecord = { version: recordVersion, type: "snapshot", state: fold.state };
+    const record: SnapshotRecord = { version: recordVersion, type: "snapshot", state: configuration.state };
     await log.append(configurationStream, utils.newId(), record);
   }
 }
--- a/packages/entry/src/crashes/RequestCrashes.ts
+++ b/packages/entry/src/crashes/RequestCrashes.ts
@@ -13,7 +13,7 @@
 
 const probeTimeoutMs = 300;
 /** Two words of one engine within this are of one crash: engines are listed under one name through all their lives. */
-const oneCrashMs = 2_000;
+const crashWindowMs = 2_000;
 /** What the guard works with. */
 export interface RequestCrashesStructure {
   readonly membership: CrashExchangeStructure["membership"];
@@ -53,7 +53,7 @@
     const standing = this.ledger.getStanding(digest);
     if (standing === "held") return this.ledger.getHoldLeftMs(digest);
     if (standing !== "due-for-trial") return undefined;
-    if (!this._isOurTurn(digest)) return trialElsewhereMs;
+    if (!this._mayRunTrial(digest)) return trialElsewhereMs;
     const trial = this.ledger.noteTrial({ digest, ageMs: 0 });
     if (trial !== undefined) this._exchange.tell({ ...nothingTold, trials: [trial] });
     return undefined;
@@ -63,7 +63,7 @@
   override async noteLost(digest: string, { name, address }: LostEngine): Promise<void> {
     if ((await this._structure.probe(address, probeTimeoutMs)) !== "refused") return;
     const atMs = this._nowMs();
-    const crash = this.ledger.noteCrash(this._getCrashName(name), atMs, new Map([[digest, 1]]));
+    const crash = this.ledger.noteCrash(this._getCrashId(name), atMs, new Map([[digest, 1]]));
     if (crash === undefined) return;
     this._structure.warn(`The engine ${name} crashed at the beginning of request ${digest}.`);
     this._exchange.tell({ ...nothingTold, crashes: [crash] });
@@ -75,14 +75,14 @@
     if (cleared !== undefined) this._exchange.tell({ ...nothingTold, clearings: [cleared] });
   }
 
-  private _isOurTurn(digest: string): boolean {
+  private _mayRunTrial(digest: string): boolean {
     const { membership, getInstanceNames } = this._structure;
     return this.ledger.mayTry(digest, getTrialRank(digest, membership.self.name, getInstanceNames()));
   }
 
   /** The crash of this engine that is known from a moment ago, or a new one. */
-  private _getCrashName(engine: string): string {
-    const span = Math.floor(utils.wallMs() / oneCrashMs);
+  private _getCrashId(engine: string): string {
+    const span = Math.floor(utils.wallMs() / crashWindowMs);
     const before = `${engine}@${span - 1}`;
     return this.ledger.hasCrash(before) ? before : `${engine}@${span}`;
   }
--- a/packages/entry/src/feeds/ListFeed.ts
+++ b/packages/entry/src/feeds/InstanceListPoller.ts
@@ -2,12 +2,12 @@
 import { utils } from "@shedtiller/common";
 import type { InstanceList, ListedInstance } from "@shedtiller/logservice";
 
-const intervalMs = 500;
+const pollIntervalMs = 500;
 
 /** Hands each page on. */
-export class ListFeed {
+export class InstanceListPoller {
   /** Wall time since when the list has not answered; undefined while it does. */
-  silentSinceMs: number | undefined;
+  unavailableSinceMs: number | undefined;
 
   constructor(
     private readonly _list: InstanceList,
@@ -17,7 +17,7 @@
   /** Runs until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
-      intervalMs,
+      pollIntervalMs,
       signal,
       () => this.refresh(),
       () => undefined,
@@ -27,10 +27,10 @@
   async refresh(): Promise<void> {
     const page = await this._list.getInstances();
     if (page.err) {
-      this.silentSinceMs ??= utils.wallMs();
+      this.unavailableSinceMs ??= utils.wallMs();
       return;
     }
-    this.silentSinceMs = undefined;
+    this.unavailableSinceMs = undefined;
     this._onPage(page.val);
   }
 }
--- a/packages/entry/src/feeds/VersionsInUse.ts
+++ b/packages/entry/src/feeds/VersionsInUse.ts
@@ -11,20 +11,20 @@
  * How long an instance begins nothing on a version after it has said so. The order that relies on it is sent within a second, once all
  * others have answered or have had the time to, and takes effect within two more or never.
  */
-const closedMs = 5_000;
-const openAgainPollMs = 20;
+const closedDurationMs = 5_000;
+const reopenPollMs = 20;
 
 /** Versions of one pipeline that an instance begins requests with, or has some under way with. */
 export type VersionUse = [model: string, versions: string[]];
 
 /** A version that a request runs with, and the function that notes its end. */
-export interface VersionEntry {
+export interface VersionHandle {
   readonly version: string;
-  readonly leave: () => void;
+  readonly release: () => void;
 }
 
 /** Until when a request may wait for a version that it can begin on. */
-export interface BeginOptions {
+export interface AcquireOptions {
   /** Monotonic milliseconds. */
   readonly deadlineMs: number;
   readonly signal: AbortSignal;
@@ -52,29 +52,29 @@
    * Begins a request on the version that is served now. Where the only whole chains are of a version on which nothing may begin, it waits
    * until another one is whole or that one is free again, for some seconds at the most: engines of the new version are loading then.
    */
-  async begin(pipeline: PipelineObject, options: BeginOptions): Promise<VersionEntry> {
-    while (this._hasOnlyClosed(pipeline)) {
+  async acquire(pipeline: PipelineObject, options: AcquireOptions): Promise<VersionHandle> {
+    while (this._isEveryVersionClosed(pipeline)) {
       if (options.signal.aborted || utils.monotonicMs() >= options.deadlineMs) break;
-      await utils.sleep(openAgainPollMs, options.signal).catch(() => undefined);
+      await utils.sleep(reopenPollMs, options.signal).catch(() => undefined);
     }
     const version = this.getServed(pipeline);
-    return { version, leave: this.enter(pipeline.name, version) };
+    return { version, release: this.addRequest(pipeline.name, version) };
   }
 
   /**
    * Says that nothing begins on a version here for five seconds, unless it is in use; tells whether it is not.
    * @param isGap - No version is whole without the engines in question, so that this one being served is no reason against it.
    */
-  close(pipeline: PipelineObject, version: string, isGap: boolean): boolean {
+  tryClose(pipeline: PipelineObject, version: string, isGap: boolean): boolean {
     const isRunning = this._running.get(pipeline.name)?.has(version) ?? false;
     if (isRunning || (!isGap && this.getServed(pipeline) === version)) return false;
     const closed = this._closedUntilMs.get(pipeline.name) ?? new Map<string, number>();
-    this._closedUntilMs.set(pipeline.name, closed.set(version, utils.monotonicMs() + closedMs));
+    this._closedUntilMs.set(pipeline.name, closed.set(version, utils.monotonicMs() + closedDurationMs));
     return true;
   }
 
   /** Notes a request that begins; the function that comes back notes its end. */
-  enter(model: string, version: string): () => void {
+  addRequest(model: string, version: string): () => void {
     const counts = this._running.get(model) ?? new Map<string, number>();
     this._running.set(model, counts);
     counts.set(version, (counts.get(version) ?? 0) + 1);
@@ -100,7 +100,7 @@
   }
 
   /** Forgets sources that are gone for good. */
-  keepSources(sources: ReadonlySet<string>): void {
+  retainSources(sources: ReadonlySet<string>): void {
     for (const name of this._others.keys()) if (!sources.has(name)) this._others.delete(name);
   }
 
@@ -141,7 +141,7 @@
   }
 
   /** Whether no version can be served but ones on which nothing may begin, or whose chain is being broken up right now. */
-  private _hasOnlyClosed(pipeline: PipelineObject): boolean {
+  private _isEveryVersionClosed(pipeline: PipelineObject): boolean {
     const isClosed = (version: string): boolean => this._isClosed(pipeline.name, version);
     const closed = [...(this._closedUntilMs.get(pipeline.name)?.keys() ?? [])];
     // Almost always nothing is closed, and chains need not be looked for.
--- a/packages/entry/src/feeds/ZoneFeed.ts
+++ b/packages/entry/src/feeds/ZoneFeed.ts
@@ -21,21 +21,21 @@
 const digestTopic = "digest";
 const leavingTopic = "endpoint-leaving";
 /** A hung engine holds up nothing, so that a slow one may be waited for longer each time. */
-const reportTimeoutMs = 400;
-const longestReportTimeoutMs = 6_400;
-const reportFloorMs = 200;
-const digestFloorMs = 500;
+const initialReportTimeoutMs = 400;
+const maxReportTimeoutMs = 6_400;
+const minReportIntervalMs = 200;
+const minDigestIntervalMs = 500;
 const reportBytesPerSecond = 1_200;
 const digestBytesPerSecond = 800;
 const demandBytes = 25;
 const demandBytesPerSecond = 600;
 const loadBytes = 14;
 /** A whole report, spread over the rounds between two of them. */
-const fixedShareBytes = 26;
+const amortizedFixedBytes = 26;
 const digestTimeoutMs = 1_000;
-const fullEveryRounds = 10;
+const roundsPerFullReport = 10;
 /** A report that is older than this many rounds is fetched by each instance itself. */
-const staleRounds = 5;
+const maxReportAgeRounds = 5;
 
 /** What the feed works on. */
 export interface ZoneFeedStructure {
@@ -51,16 +51,16 @@
 export class ZoneFeed {
   private _round = 0;
   private readonly _fetching = new Set<string>();
-  private readonly _patience = new utils.Patience(reportTimeoutMs, longestReportTimeoutMs);
+  private readonly _reportTimeouts = new utils.Patience(initialReportTimeoutMs, maxReportTimeoutMs);
   private _digestRound = 0;
-  private _demandsToldAtMs = 0;
-  private readonly _knownFixed = new Map<string, number>();
-  private readonly _lastFull = new Map<string, string>();
+  private _demandsSentAtMs = 0;
+  private readonly _fixedHashes = new Map<string, number>();
+  private readonly _lastFixedParts = new Map<string, string>();
 
   constructor(private readonly _structure: ZoneFeedStructure) {
     const { membership, directory } = _structure;
-    membership.onNotice(reportsTopic, (body, from) => this._takeReports(body, from.name));
-    membership.onNotice(digestTopic, (body) => this._takeDigest(body));
+    membership.onNotice(reportsTopic, (body, from) => this._handleReports(body, from.name));
+    membership.onNotice(digestTopic, (body) => this._handleDigest(body));
     membership.onRequest(digestTopic, (body) => this._createDigest(body));
     membership.onNotice(leavingTopic, (body) => {
       if (typeof body === "string") directory.markLeaving(body);
@@ -78,8 +78,8 @@
       const startMs = utils.monotonicMs();
       const intervalMs = this._getReportIntervalMs();
       // Not waited for: an endpoint that hangs must not hold up the reports of the others.
-      for (const entry of this._getOwnEndpoints(intervalMs)) void this._fetchOnce(entry);
-      this._tellZone();
+      for (const entry of this._getEnginesToPoll(intervalMs)) void this._fetchOnce(entry);
+      this._broadcastReports();
       await utils
         .sleep(Math.max(0, startMs + intervalMs - utils.monotonicMs()), signal)
         .catch(() => undefined);
@@ -89,18 +89,18 @@
   private _getReportIntervalMs(): number {
     const { membership } = this._structure;
     const receivers = membership.getDutyCandidates().length - 1;
-    const owned = this._getStewarded().length;
+    const owned = this._getOwnedEngines().length;
     return getBudgetIntervalMs({
-      messageBytes: 60 + owned * (loadBytes + fixedShareBytes),
+      messageBytes: 60 + owned * (loadBytes + amortizedFixedBytes),
       receivers,
       bytesPerSecond: reportBytesPerSecond,
-      floorMs: reportFloorMs,
+      floorMs: minReportIntervalMs,
     });
   }
 
   /** Endpoints that this instance reads: those it is steward of, and those whose steward has gone silent. */
-  private _getOwnEndpoints(intervalMs: number): EndpointEntry[] {
-    const staleMs = Math.max(utils.msPerSecond, intervalMs * staleRounds);
+  private _getEnginesToPoll(intervalMs: number): EndpointEntry[] {
+    const staleMs = Math.max(utils.msPerSecond, intervalMs * maxReportAgeRounds);
     const nowMs = utils.monotonicMs();
     const zone = this._structure.membership.self.availabilityZone;
     return this._structure.directory.getEntries().filter((entry) => {
@@ -112,7 +112,7 @@
     });
   }
 
-  private _getStewarded(): EndpointEntry[] {
+  private _getOwnedEngines(): EndpointEntry[] {
     const { membership, directory } = this._structure;
     const zone = membership.self.availabilityZone;
     return directory
@@ -136,23 +136,23 @@
       const body: unknown = await got
         .get(`http://${entry.address}/v1/state`, {
           retry: { limit: 0 },
-          timeout: { request: this._patience.getMs(entry.address) },
+          timeout: { request: this._reportTimeouts.getMs(entry.address) },
         })
         .json();
-      this._patience.noteAnswer(entry.address, utils.monotonicMs() - startMs);
+      this._reportTimeouts.noteAnswer(entry.address, utils.monotonicMs() - startMs);
       const report = engineReportSchema.safeParse(body);
       if (report.success && report.data.name === entry.name) directory.setReport(report.data, true);
       else directory.markUnreachable(entry.name);
     } catch (error) {
       // One report that is late shows as well that this instance itself gets little of its core.
-      const isEvidence = !(error instanceof TimeoutError) || this._patience.noteTimeout(entry.address);
+      const isEvidence = !(error instanceof TimeoutError) || this._reportTimeouts.noteTimeout(entry.address);
       const failure = classifyHttpError(entry.address, error);
       if (isEvidence && errors.hasCode(failure, "not_reached", "connection_lost"))
         directory.markUnreachable(entry.name);
     }
   }
 
-  private _tellZone(): void {
+  private _broadcastReports(): void {
     const startMs = utils.monotonicMs();
     const { membership, limits, demands, versions } = this._structure;
     this._round += 1;
@@ -165,7 +165,7 @@
       pipelines: demands.getOwn(),
       versions: versions.getOwn(),
     };
-    for (const entry of this._getStewarded()) this._addReport(body, entry);
+    for (const entry of this._getOwnedEngines()) this._addReport(body, entry);
     const zone = membership.self.availabilityZone;
     membership.notifyAll(reportsTopic, body, (member) => member.availabilityZone === zone);
     this._structure.onCpu("reports", utils.monotonicMs() - startMs);
@@ -178,11 +178,11 @@
       messageBytes: demandCount * demandBytes,
       receivers: membership.getDutyCandidates().length - 1,
       bytesPerSecond: demandBytesPerSecond,
-      floorMs: reportFloorMs,
+      floorMs: minReportIntervalMs,
     });
     const nowMs = utils.monotonicMs();
-    if (nowMs - this._demandsToldAtMs < intervalMs) return false;
-    this._demandsToldAtMs = nowMs;
+    if (nowMs - this._demandsSentAtMs < intervalMs) return false;
+    this._demandsSentAtMs = nowMs;
     return true;
   }
 
@@ -191,15 +191,15 @@
     const report = entry.report;
     if (report === undefined || entry.isUnreachable) return;
     const fixedPart = toFixedPart(report);
-    if (this._lastFull.get(entry.name) === fixedPart && this._round % fullEveryRounds !== 0) {
+    if (this._lastFixedParts.get(entry.name) === fixedPart && this._round % roundsPerFullReport !== 0) {
       body.loads.push([entry.name, report.activeStreams]);
       return;
     }
-    this._lastFull.set(entry.name, fixedPart);
+    this._lastFixedParts.set(entry.name, fixedPart);
     body.full.push(report);
   }
 
-  private _takeReports(body: unknown, from: string): void {
+  private _handleReports(body: unknown, from: string): void {
     const startMs = utils.monotonicMs();
     const reports = reportsSchema.safeParse(body);
     if (!reports.success) return;
@@ -221,7 +221,7 @@
 
   private async _runDigests(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await Promise.all(this._getOtherZones().map((zone) => this._fetchDigest(zone)));
+      await Promise.all(this._getZonesToFetch().map((zone) => this._fetchDigest(zone)));
       await utils.sleep(this._getDigestIntervalMs(), signal).catch(() => undefined);
     }
   }
@@ -231,15 +231,16 @@
     const zones = new Set(directory.getEntries().map((entry) => entry.availabilityZone)).size;
     const zoneEndpoints = directory.getEntries().length / Math.max(1, zones);
     return getBudgetIntervalMs({
-      messageBytes: (100 + zoneEndpoints * (loadBytes + fixedShareBytes)) * this._getOtherZones().length,
+      messageBytes:
+        (100 + zoneEndpoints * (loadBytes + amortizedFixedBytes)) * this._getZonesToFetch().length,
       receivers: membership.getDutyCandidates().length - 1,
       bytesPerSecond: digestBytesPerSecond,
-      floorMs: digestFloorMs,
+      floorMs: minDigestIntervalMs,
     });
   }
 
   /** Zones whose digest is ours to fetch. */
-  private _getOtherZones(): string[] {
+  private _getZonesToFetch(): string[] {
     const { membership } = this._structure;
     const zones = new Set(membership.getLinked().map((member) => member.availabilityZone));
     zones.delete(membership.self.availabilityZone);
@@ -252,10 +253,11 @@
     if (contact === undefined) return;
     // The fixed parts come when they have changed, and now and then for those who joined meanwhile.
     this._digestRound += 1;
-    const known = this._digestRound % fullEveryRounds === 0 ? null : (this._knownFixed.get(zone) ?? null);
+    const known =
+      this._digestRound % roundsPerFullReport === 0 ? null : (this._fixedHashes.get(zone) ?? null);
     const digest = await membership.request(contact.name, digestTopic, known, digestTimeoutMs);
     if (digest.err) return;
-    this._takeDigest(digest.val);
+    this._handleDigest(digest.val);
     const own = membership.self.availabilityZone;
     membership.notifyAll(digestTopic, digest.val, (member) => member.availabilityZone === own);
   }
@@ -301,12 +303,12 @@
     return linked.map((member) => member.name);
   }
 
-  private _takeDigest(body: unknown): void {
+  private _handleDigest(body: unknown): void {
     const startMs = utils.monotonicMs();
     const digest = digestSchema.safeParse(body);
     if (!digest.success) return;
     const { availabilityZone, instanceCount, accounts, pipelines, fixedHash, full } = digest.data;
-    if (full.length > 0) this._knownFixed.set(availabilityZone, fixedHash);
+    if (full.length > 0) this._fixedHashes.set(availabilityZone, fixedHash);
     this._applyReports(digest.data);
     this._structure.limits.setDemands(getZoneSource(availabilityZone), accounts ?? [], instanceCount);
     this._structure.demands.setOther(getZoneSource(availabilityZone), pipelines, instanceCount);
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -29,7 +29,7 @@
 import { ApiError, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
 import { chatBodySchema, getChatPrompt, getMaxTokens, textBodySchema } from "./completionSchemas.js";
-import * as guard from "./requestGuard.js";
+import * as callerRequest from "./callerRequest.js";
 import type { StoredAnswer } from "./StoredAnswer.js";
 
 const badRequestStatus = 400;
@@ -40,7 +40,7 @@
 /** What the handler works with. */
 export interface CompletionStructure {
   readonly settings: InstanceSettings;
-  readonly fold: intent.ConfigurationFold;
+  readonly configuration: intent.ConfigurationFold;
   readonly accounts: AccountDirectory;
   readonly limits: AccountLimits;
   readonly queues: ModelQueues;
@@ -70,10 +70,10 @@
 }
 
 /** The version that a request runs with. */
-interface HeldVersion extends VersionChoice {
+interface RequestVersion extends VersionChoice {
   readonly first: string;
   /** Notes the end of the request. */
-  leave(): void;
+  release(): void;
 }
 
 type Answered = results.Result<PipelineAnswer, PipelineError | AdmissionRefusedError>;
@@ -87,7 +87,7 @@
     const controller = new AbortController();
     const completion = this._parse(request, form, controller.signal);
     // A keyed request goes on when its caller goes away: the caller's next try finds the answer.
-    if (completion.key === undefined) guard.abortWithCaller(response, controller);
+    if (completion.key === undefined) callerRequest.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, completion.requestId);
     const leave = inFlight.enter(completion.requestId, controller);
     try {
@@ -101,18 +101,18 @@
   private _parse(request: restify.Request, form: CompletionForm, signal: AbortSignal): Completion {
     const account = requireAccount(request, this._structure.accounts);
     const schema = form === "chat" ? chatBodySchema : textBodySchema;
-    const checked = schema.safeParse(guard.parseJson(request.body));
+    const checked = schema.safeParse(callerRequest.parseJson(request.body));
     if (!checked.success) {
       const fault = errors.fromSchemaIssues("body", checked.error.issues);
       throw new ApiError(badRequestStatus, "invalid_request_error", "invalid_body", fault.message);
     }
     const body = checked.data;
     const pipeline = this._requirePipeline(body.model, account);
-    const priority = this._structure.fold.getObject("class", account.priorityClass);
+    const priority = this._structure.configuration.getObject("class", account.priorityClass);
     const prompt =
       "messages" in body ? getChatPrompt(chatBodySchema.parse(body)) : textBodySchema.parse(body).prompt;
     const isRepeatable = request.header("shedtiller-repeatable") !== "no";
-    const key = guard.getIdempotencyKey(request);
+    const key = callerRequest.getIdempotencyKey(request);
     return {
       requestId: utils.newId(),
       account,
@@ -121,7 +121,7 @@
       floorShare: priority?.floorShare ?? 0,
       promptTokens: this._structure.tokenizer.encode(prompt),
       maxTokens: getMaxTokens(body),
-      deadlineMs: guard.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs),
+      deadlineMs: callerRequest.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs),
       key: isRepeatable ? undefined : key,
       isStream: body.stream,
       form,
@@ -130,7 +130,7 @@
   }
 
   private _requirePipeline(model: string, account: intent.AccountObject): intent.PipelineObject {
-    const pipeline = this._structure.fold.getObject("pipeline", model);
+    const pipeline = this._structure.configuration.getObject("pipeline", model);
     if (pipeline === undefined) {
       throw new ApiError(
         notFoundStatus,
@@ -236,9 +236,9 @@
     const { pipeline: context, tokenizer } = this._structure;
     // The version may have changed while the request waited.
     const pipeline =
-      this._structure.fold.getObject("pipeline", completion.pipeline.name) ?? completion.pipeline;
-    const versions = await this._beginVersion(pipeline, completion);
-    const meter = this._createMeter(completion.rank, arrivedAtMs);
+      this._structure.configuration.getObject("pipeline", completion.pipeline.name) ?? completion.pipeline;
+    const versions = await this._acquireVersion(pipeline, completion);
+    const meter = this._createTokenTimer(completion.rank, arrivedAtMs);
     const run = new PipelineRun(
       context,
       {
@@ -268,32 +268,35 @@
         writer.addToken(tokenizer.decode(token));
       });
     } finally {
-      versions.leave();
+      versions.release();
       queue.release();
       account.release(answered === 0 ? 0 : completion.promptTokens.length + answered);
     }
   }
 
   /** Begins on the version that is served now, and goes over to another where the request may and must. */
-  private async _beginVersion(pipeline: intent.PipelineObject, completion: Completion): Promise<HeldVersion> {
-    const { versions, fold } = this._structure;
-    const begun = await versions.begin(pipeline, completion);
-    let { leave } = begun;
+  private async _acquireVersion(
+    pipeline: intent.PipelineObject,
+    completion: Completion,
+  ): Promise<RequestVersion> {
+    const { versions, configuration } = this._structure;
+    const begun = await versions.acquire(pipeline, completion);
+    let { release: leave } = begun;
     return {
       first: begun.version,
-      leave: () => leave(),
-      isReplaced: (version) => fold.getObject("pipeline", pipeline.name)?.version !== version,
+      release: () => leave(),
+      isReplaced: (version) => configuration.getObject("pipeline", pipeline.name)?.version !== version,
       changeVersion: () => {
-        const served = versions.getServed(fold.getObject("pipeline", pipeline.name) ?? pipeline);
+        const served = versions.getServed(configuration.getObject("pipeline", pipeline.name) ?? pipeline);
         leave();
-        leave = versions.enter(pipeline.name, served);
+        leave = versions.addRequest(pipeline.name, served);
         return served;
       },
     };
   }
 
   /** Notes the time to the first token, then the time between tokens. */
-  private _createMeter(rank: number, arrivedAtMs: number): () => void {
+  private _createTokenTimer(rank: number, arrivedAtMs: number): () => void {
     const { metrics } = this._structure;
     const label = { rank: String(rank) };
     let lastMs = arrivedAtMs;
--- a/packages/entry/src/http/HttpListener.ts
+++ b/packages/entry/src/http/HttpListener.ts
@@ -42,13 +42,15 @@
       return next(false);
     });
     this._server.use(
-      createBodyReader(limits.bodySizeBytes, (response, error) => sendError(response, this._toReply(error))),
+      createBodyReader(limits.bodySizeBytes, (response, error) =>
+        sendError(response, this._toApiError(error)),
+      ),
     );
     this._setLimits();
     this._server.on(
       "restifyError",
       (_request: restify.Request, response: http.ServerResponse, error: unknown, done: () => void) => {
-        sendError(response, this._toReply(error));
+        sendError(response, this._toApiError(error));
         done();
       },
     );
@@ -123,12 +125,12 @@
       try {
         await handler(request, response);
       } catch (error) {
-        sendError(response, this._toReply(error));
+        sendError(response, this._toApiError(error));
       }
     };
   }
 
-  private _toReply(error: unknown): ApiError {
+  private _toApiError(error: unknown): ApiError {
     if (error instanceof ApiError) return error;
     const status = (error as { statusCode?: unknown } | null)?.statusCode;
     if (status === payloadTooLargeStatus) return createTooLarge(this._structure.limits.bodySizeBytes);
--- a/packages/entry/src/http/ServiceHandler.ts
+++ b/packages/entry/src/http/ServiceHandler.ts
@@ -10,7 +10,7 @@
 import type { InstanceMetrics } from "../metrics/InstanceMetrics.js";
 import { ApiError, ranHeader, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
-import * as guard from "./requestGuard.js";
+import * as callerRequest from "./callerRequest.js";
 import { toStored, type StoredAnswer, type StoredServiceAnswer } from "./StoredAnswer.js";
 
 const notFoundStatus = 404;
@@ -18,7 +18,7 @@
 /** What the handler works with. */
 export interface ServiceStructure {
   readonly settings: InstanceSettings;
-  readonly fold: ConfigurationFold;
+  readonly configuration: ConfigurationFold;
   readonly accounts: AccountDirectory;
   readonly caller: ServiceCaller;
   readonly once: AtMostOnce<StoredAnswer>;
@@ -40,7 +40,8 @@
     const service = this._requireService(String(request.params.service));
     const call = this._createCall(request, service, controller.signal);
     // Once claimed, a call goes on when its caller goes away: the caller's next try finds the answer.
-    if (call.isRepeatable || call.idempotencyKey === undefined) guard.abortWithCaller(response, controller);
+    if (call.isRepeatable || call.idempotencyKey === undefined)
+      callerRequest.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, call.requestId);
     const leave = inFlight.enter(call.requestId, controller);
     try {
@@ -52,7 +53,7 @@
   }
 
   private _requireService(name: string): ServiceObject {
-    const service = this._structure.fold.getObject("service", name);
+    const service = this._structure.configuration.getObject("service", name);
     if (service !== undefined) return service;
     throw new ApiError(
       notFoundStatus,
@@ -65,7 +66,7 @@
   /** The stricter of the service's configuration and the request's word wins. */
   private _createCall(request: restify.Request, service: ServiceObject, signal: AbortSignal): ServiceCall {
     const isRepeatable = service.repeatable && request.header("shedtiller-repeatable") !== "no";
-    const deadlineMs = guard.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs);
+    const deadlineMs = callerRequest.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs);
     const body: unknown = request.body;
     const prefix = `/services/${service.name}`;
     return {
@@ -75,7 +76,7 @@
       path: (request.url ?? "").slice(prefix.length) || "/",
       contentType: request.header("content-type") || undefined,
       body: typeof body === "string" ? Buffer.from(body) : Buffer.isBuffer(body) ? body : new Uint8Array(),
-      idempotencyKey: guard.getIdempotencyKey(request),
+      idempotencyKey: callerRequest.getIdempotencyKey(request),
       isRepeatable,
       timeoutMs: deadlineMs - utils.monotonicMs(),
       signal,
--- a/packages/entry/src/http/apiErrors.ts
+++ b/packages/entry/src/http/apiErrors.ts
@@ -69,11 +69,11 @@
   service_unreachable: [503, "overloaded_error"],
   service_lost: [502, "api_error"],
 };
-const comeBackMs = 1_000;
+const defaultRetryAfterMs = 1_000;
 
 /** Turns a typed failure of a part into what the caller is told. */
 export function toApiError(error: errors.ShedtillerError & { ran: Ran; retryAfterMs?: number }): ApiError {
   const [status, type] = statusByCode[error.code] ?? [500, "api_error"];
-  const retryAfterMs = error.retryAfterMs ?? (status === 503 ? comeBackMs : undefined);
+  const retryAfterMs = error.retryAfterMs ?? (status === 503 ? defaultRetryAfterMs : undefined);
   return new ApiError(status, type, error.code, error.message, error.ran, retryAfterMs);
 }
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -47,8 +47,8 @@
   private readonly _byKeyId = new Map<string, FoundAccount>();
   private readonly _keyIds = new Map<string, readonly string[]>();
 
-  constructor(private readonly _fold: intent.ConfigurationFold) {
-    _fold.onChanged((changedKeys) => this._update(changedKeys));
+  constructor(private readonly _configuration: intent.ConfigurationFold) {
+    _configuration.onChanged((changedKeys) => this._update(changedKeys));
   }
 
   find(keyId: string): FoundAccount | undefined {
@@ -58,14 +58,14 @@
   private _update(changedKeys: readonly string[] | undefined): void {
     const keys = changedKeys ?? [
       ...this._keyIds.keys(),
-      ...this._fold.getObjects("account").map(intent.getObjectKey),
+      ...this._configuration.getObjects("account").map(intent.getObjectKey),
     ];
     for (const key of new Set(keys)) if (key.startsWith(accountPrefix)) this._updateOne(key);
   }
 
   private _updateOne(key: string): void {
     for (const keyId of this._keyIds.get(key) ?? []) this._byKeyId.delete(keyId);
-    const account = this._fold.getObject("account", key.slice(accountPrefix.length));
+    const account = this._configuration.getObject("account", key.slice(accountPrefix.length));
     if (account === undefined) {
       this._keyIds.delete(key);
       return;
--- a/packages/entry/src/http/requestGuard.ts
+++ b/packages/entry/src/http/callerRequest.ts
@@ -15,9 +15,9 @@
 }
 
 /** Monotonic time after which the caller does not want the answer any more. */
-export function getDeadlineMs(request: restify.Request, longestMs: number): number {
+export function getDeadlineMs(request: restify.Request, maxMs: number): number {
   const text = request.header(deadlineHeader);
-  if (text === undefined || text === "") return utils.monotonicMs() + longestMs;
+  if (text === undefined || text === "") return utils.monotonicMs() + maxMs;
   const stated = Number(text);
   if (!Number.isFinite(stated) || stated <= 0) {
     throw new ApiError(
@@ -27,7 +27,7 @@
       `${deadlineHeader} must be a number of milliseconds.`,
     );
   }
-  return utils.monotonicMs() + Math.min(stated, longestMs);
+  return utils.monotonicMs() + Math.min(stated, maxMs);
 }
 
 /** The idempotency key, checked to be time-stamped. */
--- a/packages/entry/src/http/callerRoutes.ts
+++ b/packages/entry/src/http/callerRoutes.ts
@@ -8,11 +8,11 @@
 
 const okStatus = 200;
 const unavailableStatus = 503;
-const comeBackMs = 1_000;
+const retryAfterMs = 1_000;
 
 /** What the routes work with. */
 export interface CallerStructure {
-  readonly fold: ConfigurationFold;
+  readonly configuration: ConfigurationFold;
   readonly accounts: AccountDirectory;
   readonly completions: CompletionHandler;
   readonly services: ServiceHandler;
@@ -38,7 +38,7 @@
   );
   listener.get("/v1/models", (request, response) => {
     const account = requireAccount(request, structure.accounts);
-    const open = structure.fold
+    const open = structure.configuration
       .getObjects("pipeline")
       .filter(
         (pipeline) => pipeline.clientAccounts.length === 0 || pipeline.clientAccounts.includes(account.name),
@@ -74,7 +74,7 @@
       "draining",
       "The instance is being stopped.",
       "no",
-      comeBackMs,
+      retryAfterMs,
     );
   }
   if (!structure.isReady()) {
@@ -84,7 +84,7 @@
       "not_ready",
       "The instance has no configuration yet.",
       "no",
-      comeBackMs,
+      retryAfterMs,
     );
   }
 }
--- a/packages/entry/src/http/completionSchemas.ts
+++ b/packages/entry/src/http/completionSchemas.ts
@@ -1,20 +1,20 @@
 /** Bodies of the callers' interface. Unknown fields are let through, as OpenAI's clients send many. */
 import * as zod from "zod";
 
-const mostTokens = 32_768;
-const defaultTokens = 64;
+const maxAnswerTokens = 32_768;
+const defaultAnswerTokens = 64;
 
 const common = {
   model: zod.string().min(1),
   stream: zod.boolean().default(false),
-  max_tokens: zod.number().int().positive().max(mostTokens).optional(),
+  max_tokens: zod.number().int().positive().max(maxAnswerTokens).optional(),
 };
 
 const textPart = zod.object({ type: zod.literal("text"), text: zod.string() });
 
 export const chatBodySchema = zod.looseObject({
   ...common,
-  max_completion_tokens: zod.number().int().positive().max(mostTokens).optional(),
+  max_completion_tokens: zod.number().int().positive().max(maxAnswerTokens).optional(),
   messages: zod
     .array(
       zod.looseObject({ role: zod.string().min(1), content: zod.union([zod.string(), zod.array(textPart)]) }),
@@ -41,5 +41,5 @@
   max_tokens?: number | undefined;
   max_completion_tokens?: number | undefined;
 }): number {
-  return body.max_completion_tokens ?? body.max_tokens ?? defaultTokens;
+  return body.max_completion_tokens ?? body.max_tokens ?? defaultAnswerTokens;
 }
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -14,7 +14,7 @@
 import { ApiError, sendJson } from "./apiErrors.js";
 import { requireOperator } from "./authenticate.js";
 import type { HttpListener } from "./HttpListener.js";
-import { parseJson } from "./requestGuard.js";
+import { parseJson } from "./callerRequest.js";
 
 const okStatus = 200;
 const createdStatus = 201;
@@ -26,7 +26,7 @@
 /** What the routes work with. */
 export interface OperatorStructure {
   readonly tokenHash: intent.AccountKey;
-  readonly fold: intent.ConfigurationFold;
+  readonly configuration: intent.ConfigurationFold;
   readonly planner: Planner;
   readonly desk: PlanDesk;
   readonly status: StatusGatherer;
@@ -73,14 +73,21 @@
 }
 
 function sendConfiguration(
-  { fold }: OperatorStructure,
+  { configuration }: OperatorStructure,
   _request: restify.Request,
   response: http.ServerResponse,
 ): void {
   const objects = Object.fromEntries(
-    [...fold.getHeldObjects()].map(([key, held]) => [key, { ...held, value: withoutSecrets(held.value) }]),
+    [...configuration.getHeldObjects()].map(([key, held]) => [
+      key,
+      { ...held, value: withoutSecrets(held.value) },
+    ]),
   );
-  sendJson(response, okStatus, { offset: fold.offset, objects, unknownRecords: fold.unknownRecords });
+  sendJson(response, okStatus, {
+    offset: configuration.offset,
+    objects,
+    unknownRecords: configuration.unknownRecords,
+  });
 }
 
 /** Hashes of keys are nobody's business but the check's. */
@@ -121,12 +128,12 @@
 }
 
 async function sendPlan(
-  { desk, fold }: OperatorStructure,
+  { desk, configuration }: OperatorStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
   const planId = String(request.params.plan);
-  const outcome = fold.getOutcome(planId);
+  const outcome = configuration.getOutcome(planId);
   const plan = await desk.requirePlan(planId);
   if (plan.err && outcome === undefined) throw toOperatorError(plan.val);
   const known = plan.ok ? { plan: plan.val, text: intent.renderPlan(plan.val) } : {};
--- a/packages/entry/src/operators/PlanDesk.ts
+++ b/packages/entry/src/operators/PlanDesk.ts
@@ -10,7 +10,7 @@
 import type { Membership } from "@shedtiller/membership";
 import type { StatusGatherer } from "./StatusGatherer.js";
 
-const plansKept = 1_000;
+const maxPlans = 1_000;
 const planTopic = "plan";
 /** An instance that is busy or far away may take seconds; an operator waits as long for a confirmation. */
 const requestTimeoutMs = 5_000;
@@ -62,7 +62,7 @@
 
 /** Keeps plans and confirms them. */
 export class PlanDesk {
-  private readonly _plans = new utils.KeyedCache<Plan>(plansKept);
+  private readonly _plans = new utils.KeyedCache<Plan>(maxPlans);
 
   constructor(private readonly _structure: PlanDeskStructure) {
     _structure.membership.onRequest(planTopic, (body) =>
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -5,15 +5,15 @@
 import type { EndpointDirectory, EngineReport } from "@shedtiller/routing";
 
 /** Assumed rate of the weight store for the estimate, where nothing better is known. */
-const layersPerSecond = 200;
-const noLayers = "nothing";
+const assumedLoadLayersPerSecond = 200;
+const noLayersText = "nothing";
 /** An engine that the plan does not need gets no order, and serves nothing once another version is in force. */
-const leftAsIs = "not needed, left as it is";
+const unchangedText = "not needed, left as it is";
 
 /** Makes plans against the configuration in force and the engines that are known. */
 export class Planner {
   constructor(
-    private readonly _fold: intent.ConfigurationFold,
+    private readonly _configuration: intent.ConfigurationFold,
     private readonly _directory: EndpointDirectory,
     private readonly _instance: string,
   ) {}
@@ -23,7 +23,7 @@
       planId: `plan.${this._instance}.${utils.newId()}`,
       operator: stated.operator,
       madeBy: this._instance,
-      baseOffset: this._fold.offset,
+      baseOffset: this._configuration.offset,
       changes: [],
       placement: [],
       capacity: [],
@@ -42,24 +42,25 @@
     const key = intent.getObjectKey(object);
     const value = object.kind === "pipeline" ? this._place(draft, object, taken) : object;
     if (object.kind === "account") this._checkAccount(draft, object);
-    draft.changes.push({ key, baseOffset: this._fold.getBaseOffset(key), value });
+    draft.changes.push({ key, baseOffset: this._configuration.getBaseOffset(key), value });
   }
 
   private _addRemoval(draft: intent.Plan, key: string): void {
-    const baseOffset = this._fold.getBaseOffset(key);
-    if (!this._fold.getHeldObjects().has(key)) draft.warnings.push(`${key} is not there to be removed.`);
+    const baseOffset = this._configuration.getBaseOffset(key);
+    if (!this._configuration.getHeldObjects().has(key))
+      draft.warnings.push(`${key} is not there to be removed.`);
     draft.changes.push({ key, baseOffset, value: null });
     const [kind, name = ""] = key.split("/");
-    const pipeline = kind === "pipeline" ? this._fold.getObject("pipeline", name) : undefined;
+    const pipeline = kind === "pipeline" ? this._configuration.getObject("pipeline", name) : undefined;
     if (pipeline === undefined) return;
     for (const report of this._getReports()) {
-      if (report.model === name) this._addPlacementLine(draft, report, undefined, noLayers);
+      if (report.model === name) this._addPlacementLine(draft, report, undefined, noLayersText);
     }
   }
 
   private _checkAccount(draft: intent.Plan, account: intent.AccountObject): void {
     const isStated = draft.changes.some((change) => change.key === `class/${account.priorityClass}`);
-    if (isStated || this._fold.getObject("class", account.priorityClass) !== undefined) return;
+    if (isStated || this._configuration.getObject("class", account.priorityClass) !== undefined) return;
     draft.warnings.push(
       `The class ${account.priorityClass} of the account ${account.name} is not known (yet).`,
     );
@@ -69,7 +70,7 @@
   private _getTakenEngines(stated: intent.Intent): Set<string> {
     const stating = new Set([...stated.objects.map(intent.getObjectKey), ...stated.removals]);
     const taken = new Set<string>();
-    for (const pipeline of this._fold.getObjects("pipeline")) {
+    for (const pipeline of this._configuration.getObjects("pipeline")) {
       if (stating.has(intent.getObjectKey(pipeline))) continue;
       for (const name of Object.keys(pipeline.placement ?? {})) taken.add(name);
       for (const report of this._getReports()) if (report.model === pipeline.name) taken.add(report.name);
@@ -92,7 +93,8 @@
       const range = ranges.get(report.name);
       const isHeld = report.model === pipeline.name && report.layers !== undefined;
       if (range === undefined && !isHeld) continue;
-      const after = range === undefined ? leftAsIs : describeRange(pipeline.name, pipeline.version, range);
+      const after =
+        range === undefined ? unchangedText : describeRange(pipeline.name, pipeline.version, range);
       this._addPlacementLine(draft, report, range, after);
     }
     this._addCapacity(draft, pipeline, engines, ranges);
@@ -108,7 +110,7 @@
     after: string,
   ): void {
     const before =
-      report.layers === undefined ? noLayers : describeRange(report.model, report.version, report.layers);
+      report.layers === undefined ? noLayersText : describeRange(report.model, report.version, report.layers);
     const availabilityZone = this._directory.getEntry(report.name)?.availabilityZone ?? "unknown";
     draft.placement.push({
       endpoint: report.name,
@@ -118,8 +120,8 @@
       after,
     });
     if (before === after || range === undefined) return;
-    draft.loadMs += ((range[1] - range[0]) / layersPerSecond) * utils.msPerSecond;
-    if (before !== noLayers) draft.warnings.push(`${report.name} unloads ${before}.`);
+    draft.loadMs += ((range[1] - range[0]) / assumedLoadLayersPerSecond) * utils.msPerSecond;
+    if (before !== noLayersText) draft.warnings.push(`${report.name} unloads ${before}.`);
   }
 
   private _addCapacity(
@@ -141,7 +143,7 @@
         `The capacity of ${pipeline.name} falls from ${before.toFixed(0)} to ${after.toFixed(0)} tokens/s.`,
       );
     }
-    this._warnOfZones(draft, pipeline, engines, ranges);
+    this._warnAboutZones(draft, pipeline, engines, ranges);
     draft.capacity.push({
       pipeline: pipeline.name,
       beforeTokensPerSecond: before,
@@ -158,7 +160,7 @@
   }
 
   /** Warns of availability zones whose own engines do not make a whole chain. */
-  private _warnOfZones(
+  private _warnAboutZones(
     draft: intent.Plan,
     pipeline: intent.PipelineObject,
     engines: readonly placement.PlacementEngine[],
@@ -180,12 +182,13 @@
       if (value?.kind === "account") affected.add(value.name);
       const [kind, name] = key.split("/");
       if (kind === "class")
-        for (const a of this._fold.getObjects("account")) if (a.priorityClass === name) affected.add(a.name);
+        for (const a of this._configuration.getObjects("account"))
+          if (a.priorityClass === name) affected.add(a.name);
       if (value?.kind !== "pipeline") continue;
       const accounts =
         value.clientAccounts.length > 0
           ? value.clientAccounts
-          : this._fold.getObjects("account").map((a) => a.name);
+          : this._configuration.getObjects("account").map((a) => a.name);
       for (const account of accounts) affected.add(account);
     }
     draft.affectedAccounts = [...affected].sort();
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -5,9 +5,9 @@
 import * as zod from "zod";
 
 const statusTopic = "status";
-const firstTimeoutMs = 1_000;
+const initialTimeoutMs = 1_000;
 /** One that is busy answers late, and is not gone. */
-const longestTimeoutMs = 8_000;
+const maxTimeoutMs = 8_000;
 
 export const instanceStatusSchema = zod.object({
   name: zod.string(),
@@ -49,7 +49,7 @@
 /** Answers for this instance and asks the others. */
 export class StatusGatherer {
   private _offsetSinceMs = utils.wallMs();
-  private readonly _patience = new utils.Patience(firstTimeoutMs, longestTimeoutMs);
+  private readonly _timeouts = new utils.Patience(initialTimeoutMs, maxTimeoutMs);
 
   constructor(private readonly _sources: StatusSources) {
     _sources.membership.onRequest(statusTopic, () => this.getOwn());
@@ -76,7 +76,7 @@
   async gather(): Promise<FleetStatus> {
     const { membership } = this._sources;
     const members = membership.getMembers();
-    const answers = await Promise.all(members.map((member) => this._ask(member)));
+    const answers = await Promise.all(members.map((member) => this._requestStatus(member)));
     const unreached = members
       .filter((_member, index) => answers[index] === undefined)
       .map((m) => ({ name: m.name, availabilityZone: m.availabilityZone, sinceMs: m.lostSinceMs }));
@@ -85,12 +85,12 @@
     return { askedInstance: membership.self.name, instances, unreached };
   }
 
-  private async _ask(member: Member): Promise<InstanceStatus | undefined> {
+  private async _requestStatus(member: Member): Promise<InstanceStatus | undefined> {
     const { name } = member;
     const askedAtMs = utils.monotonicMs();
-    const reply = await this._sources.membership.request(name, statusTopic, null, this._patience.getMs(name));
-    if (reply.ok) this._patience.noteAnswer(name, utils.monotonicMs() - askedAtMs);
-    else if (reply.val.code === "deadline_passed") this._patience.noteTimeout(name);
+    const reply = await this._sources.membership.request(name, statusTopic, null, this._timeouts.getMs(name));
+    if (reply.ok) this._timeouts.noteAnswer(name, utils.monotonicMs() - askedAtMs);
+    else if (reply.val.code === "deadline_passed") this._timeouts.noteTimeout(name);
     const status = reply.ok ? instanceStatusSchema.safeParse(reply.val) : undefined;
     return status?.success === true ? status.data : undefined;
   }
--- a/packages/entry/src/operators/TimelineGatherer.ts
+++ b/packages/entry/src/operators/TimelineGatherer.ts
@@ -5,7 +5,7 @@
 
 const timelineTopic = "timeline";
 const requestTimeoutMs = 2_000;
-const mostEvents = 20_000;
+const maxEvents = 20_000;
 
 const filterSchema = zod.object({ requestId: zod.string().optional(), sinceMs: zod.number().optional() });
 const eventsSchema = zod.array(timelineEventSchema);
@@ -27,13 +27,13 @@
   ) {
     _membership.onRequest(timelineTopic, (body) => {
       const filter = filterSchema.safeParse(body);
-      return filter.success ? _timeline.getEvents(filter.data).slice(-mostEvents) : [];
+      return filter.success ? _timeline.getEvents(filter.data).slice(-maxEvents) : [];
     });
   }
 
   async gather(filter: TimelineFilter): Promise<FleetTimeline> {
     const members = this._membership.getMembers();
-    const lists = await Promise.all(members.map((member) => this._ask(member.name, filter)));
+    const lists = await Promise.all(members.map((member) => this._requestEvents(member.name, filter)));
     const gaps = members.filter((_member, index) => lists[index] === undefined).map((member) => member.name);
     const own = this._timeline.getEvents(filter);
     return {
@@ -42,7 +42,7 @@
     };
   }
 
-  private async _ask(name: string, filter: TimelineFilter): Promise<TimelineEvent[] | undefined> {
+  private async _requestEvents(name: string, filter: TimelineFilter): Promise<TimelineEvent[] | undefined> {
     const reply = await this._membership.request(name, timelineTopic, filter, requestTimeoutMs);
     const events = reply.ok ? eventsSchema.safeParse(reply.val) : undefined;
     return events?.success === true ? events.data : undefined;
--- a/packages/entry/src/orders/OrderKeeper.ts
+++ b/packages/entry/src/orders/OrderKeeper.ts
@@ -16,7 +16,7 @@
 export const orderLifeMs = 2_000;
 const drainTimeoutMs = 30_000;
 /** An engine that has not reported for this long after an order counts as loading no more. */
-const longestOrderMs = 30_000;
+const maxLoadMs = 30_000;
 
 /** What an engine is to hold, by the configuration in force. */
 export interface WantedHolding {
@@ -41,12 +41,12 @@
 export class OrderKeeper {
   private readonly _drainingSinceMs = new Map<string, number>();
   /** Engines that don't check orders get none before an older lease's orders have died out. */
-  private _quietUntilMs = 0;
+  private _olderOrdersExpireAtMs = 0;
   private _lastToken: number | undefined;
   /** When each engine was last ordered. */
   private readonly _orderedAtMs = new Map<string, number>();
   /** Why each engine that is to hold something else has got no order yet, as it was last logged. */
-  private readonly _holds = new Map<string, string>();
+  private readonly _blockers = new Map<string, string>();
 
   constructor(private readonly _structure: OrderKeeperStructure) {}
 
@@ -63,32 +63,33 @@
 
   private async _tick(): Promise<void> {
     const { membership, holder, fold, directory } = this._structure;
-    const due = this._findDue();
-    this._forgetSettled();
+    const due = this._findEnginesToOrder();
+    this._removeSettled();
     if (due.length === 0) return;
-    if (!membership.ownsDuty("orders")) return this._noteHolds(due, "another instance gives the orders");
-    if (!(await holder.keep())) return this._noteHolds(due, "the lease is not ours");
-    this._noteToken(holder.getToken());
+    if (!membership.ownsDuty("orders")) return this._logBlockers(due, "another instance gives the orders");
+    if (!(await holder.keep())) return this._logBlockers(due, "the lease is not ours");
+    this._recordToken(holder.getToken());
     // Where no engine can be spared, there is no way to the wanted placement but through a gap; but engines that load may soon make one.
-    const isGapNeeded = !this._isLoading() && due.every((entry) => !keepsChain(fold, directory, entry));
+    const isGapNeeded = !this._isLoading() && due.every((entry) => !hasChainWithout(fold, directory, entry));
     for (const entry of due) {
       const wanted = getWanted(fold, entry.name);
       if (wanted === undefined) continue;
-      const hold = this._getHold(entry, isGapNeeded) ?? (await this._askToRetire(entry, isGapNeeded));
-      this._noteHolds([entry], hold);
+      const hold =
+        this._getBlocker(entry, isGapNeeded) ?? (await this._requestRetirement(entry, isGapNeeded));
+      this._logBlockers([entry], hold);
       if (hold !== undefined) continue;
-      await this._order(entry, wanted);
+      await this._sendOrder(entry, wanted);
       return;
     }
   }
 
   /** Forgets what was noted of engines that hold what they are to hold: the next order to them is another matter. */
-  private _forgetSettled(): void {
+  private _removeSettled(): void {
     const { directory, fold } = this._structure;
-    for (const noted of [this._drainingSinceMs, this._holds]) {
+    for (const noted of [this._drainingSinceMs, this._blockers]) {
       for (const name of noted.keys()) {
         const entry = directory.getEntry(name);
-        const isSettled = entry?.report !== undefined && isAsWanted(entry, getWanted(fold, name));
+        const isSettled = entry?.report !== undefined && hasDesiredLayers(entry, getWanted(fold, name));
         if (entry === undefined || isSettled) noted.delete(name);
       }
     }
@@ -98,7 +99,7 @@
   private _isLoading(): boolean {
     const { directory, membership } = this._structure;
     const zone = membership.self.availabilityZone;
-    const earliestMs = utils.monotonicMs() - longestOrderMs;
+    const earliestMs = utils.monotonicMs() - maxLoadMs;
     return directory.getEntries().some((entry) => {
       if (entry.availabilityZone !== zone || entry.isLeaving || entry.isUnreachable) return false;
       if (entry.report !== undefined) return entry.report.state === "loading";
@@ -110,9 +111,9 @@
    * Why the chain that an engine is part of must not be broken up yet, by what was told: it is the only whole one, or the last one of a
    * version that some instance still uses.
    */
-  private _getChainHold(entry: EndpointEntry): string | undefined {
+  private _getChainBlocker(entry: EndpointEntry): string | undefined {
     const { directory, versions } = this._structure;
-    const held = this._getLastHeld(entry);
+    const held = this._getLastChain(entry);
     if (held === undefined) return undefined;
     const { pipeline, version } = held;
     if (getWholeVersions(directory, pipeline, entry).length === 0) return "no chain is whole without it";
@@ -121,7 +122,7 @@
   }
 
   /** The version of which an engine is part of the last whole chain; undefined where there is another. */
-  private _getLastHeld(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
+  private _getLastChain(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
     const { fold, directory } = this._structure;
     const { report } = entry;
     const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
@@ -131,13 +132,13 @@
   }
 
   /** Asks all instances to begin nothing on a version whose last chain is about to be broken up. */
-  private async _askToRetire(entry: EndpointEntry, isGapNeeded: boolean): Promise<string | undefined> {
-    const held = this._getLastHeld(entry);
+  private async _requestRetirement(entry: EndpointEntry, isGapNeeded: boolean): Promise<string | undefined> {
+    const held = this._getLastChain(entry);
     if (held === undefined) return undefined;
-    const hold = await this._structure.retirement.getHold(held.pipeline, held.version, isGapNeeded);
+    const hold = await this._structure.retirement.getBlocker(held.pipeline, held.version, isGapNeeded);
     if (hold === undefined || !isGapNeeded) return hold;
     // Through a gap nobody can be served meanwhile whoever is waited for, so that the streams have a drain's time, and no more.
-    this._noteDraining(entry);
+    this._recordDraining(entry);
     return this._hasDrained(entry) ? undefined : hold;
   }
 
@@ -150,19 +151,19 @@
     return new Set(membership.getLinked().map(getSource));
   }
 
-  private _noteToken(token: number | undefined): void {
+  private _recordToken(token: number | undefined): void {
     if (token === undefined || token === this._lastToken) return;
-    if (this._lastToken === undefined) this._quietUntilMs = utils.monotonicMs() + orderLifeMs;
+    if (this._lastToken === undefined) this._olderOrdersExpireAtMs = utils.monotonicMs() + orderLifeMs;
     this._lastToken = token;
   }
 
   /** Engines of our zone that do not hold what they are to hold. */
-  private _findDue(): EndpointEntry[] {
+  private _findEnginesToOrder(): EndpointEntry[] {
     const { directory, membership, fold } = this._structure;
     const zone = membership.self.availabilityZone;
     return directory.getEntries().filter((entry) => {
       if (entry.availabilityZone !== zone || entry.isLeaving || entry.isUnreachable) return false;
-      return entry.report?.state === "live" && !isAsWanted(entry, getWanted(fold, entry.name));
+      return entry.report?.state === "live" && !hasDesiredLayers(entry, getWanted(fold, entry.name));
     });
   }
 
@@ -170,19 +171,19 @@
    * Why an engine must not be changed yet, or undefined. It may be once no stream runs there, or after a while; and only if the model that
    * it serves now keeps a whole chain without it, or it holds nothing that is in use.
    */
-  private _getHold(entry: EndpointEntry, isGapNeeded: boolean): string | undefined {
+  private _getBlocker(entry: EndpointEntry, isGapNeeded: boolean): string | undefined {
     const { report } = entry;
     if (report === undefined) return "it has not reported";
-    const isChecked = report.checksOrders || utils.monotonicMs() >= this._quietUntilMs;
+    const isChecked = report.checksOrders || utils.monotonicMs() >= this._olderOrdersExpireAtMs;
     if (!isChecked) return "orders of an older lease may still be on their way";
-    const chainHold = isGapNeeded ? undefined : this._getChainHold(entry);
+    const chainHold = isGapNeeded ? undefined : this._getChainBlocker(entry);
     if (chainHold !== undefined) return chainHold;
     if (report.layers === undefined || report.activeStreams === 0) return undefined;
-    this._noteDraining(entry);
+    this._recordDraining(entry);
     return this._hasDrained(entry) ? undefined : "streams run there";
   }
 
-  private _noteDraining({ name }: EndpointEntry): void {
+  private _recordDraining({ name }: EndpointEntry): void {
     if (!this._drainingSinceMs.has(name)) this._drainingSinceMs.set(name, utils.monotonicMs());
   }
 
@@ -192,16 +193,16 @@
   }
 
   /** Logs why engines get no order where that has changed. */
-  private _noteHolds(entries: readonly EndpointEntry[], hold: string | undefined): void {
+  private _logBlockers(entries: readonly EndpointEntry[], hold: string | undefined): void {
     for (const { name } of entries) {
-      if (this._holds.get(name) === hold) continue;
-      if (hold === undefined) this._holds.delete(name);
-      else this._holds.set(name, hold);
+      if (this._blockers.get(name) === hold) continue;
+      if (hold === undefined) this._blockers.delete(name);
+      else this._blockers.set(name, hold);
       if (hold !== undefined) this._structure.log.info(`${name} is not ordered yet: ${hold}.`);
     }
   }
 
-  private async _order(entry: EndpointEntry, wanted: WantedHolding): Promise<void> {
+  private async _sendOrder(entry: EndpointEntry, wanted: WantedHolding): Promise<void> {
     const { holder, timeline, log } = this._structure;
     // Asked again just before the order goes out: this process may have stood still since the last time.
     const fencingToken = holder.getToken();
@@ -228,16 +229,16 @@
 export function getWanted(fold: ConfigurationFold, endpoint: string): WantedHolding | undefined {
   for (const pipeline of fold.getObjects("pipeline")) {
     const layers = pipeline.placement?.[endpoint];
-    if (layers !== undefined) return toHolding(pipeline, layers);
+    if (layers !== undefined) return toDesiredLayers(pipeline, layers);
   }
   return undefined;
 }
 
-function toHolding(pipeline: PipelineObject, layers: [number, number]): WantedHolding {
+function toDesiredLayers(pipeline: PipelineObject, layers: [number, number]): WantedHolding {
   return { model: pipeline.name, version: pipeline.version, layers };
 }
 
-function isAsWanted(entry: EndpointEntry, wanted: WantedHolding | undefined): boolean {
+function hasDesiredLayers(entry: EndpointEntry, wanted: WantedHolding | undefined): boolean {
   const report = entry.report;
   if (wanted === undefined || report === undefined) return true;
   const isSameModel = report.model === wanted.model && report.version === wanted.version;
@@ -245,7 +246,11 @@
 }
 
 /** Whether the model that an engine serves now keeps a whole chain, of some version, without that engine. */
-function keepsChain(fold: ConfigurationFold, directory: EndpointDirectory, entry: EndpointEntry): boolean {
+function hasChainWithout(
+  fold: ConfigurationFold,
+  directory: EndpointDirectory,
+  entry: EndpointEntry,
+): boolean {
   const { report } = entry;
   const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
   if (report?.layers === undefined || pipeline === undefined) return true;
@@ -255,5 +260,5 @@
 /** Marks the engines that are to hold something else. */
 export function updateRetiring(fold: ConfigurationFold, directory: EndpointDirectory): void {
   for (const entry of directory.getEntries())
-    entry.isRetiring = !isAsWanted(entry, getWanted(fold, entry.name));
+    entry.isRetiring = !hasDesiredLayers(entry, getWanted(fold, entry.name));
 }
--- a/packages/entry/src/orders/VersionRetirement.ts
+++ b/packages/entry/src/orders/VersionRetirement.ts
@@ -16,17 +16,21 @@
  * A listed instance that answers nothing for this long does not stop a rollout: it has died or is cut off. One that answers that it uses
  * the version is waited for as long as it says so, since its callers would be cut.
  */
-const longestSilenceMs = 30_000;
+const maxUnansweredMs = 30_000;
 
-const questionSchema = zod.object({ model: zod.string(), version: zod.string(), isGap: zod.boolean() });
-const answerSchema = zod.object({ isFree: zod.boolean() });
+const retirementRequestSchema = zod.object({
+  model: zod.string(),
+  version: zod.string(),
+  isGap: zod.boolean(),
+});
+const retirementReplySchema = zod.object({ isFree: zod.boolean() });
 
-type Question = zod.infer<typeof questionSchema>;
+type RetirementRequest = zod.infer<typeof retirementRequestSchema>;
 
 /** What the questions are asked with. */
 export interface VersionRetirementStructure {
   readonly membership: Pick<Membership, "getMembers" | "onRequest" | "request">;
-  readonly versions: Pick<VersionsInUse, "close">;
+  readonly versions: Pick<VersionsInUse, "tryClose">;
   readonly getPipeline: (model: string) => PipelineObject | undefined;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: () => number;
@@ -35,7 +39,7 @@
 /** Asks, and answers when asked. */
 export class VersionRetirement {
   /** Since when each instance has left questions unanswered. */
-  private readonly _silentSinceMs = new Map<string, number>();
+  private readonly _unansweredSinceMs = new Map<string, number>();
   private readonly _nowMs: () => number;
 
   constructor(private readonly _structure: VersionRetirementStructure) {
@@ -47,34 +51,35 @@
    * Why the last chain of a version must stay for now; undefined once every instance has said that it begins nothing there.
    * @param isGap - Whether no chain of any version is left without it.
    */
-  async getHold(pipeline: PipelineObject, version: string, isGap: boolean): Promise<string | undefined> {
-    if (!this._structure.versions.close(pipeline, version, isGap)) return `version ${version} is in use here`;
+  async getBlocker(pipeline: PipelineObject, version: string, isGap: boolean): Promise<string | undefined> {
+    if (!this._structure.versions.tryClose(pipeline, version, isGap))
+      return `version ${version} is in use here`;
     const members = this._structure.membership.getMembers().map((member) => member.name);
-    for (const name of this._silentSinceMs.keys())
-      if (!members.includes(name)) this._silentSinceMs.delete(name);
+    for (const name of this._unansweredSinceMs.keys())
+      if (!members.includes(name)) this._unansweredSinceMs.delete(name);
     const question = { model: pipeline.name, version, isGap };
-    const holds = await Promise.all(members.map((name) => this._getHoldOf(name, question)));
+    const holds = await Promise.all(members.map((name) => this._getPeerBlocker(name, question)));
     const held = holds.filter((hold) => hold !== undefined);
     return held.length === 0 ? undefined : `version ${version}: ${held.join(", ")}`;
   }
 
-  private async _getHoldOf(name: string, question: Question): Promise<string | undefined> {
+  private async _getPeerBlocker(name: string, question: RetirementRequest): Promise<string | undefined> {
     const reply = await this._structure.membership.request(name, retireTopic, question, answerTimeoutMs);
-    const answer = reply.ok ? answerSchema.safeParse(reply.val) : undefined;
+    const answer = reply.ok ? retirementReplySchema.safeParse(reply.val) : undefined;
     if (answer?.success === true) {
-      this._silentSinceMs.delete(name);
+      this._unansweredSinceMs.delete(name);
       return answer.data.isFree ? undefined : `${name} uses it`;
     }
-    const sinceMs = this._silentSinceMs.get(name) ?? this._nowMs();
-    this._silentSinceMs.set(name, sinceMs);
-    return this._nowMs() - sinceMs >= longestSilenceMs ? undefined : `${name} has not answered`;
+    const sinceMs = this._unansweredSinceMs.get(name) ?? this._nowMs();
+    this._unansweredSinceMs.set(name, sinceMs);
+    return this._nowMs() - sinceMs >= maxUnansweredMs ? undefined : `${name} has not answered`;
   }
 
   private _answer(body: unknown): unknown {
-    const question = questionSchema.safeParse(body);
+    const question = retirementRequestSchema.safeParse(body);
     if (!question.success) return undefined;
     const { model, version, isGap } = question.data;
     const pipeline = this._structure.getPipeline(model);
-    return { isFree: pipeline === undefined || this._structure.versions.close(pipeline, version, isGap) };
+    return { isFree: pipeline === undefined || this._structure.versions.tryClose(pipeline, version, isGap) };
   }
 }
--- a/packages/entry/src/orders/servedVersions.ts
+++ b/packages/entry/src/orders/servedVersions.ts
@@ -6,12 +6,12 @@
 export function getWholeVersions(
   directory: EndpointDirectory,
   pipeline: PipelineObject,
-  without?: EndpointEntry,
+  excluded?: EndpointEntry,
 ): string[] {
   return directory.getVersions(pipeline.name).filter((version) => {
     const others = directory
       .getEngines(pipeline.name, version)
-      .filter((candidate) => candidate.entry !== without);
+      .filter((candidate) => candidate.entry !== excluded);
     return getBoundariesThatReach(others, pipeline.layerCount).has(0);
   });
 }
--- a/packages/entry/src/secrets.ts
+++ b/packages/entry/src/secrets.ts
@@ -6,7 +6,7 @@
 
 const peerSecretVariable = "SHEDTILLER_PEER_SECRET";
 const operatorHashVariable = "SHEDTILLER_OPERATOR_TOKEN_HASH";
-const shortestSecret = 16;
+const minSecretLength = 16;
 
 /** What an instance keeps to itself. */
 export interface InstanceSecrets {
@@ -23,9 +23,9 @@
   const { peerSecretFile, operatorTokenHashFile } = settings.security;
   const peerSecret = readSecret(peerSecretFile, environment[peerSecretVariable], peerSecretVariable);
   if (peerSecret.err) return peerSecret;
-  if (peerSecret.val.length < shortestSecret) {
+  if (peerSecret.val.length < minSecretLength) {
     return results.Err(
-      new errors.InvalidInputError("peer secret", `has fewer than ${shortestSecret} characters`),
+      new errors.InvalidInputError("peer secret", `has fewer than ${minSecretLength} characters`),
     );
   }
   const hash = readSecret(operatorTokenHashFile, environment[operatorHashVariable], operatorHashVariable);
--- a/packages/entry/src/tests/feeds/VersionsInUseTests.ts
+++ b/packages/entry/src/tests/feeds/VersionsInUseTests.ts
@@ -66,8 +66,8 @@
 
 test("a request under way keeps its version in use until it ends", (t) => {
   const uses = createUses(["1", "2"]);
-  const leave = uses.enter("assistant", "1");
-  const leaveToo = uses.enter("assistant", "1");
+  const leave = uses.addRequest("assistant", "1");
+  const leaveToo = uses.addRequest("assistant", "1");
   leave();
   t.true(uses.mayBeUsed(pipeline, "1", []));
   t.deepEqual(uses.getOwn(), [["assistant", ["2", "1"]]]);
@@ -91,10 +91,10 @@
 test("a version on which nothing may begin is served no more, also where the new one is out of sight again", async (t) => {
   const directory = createDirectory(["1", "2"]);
   const uses = new VersionsInUse(directory, () => [pipeline]);
-  t.true(uses.close(pipeline, "1", false));
+  t.true(uses.tryClose(pipeline, "1", false));
   directory.setReport({ ...createReport("g2", "2"), state: "loading" }, true);
   let isBegun = false;
-  const begun = uses.begin(pipeline, openEnd).then((entry) => {
+  const begun = uses.acquire(pipeline, openEnd).then((entry) => {
     isBegun = true;
     return entry;
   });
@@ -105,22 +105,22 @@
 });
 
 test("a version that is served, or that a request has, is not closed", (t) => {
-  t.false(createUses(["1"]).close(pipeline, "1", false));
+  t.false(createUses(["1"]).tryClose(pipeline, "1", false));
   const uses = createUses(["1", "2"]);
-  const leave = uses.enter("assistant", "1");
-  t.false(uses.close(pipeline, "1", false));
-  t.false(uses.close(pipeline, "1", true));
+  const leave = uses.addRequest("assistant", "1");
+  t.false(uses.tryClose(pipeline, "1", false));
+  t.false(uses.tryClose(pipeline, "1", true));
   leave();
-  t.true(uses.close(pipeline, "1", false));
+  t.true(uses.tryClose(pipeline, "1", false));
 });
 
 test("through a gap a version is closed though it is the one that is served", (t) => {
-  t.true(createUses(["1"]).close(pipeline, "1", true));
+  t.true(createUses(["1"]).tryClose(pipeline, "1", true));
 });
 
 test("a request whose caller has gone waits for no version", async (t) => {
   const uses = createUses(["1"]);
-  t.true(uses.close(pipeline, "1", true));
+  t.true(uses.tryClose(pipeline, "1", true));
   const gone = AbortSignal.abort();
-  t.is((await uses.begin(pipeline, { deadlineMs: Number.POSITIVE_INFINITY, signal: gone })).version, "2");
+  t.is((await uses.acquire(pipeline, { deadlineMs: Number.POSITIVE_INFINITY, signal: gone })).version, "2");
 });
--- a/packages/entry/src/tests/orders/VersionRetirementTests.ts
+++ b/packages/entry/src/tests/orders/VersionRetirementTests.ts
@@ -30,14 +30,14 @@
           return results.Ok(answer === "nothing" ? undefined : answer);
         },
       },
-      versions: { close: () => this.isOwnFree },
+      versions: { tryClose: () => this.isOwnFree },
       getPipeline: (model) => (model === pipeline.name ? pipeline : undefined),
       nowMs: () => this.nowMs,
     });
   }
 
   ask(): Promise<string | undefined> {
-    return this.retirement.getHold(pipeline, "1", false);
+    return this.retirement.getBlocker(pipeline, "1", false);
   }
 }
 
--- a/packages/pipeline/src/engine/SilenceDetector.ts
+++ b/packages/pipeline/src/engine/SilenceDetector.ts
@@ -26,9 +26,9 @@
   callsPerProbe: 32,
 };
 
-const firstProbes = 16;
-const firstRatio = 4;
-const firstProbeMs = 100;
+const initialProbes = 16;
+const initialRatio = 4;
+const initialProbeDeadlineMs = 100;
 
 /** Learns the times of one engine. */
 export class SilenceDetector {
@@ -52,7 +52,7 @@
     this._calls += 1;
     const { callsPerProbe } = this._options;
     if (callsPerProbe === 0) return false;
-    return this._calls <= firstProbes || this._calls % callsPerProbe === 0;
+    return this._calls <= initialProbes || this._calls % callsPerProbe === 0;
   }
 
   /** Takes the time of an answered probe. */
@@ -62,14 +62,15 @@
 
   /** How long a call that should take `expectedMs` may be silent before the engine is asked. */
   getStepDeadlineMs(expectedMs: number): number {
-    const ratio = this._steps.quantile ?? firstRatio;
+    const ratio = this._steps.quantile ?? initialRatio;
     return Math.max(this._options.floorMs, expectedMs * Math.max(1, ratio) * this._options.factor);
   }
 
   /** How long the engine's answer to a probe may take before the engine counts as lost. */
   getProbeDeadlineMs(): number {
     const slowestMs = this._probes.quantile;
-    const learnedMs = slowestMs === undefined ? firstProbeMs : slowestMs * this._options.probeFactor;
+    const learnedMs =
+      slowestMs === undefined ? initialProbeDeadlineMs : slowestMs * this._options.probeFactor;
     return Math.max(this._options.probeFloorMs, learnedMs);
   }
 }
--- a/packages/pipeline/src/engine/WsEngineConnector.ts
+++ b/packages/pipeline/src/engine/WsEngineConnector.ts
@@ -6,9 +6,9 @@
 
 /** Path of an engine's work listener. */
 export const enginePath = "/v1/stages";
-const connectTimeoutMs = 1_000;
-const longestConnectTimeoutMs = 8_000;
-const largestFrameBytes = 64 * 1024 * 1024;
+const initialConnectTimeoutMs = 1_000;
+const maxConnectTimeoutMs = 8_000;
+const maxFrameBytes = 64 * 1024 * 1024;
 
 type LinkResult = results.Result<EngineLink, LinkError>;
 
@@ -20,7 +20,7 @@
 
   constructor(
     private readonly _events: Omit<EngineLinkEvents, "onClosed"> & { onLinkLost(endpoint: string): void },
-    private readonly _patience = new utils.Patience(connectTimeoutMs, longestConnectTimeoutMs),
+    private readonly _connectTimeouts = new utils.Patience(initialConnectTimeoutMs, maxConnectTimeoutMs),
   ) {
     super();
   }
@@ -41,17 +41,18 @@
 
   private async _open(endpoint: string, address: string): Promise<LinkResult> {
     const startMs = utils.monotonicMs();
-    const timeoutMs = this._patience.getMs(address);
+    const timeoutMs = this._connectTimeouts.getMs(address);
     const socket = new ws.WebSocket(`ws://${address}${enginePath}`, {
       handshakeTimeout: timeoutMs,
       perMessageDeflate: false,
-      maxPayload: largestFrameBytes,
+      maxPayload: maxFrameBytes,
     });
     const failure = await waitForOpen(socket);
     this._opening.delete(address);
     const tookMs = utils.monotonicMs() - startMs;
-    if (failure === undefined) this._patience.noteAnswer(address, tookMs);
-    const isSlow = failure !== undefined && tookMs >= timeoutMs && !this._patience.noteTimeout(address);
+    if (failure === undefined) this._connectTimeouts.noteAnswer(address, tookMs);
+    const isSlow =
+      failure !== undefined && tookMs >= timeoutMs && !this._connectTimeouts.noteTimeout(address);
     if (failure !== undefined || this._isClosed) {
       socket.terminate();
       // One handshake that is late may be this instance's own lack of time; the next one gets twice as long.
@@ -61,13 +62,13 @@
     const link = new WsEngineLink(endpoint, socket, {
       onLeaving: (name) => this._events.onLeaving(name),
       onStrayReply: (name) => this._events.onStrayReply(name),
-      onClosed: (closed) => this._drop(address, closed),
+      onClosed: (closed) => this._removeLink(address, closed),
     });
     this._links.set(address, link);
     return results.Ok(link);
   }
 
-  private _drop(address: string, link: WsEngineLink): void {
+  private _removeLink(address: string, link: WsEngineLink): void {
     if (this._links.get(address) !== link) return;
     this._links.delete(address);
     if (!this._isClosed) this._events.onLinkLost(link.endpoint);
--- a/packages/pipeline/src/engine/WsEngineLink.ts
+++ b/packages/pipeline/src/engine/WsEngineLink.ts
@@ -15,14 +15,14 @@
   onStrayReply(endpoint: string): void;
 }
 
-type Waiter<T> = utils.Deferred<results.Result<T, EngineError>>;
+type PendingReply<T> = utils.Deferred<results.Result<T, EngineError>>;
 
 /** Matches replies to calls by request, attempt, stage and position; anything else is dropped and counted. */
 export class WsEngineLink extends EngineLink {
-  private readonly _applies = new Map<string, Waiter<frames.AppliedFrame>>();
-  private readonly _probes = new Map<string, Waiter<frames.StandingFrame>>();
-  private readonly _exports = new Map<string, Waiter<frames.ExportedFrame>>();
-  private readonly _imports = new Map<string, Waiter<frames.ImportedFrame>>();
+  private readonly _applies = new Map<string, PendingReply<frames.AppliedFrame>>();
+  private readonly _probes = new Map<string, PendingReply<frames.StandingFrame>>();
+  private readonly _exports = new Map<string, PendingReply<frames.ExportedFrame>>();
+  private readonly _imports = new Map<string, PendingReply<frames.ImportedFrame>>();
 
   constructor(
     readonly endpoint: string,
@@ -30,7 +30,7 @@
     private readonly _events: EngineLinkEvents,
   ) {
     super();
-    _socket.on("message", (data) => this._accept(data));
+    _socket.on("message", (data) => this._handleMessage(data));
     _socket.on("error", (error) => this._close(error));
     _socket.on("close", () => this._close(undefined));
   }
@@ -44,17 +44,17 @@
   }
 
   override probe(key: frames.StageKey): Promise<results.Result<frames.StandingFrame, EngineError>> {
-    return this._call(this._probes, getStageText(key), { kind: "probe", ...frames.pickStageKey(key) });
+    return this._call(this._probes, formatStageKey(key), { kind: "probe", ...frames.pickStageKey(key) });
   }
 
   override exportCache(key: frames.StageKey): Promise<results.Result<frames.ExportedFrame, EngineError>> {
-    return this._call(this._exports, getStageText(key), { kind: "export", ...frames.pickStageKey(key) });
+    return this._call(this._exports, formatStageKey(key), { kind: "export", ...frames.pickStageKey(key) });
   }
 
   override importCache(
     frame: frames.ImportFrame,
   ): Promise<results.Result<frames.ImportedFrame, EngineError>> {
-    return this._call(this._imports, getStageText(frame), frame);
+    return this._call(this._imports, formatStageKey(frame), frame);
   }
 
   override release(key: frames.StageKey): void {
@@ -68,7 +68,7 @@
   }
 
   private _call<T>(
-    waiters: Map<string, Waiter<T>>,
+    waiters: Map<string, PendingReply<T>>,
     key: string,
     frame: frames.ToEngineFrame,
   ): Promise<results.Result<T, EngineError>> {
@@ -81,7 +81,7 @@
     return waiter.promise;
   }
 
-  private _accept(data: ws.RawData): void {
+  private _handleMessage(data: ws.RawData): void {
     const decoded = decodeFrame(data, frames.fromEngineSchema, this.endpoint);
     if (decoded.err) return this._close(decoded.val);
     const frame = decoded.val;
@@ -91,11 +91,11 @@
       case "refused":
         return this._settleRefused(frame);
       case "standing":
-        return this._settle(this._probes, getStageText(frame), results.Ok(frame));
+        return this._settle(this._probes, formatStageKey(frame), results.Ok(frame));
       case "exported":
-        return this._settle(this._exports, getStageText(frame), results.Ok(frame));
+        return this._settle(this._exports, formatStageKey(frame), results.Ok(frame));
       case "imported":
-        return this._settle(this._imports, getStageText(frame), results.Ok(frame));
+        return this._settle(this._imports, formatStageKey(frame), results.Ok(frame));
       case "leaving":
         return this._events.onLeaving(this.endpoint);
     }
@@ -104,7 +104,7 @@
   /** A refusal answers whichever call of the stage is waiting. */
   private _settleRefused(frame: frames.RefusedFrame): void {
     const refusal = results.Err(new EngineRefusedError(this.endpoint, frame.reason));
-    const stage = getStageText(frame);
+    const stage = formatStageKey(frame);
     if (this._exports.has(stage)) return this._settle(this._exports, stage, refusal);
     if (this._imports.has(stage)) return this._settle(this._imports, stage, refusal);
     if (this._probes.has(stage)) return this._settle(this._probes, stage, refusal);
@@ -112,7 +112,7 @@
   }
 
   private _settle<T>(
-    waiters: Map<string, Waiter<T>>,
+    waiters: Map<string, PendingReply<T>>,
     key: string,
     outcome: results.Result<T, EngineError>,
   ): void {
@@ -134,10 +134,10 @@
   }
 }
 
-function getStageText(key: frames.StageKey): string {
+function formatStageKey(key: frames.StageKey): string {
   return `${key.requestId}|${key.attempt}|${key.firstLayer}`;
 }
 
 function getApplyKey(frame: frames.StageKey & { position: number }): string {
-  return `${getStageText(frame)}|${frame.position}`;
+  return `${formatStageKey(frame)}|${frame.position}`;
 }
--- a/packages/pipeline/src/request/PipelineRun.ts
+++ b/packages/pipeline/src/request/PipelineRun.ts
@@ -7,7 +7,7 @@
 import * as requests from "./PipelineRequest.js";
 import { Stage, type StageError } from "./Stage.js";
 
-const chooseAgainMs = 20;
+const chainRetryIntervalMs = 20;
 /** The first step, each after so many and each that met a failure go to the time line; all of them would flood it. */
 const tokensPerEvent = 32;
 
@@ -42,7 +42,7 @@
   /** Runs to the end, handing each token to `sink`. */
   async run(sink: TokenSink): Promise<Outcome<requests.PipelineAnswer>> {
     try {
-      const held = this._getHeldBack();
+      const held = this._getQuarantineError();
       if (held !== undefined) return results.Err(held);
       const chosen = await this._chooseChain();
       if (chosen.err) return chosen;
@@ -88,13 +88,13 @@
         continue;
       }
       if (index === this._stages.length - 1) return results.Ok(applied.val);
-      this._keepOutput(index, applied.val);
+      this._storeOutput(index, applied.val);
       index += 1;
     }
   }
 
   /** A rebuilt stage gives positions again that are known already; only the new ones are kept. */
-  private _keepOutput(index: number, applied: AppliedFrame): void {
+  private _storeOutput(index: number, applied: AppliedFrame): void {
     const boundary = this._boundaries[index + 1];
     if (boundary === undefined || applied.activations === undefined) return;
     const end = applied.position + applied.count;
@@ -106,7 +106,7 @@
 
   private async _applyStage(index: number): Promise<Outcome<AppliedFrame | typeof restarted>> {
     for (;;) {
-      const stopped = this._getStop();
+      const stopped = this._getStopError();
       if (stopped !== undefined) return results.Err(stopped);
       const stage = this._stages[index];
       if (stage === undefined) return results.Ok(restarted);
@@ -145,9 +145,9 @@
     const lost = this._stages[index];
     if (lost === undefined) return results.Ok(restarted);
     this._recordLoss(lost, cause);
-    await this._noteCrash(lost, cause);
+    await this._reportEngineLoss(lost, cause);
     // The next replica would crash as well.
-    const held = this._getHeldBack();
+    const held = this._getQuarantineError();
     if (held !== undefined) return results.Err(held);
     const startMs = utils.monotonicMs();
     const replica = this._findReplica(lost.candidate);
@@ -166,14 +166,14 @@
   }
 
   /** A run that has given no token yet may be what ended its engine. */
-  private async _noteCrash({ candidate }: Stage, cause: StageError): Promise<void> {
+  private async _reportEngineLoss({ candidate }: Stage, cause: StageError): Promise<void> {
     const { digest, promptTokens } = this._request;
     const hasTokens = this._tokens.length > promptTokens.length;
     if (digest === undefined || hasTokens || cause.code !== "connection_lost") return;
     await this._context.crashes.noteLost(digest, candidate.entry);
   }
 
-  private _getHeldBack(): requests.RequestHeldBackError | undefined {
+  private _getQuarantineError(): requests.RequestHeldBackError | undefined {
     const { digest } = this._request;
     const leftMs = digest === undefined ? undefined : this._context.crashes.getHeldBackMs(digest);
     return leftMs === undefined ? undefined : new requests.RequestHeldBackError(this._ran, leftMs);
@@ -217,18 +217,18 @@
   /** Chooses a chain; where none can be had, waits for one for as long as the request may. */
   private async _chooseChain(): Promise<Outcome<void>> {
     for (;;) {
-      const stopped = this._getStop();
+      const stopped = this._getStopError();
       if (stopped !== undefined) return results.Err(stopped);
       const chain = this._tryChoose();
       if (chain !== undefined) {
-        this._takeChain(chain);
+        this._useChain(chain);
         return results.Ok(undefined);
       }
       const isGone = this._isVersionGone();
       if (isGone && this._changeVersion()) continue;
       if (isGone || !this._isWritten)
         return results.Err(new requests.NoChainError(this._request.model, this._ran));
-      await utils.sleep(chooseAgainMs, this._signal).catch(() => undefined);
+      await utils.sleep(chainRetryIntervalMs, this._signal).catch(() => undefined);
     }
   }
 
@@ -267,7 +267,7 @@
     );
   }
 
-  private _takeChain(chain: readonly EngineCandidate[]): void {
+  private _useChain(chain: readonly EngineCandidate[]): void {
     this._stages = chain.map((candidate) => this._createStage(candidate));
     this._boundaries = chain.map(() => new BoundaryHistory(this._context.historyBudget));
     this._addEvent(
@@ -295,7 +295,7 @@
     return this._isWritten ? "unknown" : "no";
   }
 
-  private _getStop(): requests.PipelineError | undefined {
+  private _getStopError(): requests.PipelineError | undefined {
     if (this._signal.aborted) return new requests.RequestCancelledError(this._ran);
     if (utils.monotonicMs() >= this._request.deadlineMs) return new requests.RequestDeadlineError(this._ran);
     return undefined;
--- a/packages/pipeline/src/request/Stage.ts
+++ b/packages/pipeline/src/request/Stage.ts
@@ -29,7 +29,7 @@
 export type StageError = EngineError | StageSilentError | StageForgottenError;
 type Applied = results.Result<AppliedFrame, StageError>;
 
-const probeAgainFactor = 2;
+const waitGrowthFactor = 2;
 
 /** Runs calls on one endpoint and tells a lost reply from a lost endpoint. */
 export class Stage {
@@ -74,7 +74,7 @@
   private async _waitForOutcome(link: EngineLink, frame: ApplyFrame, expectedMs: number): Promise<Applied> {
     const reply = link.apply(frame);
     const detector = this._context.getDetector(this.endpoint);
-    if (detector.isProbeDue()) void this._learnProbeTime(link);
+    if (detector.isProbeDue()) void this._sampleProbeTime(link);
     const startMs = utils.monotonicMs();
     let waitMs = detector.getStepDeadlineMs(expectedMs);
     for (;;) {
@@ -84,14 +84,14 @@
       if (standing === undefined)
         return results.Err(new StageSilentError(this.endpoint, utils.monotonicMs() - startMs));
       if (standing.err) return standing;
-      const resolved = this._resolve(standing.val, frame);
+      const resolved = this._resolveStatus(standing.val, frame);
       if (resolved !== undefined) return resolved;
-      waitMs *= probeAgainFactor;
+      waitMs *= waitGrowthFactor;
     }
   }
 
   /** Probes an engine that is not silent, to know how soon it answers. */
-  private async _learnProbeTime(link: EngineLink): Promise<void> {
+  private async _sampleProbeTime(link: EngineLink): Promise<void> {
     const startMs = utils.monotonicMs();
     const standing = await link.probe(this.key);
     if (standing.ok) this._context.getDetector(this.endpoint).recordProbe(utils.monotonicMs() - startMs);
@@ -111,7 +111,7 @@
   }
 
   /** Reads a standing: the outcome whose reply was lost, a lost cache, or undefined while the engine is at work. */
-  private _resolve(standing: StandingFrame, frame: ApplyFrame): Applied | undefined {
+  private _resolveStatus(standing: StandingFrame, frame: ApplyFrame): Applied | undefined {
     const end = frame.position + frame.count;
     if (standing.position === end && standing.last?.position === frame.position)
       return results.Ok(standing.last);
