--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -1,4 +1,4 @@
-/** One entry instance: starts its parts, serves, drains. */
+/** Lifecycle of one entry instance. */
 import { EventEmitter } from "node:events";
 import * as fs from "node:fs";
 import * as admission from "@shedtiller/admission";
@@ -40,16 +40,16 @@
 
 const readyPollMs = 10;
 const retiringUpdateIntervalMs = 250;
-/** Without the log, an instance waits this long for peers before it takes what it has for the newest. */
+/** While the log is unavailable, an instance waits this long for peers before it regards its configuration as the newest. */
 const peerWaitMs = 2_000;
 
-/** What a drain came to. */
+/** Result of a drain. */
 export interface DrainReport {
-  /** Ids of requests that were cut short, after a hurry. */
+  /** Ids of the requests that were aborted while the instance drained. */
   readonly cut: readonly string[];
 }
 
-/** The daemon's core, embeddable. Made by `composeEntry`. */
+/** Starts, drains and stops an entry instance. Can be embedded in another process; created by `composeEntry`. */
 export class EntryInstance {
   readonly settings: InstanceSettings;
   readonly timeline: timeline.Timeline;
@@ -84,35 +84,39 @@
     this._operatorListener = this._createListener("operators", this.settings.instance.operatorAddress);
   }
 
+  /** Name of the instance. */
   get name(): string {
     return this.settings.instance.name;
   }
 
+  /** Port of the callers' listener. */
   get callerPort(): number {
     return this._callerListener.port;
   }
 
+  /** Port of the operators' listener. */
   get operatorPort(): number {
     return this._operatorListener.port;
   }
 
+  /** Whether the instance drains, or has drained. */
   get isDraining(): boolean {
     return this._isDraining;
   }
 
   /**
-   * Whether it may serve: it holds a configuration, and none that it can reach holds a newer one. Once it was ready it
-   * stays so, cut off or not, since a configuration never goes back.
+   * Whether the instance may serve: it has a configuration, and neither the log nor any reachable peer has a newer one. An
+   * instance stays ready even if it is partitioned later, since its configuration never goes back to an older one.
    */
   get isReady(): boolean {
     if (!this._wasReady) this._wasReady = this._checkReady();
     return this._wasReady;
   }
 
-  /** Listens, and begins all tasks. */
+  /** Opens all listeners and starts the background tasks. */
   async start(): Promise<void> {
     this._startedAtMs = utils.monotonicMs();
-    // Every waiting task listens to the one signal.
+    // All waiting tasks listen to the same signal, more than Node allows without a warning.
     EventEmitter.setMaxListeners(0, this._shutdown.signal);
     this._addRoutes();
     this._addMetricSources();
@@ -125,17 +129,17 @@
     this._log.info(`Listening for ${ports}.`);
   }
 
-  /** Resolves once the instance may serve. */
+  /** Resolves once the instance is ready or has been stopped. */
   async waitUntilReady(): Promise<void> {
     while (!this.isReady && !this._shutdown.signal.aborted) await utils.sleep(readyPollMs);
   }
 
-  /** Planned stop: takes nothing new, lets every request under way complete, tells the peers, ends. */
+  /** Stops gracefully: rejects new requests, notifies the peers, lets all requests in flight complete, then stops. */
   async drain(): Promise<DrainReport> {
     if (!this._isDraining) {
       this._isDraining = true;
-      this.timeline.add("drain-begun", { detail: `${this._inFlight.size} requests under way` });
-      this._log.info(`Draining with ${this._inFlight.size} requests under way.`);
+      this.timeline.add("drain-begun", { detail: `${this._inFlight.size} requests in flight` });
+      this._log.info(`Draining with ${this._inFlight.size} requests in flight.`);
       this.membership.leave();
     }
     await this._inFlight.waitForIdle();
@@ -145,25 +149,25 @@
     return { cut: this._abortedRequestIds };
   }
 
-  /** Cuts short what a drain still waits for. */
+  /** Aborts the requests in flight, so that a drain completes early. */
   hurry(): void {
     this._abortedRequestIds = this._inFlight.cutAll();
     for (const requestId of this._abortedRequestIds) this._log.warn(`Cut the request ${requestId} short.`);
   }
 
-  /** Vanishes at once, as a killed process does. */
+  /** Stops at once, as a killed process does. */
   async kill(): Promise<void> {
     this._inFlight.cutAll();
     await this._stop();
   }
 
-  /** Reads the certificate files again; new connections use them. */
+  /** Reloads the certificate files for new connections. */
   reloadCertificates(): void {
     const tls = this._readTls();
     if (tls === undefined) return;
     this._callerListener.setCertificate(tls.certificate, tls.key);
     this._operatorListener.setCertificate(tls.certificate, tls.key);
-    this._log.info("Read the certificates again.");
+    this._log.info("Reloaded the certificates.");
   }
 
   private async _stop(): Promise<void> {
@@ -274,7 +278,7 @@
 
   private _createListener(name: string, address: string): HttpListener {
     const onFault = (error: unknown): void =>
-      this._log.error(`Internal fault: ${errors.describeError(error)}`);
+      this._log.error(`Internal error: ${errors.describeError(error)}`);
     return new HttpListener({ name, address, limits: this.settings.limits, tls: this._readTls(), onFault });
   }
 
--- a/packages/entry/src/InFlight.ts
+++ b/packages/entry/src/InFlight.ts
@@ -1,16 +1,17 @@
-/** The requests under way, for the drain. */
+/** Requests in flight at one instance. */
 import { utils } from "@shedtiller/common";
 
-/** Knows each request under way and can cut it short. */
+/** Tracks the requests in flight, so that a drain can wait for them or abort them. */
 export class InFlight {
   private readonly _requests = new Map<string, AbortController>();
   private _idle: utils.Deferred<void> | undefined;
 
+  /** Number of requests in flight. */
   get size(): number {
     return this._requests.size;
   }
 
-  /** Notes a request; the function that comes back notes its end. */
+  /** Adds a request, and returns the function that removes it. */
   enter(requestId: string, controller: AbortController): () => void {
     this._requests.set(requestId, controller);
     return () => {
@@ -19,14 +20,14 @@
     };
   }
 
-  /** Resolves once nothing is under way. */
+  /** Resolves once no requests are in flight. */
   waitForIdle(): Promise<void> {
     if (this._requests.size === 0) return Promise.resolve();
     this._idle ??= new utils.Deferred<void>();
     return this._idle.promise;
   }
 
-  /** Cuts everything short and gives the ids of what was cut. */
+  /** Aborts all requests in flight, and returns their ids. */
   cutAll(): string[] {
     const cut = [...this._requests.keys()];
     for (const controller of this._requests.values()) controller.abort();
--- a/packages/entry/src/ModelQueues.ts
+++ b/packages/entry/src/ModelQueues.ts
@@ -1,4 +1,4 @@
-/** One admission queue for each pipeline, sized by this instance's share of the pipeline's streams. */
+/** Admission queues by pipeline. */
 import { results, utils } from "@shedtiller/common";
 import {
   AdmissionQueue,
@@ -12,19 +12,19 @@
 import type { PipelineDemand, PipelineDemands } from "./feeds/PipelineDemands.js";
 import { getServedVersion } from "./orders/servedVersions.js";
 
-/** Streams for each slot: while some wait for a slot at the next stage, the slots stay full. */
+/** Streams admitted per slot of an engine. It is above 1 so that slots stay full while streams wait at the next stage. */
 const streamsPerSlot = 1.75;
 const refreshMs = 100;
 const limitCacheMs = 100;
 const limitGrowthPerSecond = 2;
 
-/** Makes a queue with a given limit; the bench puts another kind in its place. */
+/** Creates a queue with the given limit; benchmarks replace it by another kind of queue. */
 export type QueueFactory = (getLimit: () => number) => Admission;
 
-/** Holds the queues. */
+/** Admits requests through one queue per pipeline, limited to this instance's share of the pipeline's streams. */
 export class ModelQueues {
   private readonly _queues = new Map<string, Admission>();
-  /** The newest form of each pipeline, by its name: its version changes while its queue stays. */
+  /** Newest configuration of each pipeline, by name. A pipeline's version changes while its queue stays. */
   private readonly _pipelines = new Map<string, PipelineObject>();
   private readonly _limits = new Map<string, { streams: number; atMs: number }>();
   private _demands: PipelineDemands | undefined;
@@ -35,28 +35,28 @@
     private readonly _createQueue: QueueFactory = (getLimit) => new AdmissionQueue(getLimit),
   ) {}
 
-  /** Streams under way over all pipelines. */
+  /** Number of admitted streams in flight, over all pipelines. */
   get active(): number {
     return utils.getSum([...this._queues.values()].map((queue) => queue.active));
   }
 
-  /** Requests that wait over all pipelines. */
+  /** Number of requests that wait in the queues, over all pipelines. */
   get waiting(): number {
     return utils.getSum([...this._queues.values()].map((queue) => queue.waiting));
   }
 
-  /** Shares are computed with the demands of the others from here on. */
+  /** Sets the demands of the other instances, from which shares are computed. */
   setDemands(demands: PipelineDemands, getInstanceCount: () => number): void {
     this._demands = demands;
     this._getInstanceCount = getInstanceCount;
   }
 
-  /** This instance's own demands. */
+  /** Returns this instance's own demands. */
   getOwnDemands(): PipelineDemand[] {
     return [...this._queues].map(([model, queue]) => [model, queue.active + queue.waiting]);
   }
 
-  /** Waits for the right to run a request of a pipeline. */
+  /** Waits until a request of a pipeline is admitted or rejected. */
   acquire(
     pipeline: PipelineObject,
     request: AdmissionRequest,
@@ -66,7 +66,7 @@
     return known.acquire(request);
   }
 
-  /** Lets more in when shares have grown, until `signal` aborts. */
+  /** Admits waiting requests when shares have grown, until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const refresh = (): void => {
       for (const queue of this._queues.values()) if (queue instanceof AdmissionQueue) queue.refresh();
@@ -86,12 +86,12 @@
     if (known !== undefined && nowMs - known.atMs < limitCacheMs) return known.streams;
     const all = this._getTotalStreams(pipeline);
     const share = this._demands?.getShare(pipeline.name, all) ?? all;
-    // What the others want is heard late. In a rush each begins with an equal part, and takes more of what they leave
-    // only step by step, so that all together never take much more than there is.
-    const equal = all / this._getInstanceCount();
+    // The demands of other instances arrive late. In a burst each instance starts with an equal share and takes more of
+    // what the others leave only step by step, so that all together never admit much more than there are streams.
+    const equalShare = all / this._getInstanceCount();
     const elapsedMs = known === undefined ? 0 : nowMs - known.atMs;
     const grown = Math.max(
-      equal,
+      equalShare,
       (known?.streams ?? 0) * limitGrowthPerSecond ** (elapsedMs / utils.msPerSecond),
     );
     const streams = Math.max(1, Math.min(share, grown));
@@ -99,7 +99,7 @@
     return streams;
   }
 
-  /** Streams that keep all engines of a pipeline busy. */
+  /** Returns the number of streams that keeps all engines of a pipeline busy. */
   private _getTotalStreams(pipeline: PipelineObject): number {
     const version = getServedVersion(this._directory, pipeline);
     const engines = this._directory.getEngines(pipeline.name, version);
--- a/packages/entry/src/bin/shedtillerd.ts
+++ b/packages/entry/src/bin/shedtillerd.ts
@@ -1,11 +1,11 @@
-/** The daemon: one entry instance from a settings file. */
+/** Daemon that runs one entry instance from a settings file. */
 import { loadSettings } from "@shedtiller/settings";
 import { composeEntry } from "../composeEntry.js";
 import { EntryInstance } from "../EntryInstance.js";
 import { loadSecrets } from "../secrets.js";
 
 const usageStatus = 2;
-const cutStatus = 1;
+const abortedStatus = 1;
 
 function fail(message: string): never {
   process.stderr.write(`${message}\n`);
@@ -28,7 +28,7 @@
   const stop = (): void => {
     if (isStopping) return instance.hurry();
     isStopping = true;
-    void instance.drain().then((report) => process.exit(report.cut.length === 0 ? 0 : cutStatus));
+    void instance.drain().then((report) => process.exit(report.cut.length === 0 ? 0 : abortedStatus));
   };
   process.on("SIGTERM", stop);
   process.on("SIGINT", stop);
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -1,4 +1,4 @@
-/** Composition of an entry instance. Embedders may rebind any part before `EntryInstance` is asked for. */
+/** Composition of an entry instance. Embedders may rebind any service before they request `EntryInstance`. */
 import "reflect-metadata";
 import * as admission from "@shedtiller/admission";
 import * as claims from "@shedtiller/claims";
@@ -36,10 +36,10 @@
 import type { InstanceSecrets } from "./secrets.js";
 import { Tokenizer, WordTokenizer } from "./text/Tokenizer.js";
 
-/** What may differ beside the settings. */
+/** Options of an instance that are not part of its settings. */
 export interface ComposeOptions {
   readonly logs?: Partial<LogOptions>;
-  /** Seed of the instance's random choices; by default one from its name and the time. */
+  /** Seed of the instance's random choices; by default a hash of its name and the time. */
   readonly seed?: number;
   readonly silence?: pipeline.SilenceOptions;
 }
@@ -47,7 +47,7 @@
 const claimsTopic = "claims";
 const leaseDurationMs = 8_000;
 
-/** Binds every part of an instance. */
+/** Creates a container with bindings for all services of an instance. */
 export function composeEntry(
   settings: InstanceSettings,
   secrets: InstanceSecrets,
--- a/packages/entry/src/configuration/ConfigurationSync.ts
+++ b/packages/entry/src/configuration/ConfigurationSync.ts
@@ -1,4 +1,4 @@
-/** Keeps the configuration at the highest offset that the log or any peer knows. */
+/** Synchronization of the configuration between instances. */
 import { utils } from "@shedtiller/common";
 import {
   configurationStateSchema,
@@ -11,23 +11,23 @@
 import { logRecordSchema, type LogService } from "@shedtiller/logservice";
 import * as zod from "zod";
 
-const sinceTopic = "configuration";
+const requestTopic = "configuration";
 const offsetField = "offset";
 const updateTopic = "configuration-news";
 const requestTimeoutMs = 2_000;
 const snapshotTickMs = 5_000;
 const maxRecordsPerSnapshot = 500;
-/** A snapshot is written when this part of the retention has gone since the last one. */
+/** A snapshot is written once this fraction of the log's retention has passed since the last one. */
 const snapshotRetentionFraction = 0.25;
 
-const sinceSchema = zod.object({ offset: zod.number().int() });
-const answerSchema = zod.object({
+const updateRequestSchema = zod.object({ offset: zod.number().int() });
+const updateReplySchema = zod.object({
   offset: zod.number().int(),
   records: zod.array(logRecordSchema).optional(),
   state: configurationStateSchema.optional(),
 });
 
-/** What the sync works on. */
+/** Dependencies of {@link ConfigurationSync}. */
 export interface ConfigurationSyncStructure {
   readonly configuration: ConfigurationFold;
   readonly membership: Membership;
@@ -35,7 +35,7 @@
   readonly logRetentionMs: number;
 }
 
-/** Learns from peers, tells peers, and writes snapshots before records age out. */
+/** Fetches newer configurations from peers, serves them to peers, and writes snapshots before records age out of the log. */
 export class ConfigurationSync {
   private readonly _pendingPeers = new Set<string>();
   private readonly _answeredPeers = new Set<string>();
@@ -43,7 +43,7 @@
   constructor(private readonly _structure: ConfigurationSyncStructure) {
     const { configuration, membership } = _structure;
     membership.addHeartbeatField(offsetField, () => configuration.offset);
-    membership.onRequest(sinceTopic, (body) => this._answer(body));
+    membership.onRequest(requestTopic, (body) => this._answer(body));
     membership.onNotice(updateTopic, (body, from) => {
       if (typeof body === "number" && body > configuration.offset) void this._requestUpdate(from);
     });
@@ -51,18 +51,18 @@
     configuration.onChanged(() => membership.notifyAll(updateTopic, configuration.offset));
   }
 
-  /** Offset that a peer last told, or -1. */
+  /** Returns the configuration offset in a peer's last heartbeat, or -1. */
   getPeerOffset(name: string): number {
     const offset = this._structure.membership.getMember(name)?.heartbeat[offsetField];
     return typeof offset === "number" ? offset : -1;
   }
 
-  /** Whether every peer that is linked now has been asked for its configuration. */
+  /** Whether every peer that is linked now has answered a request for its configuration. */
   get hasAnswerOfEveryPeer(): boolean {
     return this._structure.membership.getLinked().every((member) => this._answeredPeers.has(member.name));
   }
 
-  /** Asks the peers that are ahead, and writes snapshots, until `signal` aborts. */
+  /** Requests updates from peers with a higher offset, and writes snapshots, until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const ignore = (): void => undefined;
     await Promise.all([
@@ -83,13 +83,13 @@
     const { membership, configuration } = this._structure;
     const reply = await membership.request(
       peer.name,
-      sinceTopic,
+      requestTopic,
       { offset: configuration.offset },
       requestTimeoutMs,
     );
     this._pendingPeers.delete(peer.name);
     if (reply.err) return;
-    const answer = answerSchema.safeParse(reply.val);
+    const answer = updateReplySchema.safeParse(reply.val);
     if (!answer.success) return;
     this._answeredPeers.add(peer.name);
     if (answer.data.records !== undefined) configuration.adoptRecords(answer.data.records);
@@ -98,9 +98,9 @@
 
   private _answer(body: unknown): unknown {
     const { configuration } = this._structure;
-    const asked = sinceSchema.safeParse(body);
-    if (!asked.success) return undefined;
-    const records = configuration.getRecordsSince(asked.data.offset);
+    const request = updateRequestSchema.safeParse(body);
+    if (!request.success) return undefined;
+    const records = configuration.getRecordsSince(request.data.offset);
     if (records.ok) return { offset: configuration.offset, records: records.val };
     return { offset: configuration.offset, state: configuration.state };
   }
--- a/packages/entry/src/crashes/RequestCrashes.ts
+++ b/packages/entry/src/crashes/RequestCrashes.ts
@@ -1,4 +1,4 @@
-/** Holds back requests that crash engines, at all instances; what counts is decided by the ledger. */
+/** Quarantine of requests that crash engines, shared with all instances; the crash ledger decides what counts as evidence. */
 import { utils } from "@shedtiller/common";
 import {
   CrashExchange,
@@ -12,9 +12,13 @@
 import { CrashGuard, type LostEngine } from "@shedtiller/pipeline";
 
 const probeTimeoutMs = 300;
-/** Two words of one engine within this are of one crash: engines are listed under one name through all their lives. */
+/**
+ * Losses of the same engine within this time count as one crash. The engine's name doesn't tell two crashes apart, since an
+ * engine is listed under the same name in all its lives.
+ */
 const crashWindowMs = 2_000;
-/** What the guard works with. */
+
+/** Dependencies of {@link RequestCrashes}. */
 export interface RequestCrashesStructure {
   readonly membership: CrashExchangeStructure["membership"];
   readonly getInstanceNames: () => readonly string[];
@@ -24,7 +28,7 @@
   readonly nowMs?: () => number;
 }
 
-/** One guard an instance. */
+/** Quarantine of one instance, which exchanges its crash reports with its peers. */
 export class RequestCrashes extends CrashGuard {
   readonly ledger: CrashLedger;
   private readonly _exchange: CrashExchange;
@@ -37,12 +41,13 @@
     this.ledger = new CrashLedger(this._nowMs);
     this.ledger.onHold((digest, hold) =>
       warn(
-        `Request ${digest} is ${hold === undefined ? "let go" : `held back for ${Math.round(hold.leftMs)} ms`}.`,
+        `Request ${digest} is ${hold === undefined ? "released from quarantine" : `quarantined for ${Math.round(hold.leftMs)} ms`}.`,
       ),
     );
     this._exchange = new CrashExchange({
       membership,
-      onInvalid: (topic, from) => warn(`A message of ${from.name} on ${topic} is not in its form.`),
+      onInvalid: (topic, from) =>
+        warn(`Ignored a message from ${from.name} on ${topic} that does not match its schema.`),
       take: (told) => this.ledger.take(told),
       tellAll: () => this.ledger.tellAll(),
     });
@@ -59,7 +64,10 @@
     return undefined;
   }
 
-  /** An engine on a live machine that refuses connections has crashed; one that takes them has only ended one. */
+  /**
+   * Records a crash of the lost engine if it refuses connections while its machine is live. An engine that accepts them has
+   * only closed its connection.
+   */
   override async noteLost(digest: string, { name, address }: LostEngine): Promise<void> {
     if ((await this._structure.probe(address, probeTimeoutMs)) !== "refused") return;
     const atMs = this._nowMs();
@@ -80,7 +88,7 @@
     return this.ledger.mayTry(digest, getTrialRank(digest, membership.self.name, getInstanceNames()));
   }
 
-  /** The crash of this engine that is known from a moment ago, or a new one. */
+  /** Returns the id of the crash of this engine in the previous window if there was one, else that of the current window. */
   private _getCrashId(engine: string): string {
     const span = Math.floor(utils.wallMs() / crashWindowMs);
     const before = `${engine}@${span - 1}`;
--- a/packages/entry/src/feeds/InstanceListPoller.ts
+++ b/packages/entry/src/feeds/InstanceListPoller.ts
@@ -1,12 +1,12 @@
-/** Follows the platform's instance list. While it can't be had, what was last listed stands. */
+/** Polling of the platform's instance list. */
 import { utils } from "@shedtiller/common";
 import type { InstanceList, ListedInstance } from "@shedtiller/logservice";
 
 const pollIntervalMs = 500;
 
-/** Hands each page on. */
+/** Polls the instance list and passes each page on. While the list is unavailable, the last page stays in force. */
 export class InstanceListPoller {
-  /** Wall time since when the list has not answered; undefined while it does. */
+  /** Wall time of the first of the failed requests since the last page; undefined if the last request succeeded. */
   unavailableSinceMs: number | undefined;
 
   constructor(
@@ -14,7 +14,7 @@
     private readonly _onPage: (instances: readonly ListedInstance[]) => void,
   ) {}
 
-  /** Runs until `signal` aborts. */
+  /** Polls until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
       pollIntervalMs,
@@ -24,6 +24,7 @@
     );
   }
 
+  /** Fetches the list once. */
   async refresh(): Promise<void> {
     const page = await this._list.getInstances();
     if (page.err) {
--- a/packages/entry/src/feeds/PipelineDemands.ts
+++ b/packages/entry/src/feeds/PipelineDemands.ts
@@ -1,30 +1,32 @@
-/** Demand for each pipeline at each instance, and this instance's share of its streams. */
+/** Demand for each pipeline at each instance, and this instance's share of the pipeline's streams. */
 import { getShare } from "@shedtiller/admission";
 
-/** Demand of one pipeline: streams under way and waiting. */
+/** Demand for one pipeline: its streams that run or wait. */
 export type PipelineDemand = [model: string, streams: number];
 
-/** Holds what was last heard of the others. */
+/** Stores the demands last received from other instances and zones, and computes this instance's share from them. */
 export class PipelineDemands {
   private readonly _others = new Map<string, { demands: Map<string, number>; instanceCount: number }>();
 
-  /** @param _getOwn - Gives this instance's own demands. */
+  /** @param _getOwn - Returns this instance's own demands. */
   constructor(private readonly _getOwn: () => PipelineDemand[]) {}
 
+  /** Returns this instance's own demands. */
   getOwn(): PipelineDemand[] {
     return this._getOwn();
   }
 
+  /** Stores the demands of another instance, or of a whole zone of `instanceCount` instances. */
   setOther(source: string, demands: readonly PipelineDemand[], instanceCount: number): void {
     this._others.set(source, { demands: new Map(demands), instanceCount });
   }
 
-  /** Forgets sources that are gone for good. */
+  /** Removes the demands of all sources but the given ones. */
   keepSources(sources: ReadonlySet<string>): void {
     for (const name of this._others.keys()) if (!sources.has(name)) this._others.delete(name);
   }
 
-  /** Sums over this instance and the named others of its zone. */
+  /** Returns the demands of this instance and the named others of its zone, summed by pipeline. */
   getZone(names: ReadonlySet<string>): PipelineDemand[] {
     const sums = new Map<string, number>(this._getOwn());
     for (const [source, { demands }] of this._others) {
@@ -34,7 +36,7 @@
     return [...sums];
   }
 
-  /** This instance's share of a pipeline's streams. */
+  /** Returns this instance's share of the `limit` streams of a pipeline. */
   getShare(model: string, limit: number): number {
     const otherDemands: number[] = [];
     for (const { demands, instanceCount } of this._others.values()) {
--- a/packages/entry/src/feeds/VersionsInUse.ts
+++ b/packages/entry/src/feeds/VersionsInUse.ts
@@ -1,41 +1,41 @@
 /**
- * Which versions of each pipeline are in use, at this instance and at the others. The last chain of a version may be broken up only
- * where no instance begins requests there or has some under way: nothing else could go on with them.
+ * Which versions of each pipeline are in use, at this instance and at the others. The last chain of a version may be broken
+ * up only if no instance starts requests on it or has some in flight, since no other engines could continue them.
  */
 import { utils } from "@shedtiller/common";
 import type { EndpointDirectory } from "@shedtiller/routing";
 import type { PipelineObject } from "@shedtiller/intent";
-import { getServedVersion, getWholeVersions } from "../orders/servedVersions.js";
+import { getServedVersion, getCompleteVersions } from "../orders/servedVersions.js";
 
 /**
- * How long an instance begins nothing on a version after it has said so. The order that relies on it is sent within a second, once all
- * others have answered or have had the time to, and takes effect within two more or never.
+ * How long an instance starts no requests on a version after it has closed it. The order that relies on this is sent within
+ * 1 s, once all other instances have answered or timed out, and expires 2 s after that.
  */
 const closedDurationMs = 5_000;
 const reopenPollMs = 20;
 
-/** Versions of one pipeline that an instance begins requests with, or has some under way with. */
+/** Versions of one pipeline on which an instance starts requests or has some in flight. */
 export type VersionUse = [model: string, versions: string[]];
 
-/** A version that a request runs with, and the function that notes its end. */
+/** Use of a version by one request, until it is released. */
 export interface VersionHandle {
   readonly version: string;
   readonly release: () => void;
 }
 
-/** Until when a request may wait for a version that it can begin on. */
+/** Limits to how long a request waits for a version that it can start on. */
 export interface AcquireOptions {
   /** Monotonic milliseconds. */
   readonly deadlineMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Holds what is in use here, and what was last heard of the others. */
+/** Counts the requests in flight by version, and stores the versions that other instances last reported to be in use. */
 export class VersionsInUse {
-  /** Requests under way, by model and version. */
+  /** Number of requests in flight, by model and version. */
   private readonly _running = new Map<string, Map<string, number>>();
   private readonly _others = new Map<string, ReadonlyMap<string, readonly string[]>>();
-  /** Monotonic milliseconds until which nothing begins on a version, by model and version. */
+  /** Monotonic milliseconds until which no requests start on a version, by model and version. */
   private readonly _closedUntilMs = new Map<string, Map<string, number>>();
 
   constructor(
@@ -43,14 +43,15 @@
     private readonly _getPipelines: () => readonly PipelineObject[],
   ) {}
 
-  /** The version that a request gets that begins now. */
+  /** Returns the version on which a new request starts. */
   getServed(pipeline: PipelineObject): string {
     return getServedVersion(this._directory, pipeline, (version) => !this._isClosed(pipeline.name, version));
   }
 
   /**
-   * Begins a request on the version that is served now. Where the only whole chains are of a version on which nothing may begin, it waits
-   * until another one is whole or that one is free again, for some seconds at the most: engines of the new version are loading then.
+   * Adds a request to the version that is served now. If all complete chains are of closed versions, waits until another
+   * version has a complete chain or a closed one reopens, which takes a few seconds at most: the engines of the new version
+   * are loading then.
    */
   async acquire(pipeline: PipelineObject, options: AcquireOptions): Promise<VersionHandle> {
     while (this._isEveryVersionClosed(pipeline)) {
@@ -62,8 +63,9 @@
   }
 
   /**
-   * Says that nothing begins on a version here for five seconds, unless it is in use; tells whether it is not.
-   * @param isGap - No version is whole without the engines in question, so that this one being served is no reason against it.
+   * Closes a version to new requests at this instance for 5 s, unless it is in use. Returns whether it was closed.
+   * @param isGap - Whether no version has a complete chain without the engines in question. The version may then be closed
+   * even though it is the one that is served.
    */
   tryClose(pipeline: PipelineObject, version: string, isGap: boolean): boolean {
     const isRunning = this._running.get(pipeline.name)?.has(version) ?? false;
@@ -73,7 +75,7 @@
     return true;
   }
 
-  /** Notes a request that begins; the function that comes back notes its end. */
+  /** Adds a request in flight on a version, and returns the function that removes it. */
   addRequest(model: string, version: string): () => void {
     const counts = this._running.get(model) ?? new Map<string, number>();
     this._running.set(model, counts);
@@ -85,7 +87,7 @@
     };
   }
 
-  /** What is in use here, of the pipelines whose engines hold more than one version; the others need no word. */
+  /** Returns the versions in use at this instance, for pipelines whose engines have loaded more than one version. */
   getOwn(): VersionUse[] {
     const changing = this._getPipelines().filter(
       (pipeline) => this._directory.getVersions(pipeline.name).length > 1,
@@ -93,36 +95,36 @@
     return changing.map((pipeline) => [pipeline.name, this._getOwnVersions(pipeline)]);
   }
 
-  /** Takes what another instance or zone told; undefined where it can't tell. */
+  /** Stores the versions in use that another instance or zone reported; undefined if it doesn't know them all. */
   setOther(source: string, uses: readonly VersionUse[] | undefined): void {
     if (uses === undefined) this._others.delete(source);
     else this._others.set(source, new Map(uses));
   }
 
-  /** Forgets sources that are gone for good. */
+  /** Removes the reports of all sources but the given ones. */
   retainSources(sources: ReadonlySet<string>): void {
     for (const name of this._others.keys()) if (!sources.has(name)) this._others.delete(name);
   }
 
-  /** What is in use here or at the named others; undefined where one of those has not told yet. */
+  /** Returns the versions in use here or at the named others; undefined if one of those has not reported yet. */
   getZone(names: Iterable<string>): VersionUse[] | undefined {
-    const told = [...names].map((name) => this._others.get(name));
-    const heard = told.flatMap((uses) => uses ?? []);
-    if (heard.length < told.length) return undefined;
-    // A pipeline that one of them has no word of may be in use there with any version.
+    const reports = [...names].map((name) => this._others.get(name));
+    const received = reports.flatMap((uses) => uses ?? []);
+    if (received.length < reports.length) return undefined;
+    // An instance that reports nothing about a pipeline may use any version of it, so the pipeline is left out.
     return this.getOwn().flatMap(([model, own]): VersionUse[] => {
-      const versions = heard.map((uses) => uses.get(model));
+      const versions = received.map((uses) => uses.get(model));
       if (versions.includes(undefined)) return [];
       return [[model, [...new Set([...own, ...versions.flatMap((some) => some ?? [])])]]];
     });
   }
 
-  /** Whether a version may be in use, here or at one of the named others. One that has not told may use all. */
+  /** Returns whether a version may be in use, here or at one of the named others. One that has not reported may use all. */
   mayBeUsed(pipeline: PipelineObject, version: string, names: Iterable<string>): boolean {
     return this.getUsers(pipeline, version, names).length > 0;
   }
 
-  /** Where a version may be in use: here, and at those of the named others that use it or have not told. */
+  /** Returns where a version may be in use: here, and at those of the named others that use it or have not reported. */
   getUsers(pipeline: PipelineObject, version: string, names: Iterable<string>): string[] {
     const isOwn = this._getOwnVersions(pipeline).includes(version);
     const others = [...names].filter(
@@ -140,11 +142,11 @@
     return utils.monotonicMs() < (this._closedUntilMs.get(model)?.get(version) ?? 0);
   }
 
-  /** Whether no version can be served but ones on which nothing may begin, or whose chain is being broken up right now. */
+  /** Returns whether a version is closed and no open version has a complete chain. */
   private _isEveryVersionClosed(pipeline: PipelineObject): boolean {
     const isClosed = (version: string): boolean => this._isClosed(pipeline.name, version);
     const closed = [...(this._closedUntilMs.get(pipeline.name)?.keys() ?? [])];
-    // Almost always nothing is closed, and chains need not be looked for.
-    return closed.some(isClosed) && getWholeVersions(this._directory, pipeline).every(isClosed);
+    // Almost always no version is closed, which saves the search for complete chains.
+    return closed.some(isClosed) && getCompleteVersions(this._directory, pipeline).every(isClosed);
   }
 }
--- a/packages/entry/src/feeds/ZoneFeed.ts
+++ b/packages/entry/src/feeds/ZoneFeed.ts
@@ -1,6 +1,7 @@
 /**
- * What instances tell each other of endpoints and demands. Within a zone the steward of an endpoint reads its report
- * and tells the others; across zones one instance a zone fetches a digest of another zone and passes it on.
+ * Exchange of engine reports and demands between instances. Within a zone the owner of an engine polls its report and
+ * broadcasts it to the other instances; across zones one instance per zone fetches the digest of another zone and
+ * broadcasts it within its own.
  */
 import { errors, utils } from "@shedtiller/common";
 import type { AccountLimits } from "@shedtiller/admission";
@@ -20,24 +21,25 @@
 const reportsTopic = "reports";
 const digestTopic = "digest";
 const leavingTopic = "endpoint-leaving";
-/** A hung engine holds up nothing, so that a slow one may be waited for longer each time. */
+/** The timeout may grow with each late report, since reports are fetched concurrently and a hung engine delays no other. */
 const initialReportTimeoutMs = 400;
 const maxReportTimeoutMs = 6_400;
 const minReportIntervalMs = 200;
 const minDigestIntervalMs = 500;
+/** Control traffic that one instance may send per second, by kind of message. */
 const reportBytesPerSecond = 1_200;
 const digestBytesPerSecond = 800;
 const demandBytes = 25;
 const demandBytesPerSecond = 600;
 const loadBytes = 14;
-/** A whole report, spread over the rounds between two of them. */
+/** Size of a full report, divided by the rounds between two full reports. */
 const amortizedFixedBytes = 26;
 const digestTimeoutMs = 1_000;
 const roundsPerFullReport = 10;
-/** A report that is older than this many rounds is fetched by each instance itself. */
+/** Each instance polls an engine itself once its report is older than this many rounds. */
 const maxReportAgeRounds = 5;
 
-/** What the feed works on. */
+/** Dependencies of {@link ZoneFeed}. */
 export interface ZoneFeedStructure {
   readonly membership: Membership;
   readonly directory: EndpointDirectory;
@@ -47,7 +49,7 @@
   readonly onCpu: (duty: string, tookMs: number) => void;
 }
 
-/** Sends and takes reports, digests and demands. */
+/** Sends and receives engine reports, zone digests, demands and the versions in use. */
 export class ZoneFeed {
   private _round = 0;
   private readonly _fetching = new Set<string>();
@@ -68,7 +70,7 @@
     directory.onLeaving((entry) => membership.notifyAll(leavingTopic, entry.name));
   }
 
-  /** Runs until `signal` aborts. */
+  /** Runs both exchanges until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this._runReports(signal), this._runDigests(signal)]);
   }
@@ -77,7 +79,7 @@
     while (!signal.aborted) {
       const startMs = utils.monotonicMs();
       const intervalMs = this._getReportIntervalMs();
-      // Not waited for: an endpoint that hangs must not hold up the reports of the others.
+      // The fetches are not awaited: an engine that hangs must not delay the reports of the others.
       for (const entry of this._getEnginesToPoll(intervalMs)) void this._fetchOnce(entry);
       this._broadcastReports();
       await utils
@@ -98,7 +100,7 @@
     });
   }
 
-  /** Endpoints that this instance reads: those it is steward of, and those whose steward has gone silent. */
+  /** Returns the engines that this instance polls: those it owns, and those that are unreachable or have no recent report. */
   private _getEnginesToPoll(intervalMs: number): EndpointEntry[] {
     const staleMs = Math.max(utils.msPerSecond, intervalMs * maxReportAgeRounds);
     const nowMs = utils.monotonicMs();
@@ -112,6 +114,7 @@
     });
   }
 
+  /** Returns the engines of this zone whose reports this instance broadcasts. */
   private _getOwnedEngines(): EndpointEntry[] {
     const { membership, directory } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -144,7 +147,7 @@
       if (report.success && report.data.name === entry.name) directory.setReport(report.data, true);
       else directory.markUnreachable(entry.name);
     } catch (error) {
-      // One report that is late shows as well that this instance itself gets little of its core.
+      // A single late report is no evidence against the engine: this instance itself may be short of CPU time.
       const isEvidence = !(error instanceof TimeoutError) || this._reportTimeouts.noteTimeout(entry.address);
       const failure = classifyHttpError(entry.address, error);
       if (isEvidence && errors.hasCode(failure, "not_reached", "connection_lost"))
@@ -171,7 +174,7 @@
     this._structure.onCpu("reports", utils.monotonicMs() - startMs);
   }
 
-  /** Demands are many bytes; they have a share of their own. */
+  /** Returns whether to send the demands in this round. They are large, and have a traffic budget of their own. */
   private _areDemandsDue(demandCount: number): boolean {
     const { membership } = this._structure;
     const intervalMs = getBudgetIntervalMs({
@@ -186,7 +189,10 @@
     return true;
   }
 
-  /** Whole reports go out when anything but the load changed, and now and then; else the load alone. */
+  /**
+   * Adds an engine's report to a message: the full report if anything but the load has changed, and in every tenth round;
+   * otherwise only the load.
+   */
   private _addReport(body: Reports, entry: EndpointEntry): void {
     const report = entry.report;
     if (report === undefined || entry.isUnreachable) return;
@@ -239,7 +245,7 @@
     });
   }
 
-  /** Zones whose digest is ours to fetch. */
+  /** Returns the linked zones whose digest this instance has to fetch. */
   private _getZonesToFetch(): string[] {
     const { membership } = this._structure;
     const zones = new Set(membership.getLinked().map((member) => member.availabilityZone));
@@ -251,7 +257,7 @@
     const { membership } = this._structure;
     const contact = membership.getLinked().find((member) => member.availabilityZone === zone);
     if (contact === undefined) return;
-    // The fixed parts come when they have changed, and now and then for those who joined meanwhile.
+    // The digest has the full reports if they have changed, and in every tenth round for instances that joined meanwhile.
     this._digestRound += 1;
     const known =
       this._digestRound % roundsPerFullReport === 0 ? null : (this._fixedHashes.get(zone) ?? null);
@@ -262,7 +268,10 @@
     membership.notifyAll(digestTopic, digest.val, (member) => member.availabilityZone === own);
   }
 
-  /** This zone's digest. `known` is the hash of the fixed parts that the asking instance has. */
+  /**
+   * Creates this zone's digest.
+   * @param known - Hash of the reports without their loads, as the requesting instance has them.
+   */
   private _createDigest(known: unknown): Digest {
     const { membership, directory, limits, demands, versions } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -295,7 +304,7 @@
     );
   }
 
-  /** Instances of this zone that are linked, this one left out. */
+  /** Returns the names of the linked instances of this zone, without this instance. */
   private _getLinkedNames(): string[] {
     const { membership } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -317,7 +326,7 @@
   }
 }
 
-/** Everything in a report but the load. */
+/** Returns a report without its load, as text for comparison. */
 function toFixedPart(report: EngineReport): string {
   return JSON.stringify({ ...report, activeStreams: 0 });
 }
--- a/packages/entry/src/feeds/zoneFeedMessages.ts
+++ b/packages/entry/src/feeds/zoneFeedMessages.ts
@@ -1,35 +1,35 @@
-/** What instances tell each other of endpoints and demands. */
+/** Messages that instances exchange about engines, demands and versions in use. */
 import { engineReportSchema } from "@shedtiller/routing";
 import * as zod from "zod";
 
-/** Name of an account, its requests at once and its tokens a second. */
+/** Name of a client account, its concurrent requests and its tokens per second. */
 const demandSchema = zod.tuple([zod.string(), zod.number(), zod.number()]);
-/** Name of an endpoint or a pipeline, and its load. */
+/** Name of an endpoint or a pipeline, and its number of streams. */
 const loadSchema = zod.tuple([zod.string(), zod.number()]);
 /** Name of a pipeline, and the versions of it that are in use. */
 const versionUseSchema = zod.tuple([zod.string(), zod.array(zod.string())]);
-/** Reports on the endpoints of a zone; the loads alone where the rest has not changed. */
+/** Reports on the engines of a zone: full ones, or the loads alone where nothing else has changed. */
 export const reportsSchema = zod.object({
   full: zod.array(engineReportSchema),
   loads: zod.array(loadSchema),
-  /** Absent in rounds that leave them out. */
+  /** Demands of client accounts; absent in rounds that leave them out. */
   accounts: zod.array(demandSchema).optional(),
   pipelines: zod.array(loadSchema),
-  /** Of pipelines whose engines hold several versions; absent where the sender can't tell. */
+  /** Versions in use of pipelines whose engines have loaded several; absent if the sender doesn't know them all. */
   versions: zod.array(versionUseSchema).optional(),
 });
-/** What another zone gets: all of a zone together. */
+/** Digest of a whole zone, as other zones receive it. */
 export const digestSchema = reportsSchema.extend({
   availabilityZone: zod.string(),
   instanceCount: zod.number().int().positive(),
-  /** Hash of everything in the reports but the loads. */
+  /** Hash of the reports without their loads. */
   fixedHash: zod.number(),
 });
 
 export type Reports = zod.infer<typeof reportsSchema>;
 export type Digest = zod.infer<typeof digestSchema>;
 
-/** Name under which what a whole zone told is kept. */
+/** Returns the source name under which the digest of a zone is stored. */
 export function getZoneSource(availabilityZone: string): string {
   return `zone:${availabilityZone}`;
 }
--- a/packages/entry/src/http/AnswerWriter.ts
+++ b/packages/entry/src/http/AnswerWriter.ts
@@ -1,11 +1,11 @@
-/** Writes a model's answer, whole or token by token, in OpenAI's forms. */
+/** Writing of a model's answer in OpenAI's formats. */
 import type * as http from "node:http";
 import { ranHeader, sendJson, toErrorBody, type ApiError } from "./apiErrors.js";
 
-/** The two forms of completions. */
+/** Format of the answer: chat completion or text completion. */
 export type CompletionForm = "chat" | "text";
 
-/** What an answer is written with. */
+/** Dependencies and properties of one answer. */
 export interface AnswerWriterStructure {
   readonly response: http.ServerResponse;
   readonly form: CompletionForm;
@@ -18,13 +18,13 @@
 const okStatus = 200;
 const msPerSecond = 1000;
 
-/** One answer on its way to one caller. */
+/** Writes one answer to one caller, as a stream of events or as one JSON object. */
 export class AnswerWriter {
   private _text = "";
   private _tokens = 0;
   private _isBegun = false;
   private readonly _createdS = Math.floor(Date.now() / msPerSecond);
-  /** The part of every stream event that stays the same, made once. */
+  /** Start of every stream event. It is rendered once, since it is the same in all events. */
   private readonly _prefix: string;
 
   constructor(private readonly _structure: AnswerWriterStructure) {
@@ -34,7 +34,7 @@
     this._prefix = `data: ${head.slice(0, -1)},"choices":[{"index":0,`;
   }
 
-  /** Takes the text of the next token. */
+  /** Writes the text of the next token, or collects it for an answer that is not streamed. */
   addToken(text: string): void {
     this._tokens += 1;
     if (!this._structure.isStream) {
@@ -47,7 +47,10 @@
     this._structure.response.write(`${this._prefix}${delta},"finish_reason":null}]}\n\n`);
   }
 
-  /** Ends the whole answer. */
+  /**
+   * Completes the answer.
+   * @param isEnd - Whether the model ended its answer; otherwise the maximum length was reached.
+   */
   finish(isEnd: boolean): void {
     const { response, isStream } = this._structure;
     const reason = isEnd ? "stop" : "length";
@@ -58,7 +61,7 @@
     response.end("data: [DONE]\n\n");
   }
 
-  /** Ends a stream that has begun with an error event, and no [DONE], so that nobody takes it for whole. */
+  /** Ends a stream with an error event and without [DONE], so that no client takes it for complete. */
   fail(error: ApiError): void {
     this._structure.response.end(`data: ${JSON.stringify(toErrorBody(error))}\n\n`);
   }
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -1,4 +1,4 @@
-/** Model requests: from the caller's body to the answer. */
+/** Handling of model requests, from the caller's body to the answer. */
 import { digestRequest } from "@shedtiller/crashes";
 import { errors, results, utils } from "@shedtiller/common";
 import {
@@ -37,7 +37,7 @@
 const forbiddenStatus = 403;
 const lowestRank = 9;
 
-/** What the handler works with. */
+/** Dependencies of {@link CompletionHandler}. */
 export interface CompletionStructure {
   readonly settings: InstanceSettings;
   readonly configuration: intent.ConfigurationFold;
@@ -69,32 +69,33 @@
   readonly signal: AbortSignal;
 }
 
-/** The version that a request runs with. */
+/** Version on which a request runs, and its switch to another one. */
 interface RequestVersion extends VersionChoice {
   readonly first: string;
-  /** Notes the end of the request. */
+  /** Ends the request's use of its current version. */
   release(): void;
 }
 
 type Answered = results.Result<PipelineAnswer, PipelineError | AdmissionRefusedError>;
 
-/** Handles `/v1/chat/completions` and `/v1/completions`. */
+/** Handles `/v1/chat/completions` and `/v1/completions`: parsing, admission, at-most-once execution and the answer. */
 export class CompletionHandler {
   constructor(private readonly _structure: CompletionStructure) {}
 
+  /** Handles one request and writes its answer. */
   async handle(request: restify.Request, response: http.ServerResponse, form: CompletionForm): Promise<void> {
     const { inFlight, metrics } = this._structure;
     const controller = new AbortController();
     const completion = this._parse(request, form, controller.signal);
-    // A keyed request goes on when its caller goes away: the caller's next try finds the answer.
+    // A request with an idempotency key continues after its caller disconnects, so that a retry finds the answer.
     if (completion.key === undefined) callerRequest.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, completion.requestId);
-    const leave = inFlight.enter(completion.requestId, controller);
+    const removeRequest = inFlight.enter(completion.requestId, controller);
     try {
       const outcome = await this._answer(completion, response);
       metrics.requests.inc({ kind: "model", outcome });
     } finally {
-      leave();
+      removeRequest();
     }
   }
 
@@ -136,7 +137,7 @@
         notFoundStatus,
         "not_found_error",
         "model_not_found",
-        `The model ${model} is not known.`,
+        `The model ${model} does not exist.`,
       );
     }
     const mayUse = pipeline.clientAccounts.length === 0 || pipeline.clientAccounts.includes(account.name);
@@ -149,7 +150,7 @@
     );
   }
 
-  /** Answers, and tells the outcome for the metrics. */
+  /** Runs a request and writes its answer; returns the outcome for the metrics. */
   private async _answer(completion: Completion, response: http.ServerResponse): Promise<string> {
     const { requestId, form, isStream, pipeline, promptTokens } = completion;
     const writer = new AnswerWriter({
@@ -184,21 +185,21 @@
     key: string,
     writer: AnswerWriter,
   ): Promise<results.Result<PipelineAnswer, errors.ShedtillerError & { ran: "no" | "unknown" }>> {
-    let isOurs = false;
+    let hasRunHere = false;
     const outcome = await this._structure.once.run(key, {
       requestId: completion.requestId,
       deadlineMs: completion.deadlineMs,
       signal: completion.signal,
       run: async () => {
-        isOurs = true;
+        hasRunHere = true;
         const answer = await this._run(completion, writer);
         return answer.ok ? results.Ok({ kind: "model" as const, ...answer.val }) : answer;
       },
     });
     if (outcome.err) return outcome;
     if (outcome.val.kind !== "model") return results.Err(new KeyReusedError());
-    // The answer of an earlier call with this key is written whole.
-    if (!isOurs)
+    // The answer to an earlier call with this key has not been streamed to this caller yet.
+    if (!hasRunHere)
       for (const token of outcome.val.tokens) writer.addToken(this._structure.tokenizer.decode(token));
     return results.Ok(outcome.val);
   }
@@ -274,28 +275,28 @@
     }
   }
 
-  /** Begins on the version that is served now, and goes over to another where the request may and must. */
+  /** Starts the request on the version that is served now, and lets it switch to another one if that version is replaced. */
   private async _acquireVersion(
     pipeline: intent.PipelineObject,
     completion: Completion,
   ): Promise<RequestVersion> {
     const { versions, configuration } = this._structure;
     const begun = await versions.acquire(pipeline, completion);
-    let { release: leave } = begun;
+    let { release } = begun;
     return {
       first: begun.version,
-      release: () => leave(),
+      release: () => release(),
       isReplaced: (version) => configuration.getObject("pipeline", pipeline.name)?.version !== version,
       changeVersion: () => {
         const served = versions.getServed(configuration.getObject("pipeline", pipeline.name) ?? pipeline);
-        leave();
-        leave = versions.addRequest(pipeline.name, served);
+        release();
+        release = versions.addRequest(pipeline.name, served);
         return served;
       },
     };
   }
 
-  /** Notes the time to the first token, then the time between tokens. */
+  /** Returns a function that records the time to the first token, and at each further call the time since the last token. */
   private _createTokenTimer(rank: number, arrivedAtMs: number): () => void {
     const { metrics } = this._structure;
     const label = { rank: String(rank) };
@@ -311,7 +312,7 @@
   }
 }
 
-/** An idempotency key that belongs to a call of another kind. */
+/** The idempotency key was used for a call to a service before. */
 class KeyReusedError extends errors.ShedtillerError {
   readonly code = "outcome_unknown";
   readonly ran = "unknown" as const;
--- a/packages/entry/src/http/HttpListener.ts
+++ b/packages/entry/src/http/HttpListener.ts
@@ -1,4 +1,4 @@
-/** A restify server with limits against slow, huge and many connections. */
+/** HTTP listener: a restify server with limits on header time, body size and connections. */
 import type * as http from "node:http";
 import type * as net from "node:net";
 import { errors, utils } from "@shedtiller/common";
@@ -9,20 +9,20 @@
 
 export type Handler = (request: restify.Request, response: http.ServerResponse) => Promise<void> | void;
 
-/** What a listener is made of. */
+/** Settings and dependencies of {@link HttpListener}. */
 export interface ListenerStructure {
   readonly name: string;
   /** IP address and port, as in the settings. */
   readonly address: string;
   readonly limits: InstanceSettings["limits"];
-  /** PEM texts; absent for plain HTTP. */
+  /** Certificate and key in PEM form; absent for plain HTTP. */
   readonly tls?: { readonly certificate: string; readonly key: string } | undefined;
   readonly onFault: (error: unknown) => void;
 }
 
 const payloadTooLargeStatus = 413;
 
-/** Listens on one address and hands requests to handlers; whatever a handler throws becomes an error reply. */
+/** Listens on one address and dispatches requests to handlers. An error that a handler throws becomes an error response. */
 export class HttpListener {
   private readonly _server: restify.Server;
   private readonly _sockets = new Set<net.Socket>();
@@ -31,7 +31,7 @@
     const { limits, tls } = _structure;
     this._server = restify.createServer({
       name: _structure.name,
-      // Typed as https options; Node's http server takes the header limit from the same place.
+      // restify types this as options of https, but passes it to Node's http server as well.
       ...(tls === undefined ? {} : { certificate: tls.certificate, key: tls.key }),
       httpServerOptions: { maxHeaderSize: limits.headerSizeBytes },
     } as restify.ServerOptions);
@@ -56,28 +56,33 @@
     );
   }
 
-  /** Port that is listened on. */
+  /** Port that the listener is bound to; 0 before that. */
   get port(): number {
     const bound = this._httpServer.address();
     return bound === null || typeof bound === "string" ? 0 : bound.port;
   }
 
+  /** Adds a route for GET requests. */
   get(path: string, handler: Handler): void {
     this._server.get(path, this._wrap(handler));
   }
 
+  /** Adds a route for POST requests. */
   post(path: string, handler: Handler): void {
     this._server.post(path, this._wrap(handler));
   }
 
+  /** Adds a route for PUT requests. */
   put(path: string, handler: Handler): void {
     this._server.put(path, this._wrap(handler));
   }
 
+  /** Adds a route for DELETE requests. */
   del(path: string, handler: Handler): void {
     this._server.del(path, this._wrap(handler));
   }
 
+  /** Binds the address; resolves once connections are accepted. */
   listen(): Promise<void> {
     const [host, port] = splitAddress(this._structure.address);
     return new Promise((resolve, reject) => {
@@ -92,13 +97,13 @@
     server.setSecureContext?.({ cert: certificate, key });
   }
 
-  /** Takes no new connections; those that stand end with their requests. */
+  /** Stops accepting connections and closes idle ones; the others close after their requests. */
   stopAccepting(): void {
     if (this._httpServer.listening) this._httpServer.close();
     this._httpServer.closeIdleConnections();
   }
 
-  /** Ends everything at once. */
+  /** Stops accepting connections and resets all open ones. */
   destroy(): void {
     if (this._httpServer.listening) this._httpServer.close();
     for (const socket of this._sockets) utils.resetSocket(socket);
@@ -143,7 +148,7 @@
   }
 }
 
-/** Reads the body whole, whatever its type: restify's own reader leaves out `application/octet-stream`. */
+/** Creates a handler that reads the whole body of any type. restify's own reader skips `application/octet-stream`. */
 function createBodyReader(
   limitBytes: number,
   onFailed: (response: http.ServerResponse, error: unknown) => void,
@@ -172,7 +177,7 @@
   );
 }
 
-/** Splits an address of the settings into host and port. */
+/** Splits an address from the settings into host and port. */
 export function splitAddress(address: string): [host: string, port: number] {
   const cut = address.lastIndexOf(":");
   return [address.slice(0, cut).replace(/^\[|\]$/g, ""), Number(address.slice(cut + 1))];
--- a/packages/entry/src/http/ServiceHandler.ts
+++ b/packages/entry/src/http/ServiceHandler.ts
@@ -1,4 +1,4 @@
-/** Calls to plain services under `/services/{service}/…`. */
+/** Handling of calls to plain services under `/services/{service}/…`. */
 import { errors, results, utils } from "@shedtiller/common";
 import { ServiceError, type AtMostOnce, type ServiceCall, type ServiceCaller } from "@shedtiller/claims";
 import type { ConfigurationFold, ServiceObject } from "@shedtiller/intent";
@@ -15,7 +15,7 @@
 
 const notFoundStatus = 404;
 
-/** What the handler works with. */
+/** Dependencies of {@link ServiceHandler}. */
 export interface ServiceStructure {
   readonly settings: InstanceSettings;
   readonly configuration: ConfigurationFold;
@@ -29,26 +29,27 @@
 
 type ServiceOutcome = results.Result<StoredAnswer, errors.ShedtillerError & { ran: "no" | "unknown" }>;
 
-/** Passes calls on; those that are not repeatable run at most once. */
+/** Forwards calls to services. Calls that are not repeatable and have an idempotency key run at most once. */
 export class ServiceHandler {
   constructor(private readonly _structure: ServiceStructure) {}
 
+  /** Handles one call and sends its answer. */
   async handle(request: restify.Request, response: http.ServerResponse): Promise<void> {
     const { inFlight, metrics, accounts } = this._structure;
     requireAccount(request, accounts);
     const controller = new AbortController();
     const service = this._requireService(String(request.params.service));
     const call = this._createCall(request, service, controller.signal);
-    // Once claimed, a call goes on when its caller goes away: the caller's next try finds the answer.
+    // A call that runs at most once continues after its caller disconnects, so that a retry finds the answer.
     if (call.isRepeatable || call.idempotencyKey === undefined)
       callerRequest.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, call.requestId);
-    const leave = inFlight.enter(call.requestId, controller);
+    const removeRequest = inFlight.enter(call.requestId, controller);
     try {
       const outcome = await this._run(call);
       metrics.requests.inc({ kind: "service", outcome: this._send(response, call, outcome) });
     } finally {
-      leave();
+      removeRequest();
     }
   }
 
@@ -59,11 +60,11 @@
       notFoundStatus,
       "not_found_error",
       "service_not_found",
-      `The service ${name} is not known.`,
+      `The service ${name} does not exist.`,
     );
   }
 
-  /** The stricter of the service's configuration and the request's word wins. */
+  /** Creates the call. It is repeatable only if both the service's configuration and the request's header allow it. */
   private _createCall(request: restify.Request, service: ServiceObject, signal: AbortSignal): ServiceCall {
     const isRepeatable = service.repeatable && request.header("shedtiller-repeatable") !== "no";
     const deadlineMs = callerRequest.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs);
--- a/packages/entry/src/http/StoredAnswer.ts
+++ b/packages/entry/src/http/StoredAnswer.ts
@@ -1,4 +1,4 @@
-/** Answers of keyed calls, as they are kept and passed between instances. */
+/** Answers to calls with an idempotency key, as they are stored and sent between instances. */
 import type { ServiceAnswer } from "@shedtiller/claims";
 import * as zod from "zod";
 
@@ -24,7 +24,7 @@
 /** A service's answer as it is stored. */
 export type StoredServiceAnswer = Extract<StoredAnswer, { kind: "service" }>;
 
-/** A service's answer in its stored form. */
+/** Returns a service's answer in its stored form. */
 export function toStored(answer: ServiceAnswer): StoredAnswer {
   return { kind: "service", ...answer, contentType: answer.contentType ?? null };
 }
--- a/packages/entry/src/http/apiErrors.ts
+++ b/packages/entry/src/http/apiErrors.ts
@@ -1,4 +1,4 @@
-/** Errors as callers and operators see them: OpenAI's error object, with what is known of the request's having run. */
+/** Errors as sent to callers and operators: OpenAI's error object, extended by whether the request has run. */
 import type * as http from "node:http";
 import { errors, type Ran } from "@shedtiller/common";
 
@@ -11,7 +11,7 @@
   | "overloaded_error"
   | "api_error";
 
-/** What is told to a caller. */
+/** Error with its HTTP status, and its type and code in OpenAI's error object. */
 export class ApiError extends errors.ShedtillerError {
   constructor(
     readonly status: number,
@@ -26,18 +26,18 @@
 }
 
 export const ranHeader = "shedtiller-ran";
-/** Id under which the instance ran the request, for the time line. */
+/** Header with the id of the request in logs and in the time line. */
 export const requestIdHeader = "shedtiller-request-id";
 const msPerSecond = 1000;
 
-/** Body of an error. */
+/** Returns the body of an error response. */
 export function toErrorBody(error: ApiError): {
   error: { type: string; code: string; message: string; ran: Ran };
 } {
   return { error: { type: error.type, code: error.code, message: error.message, ran: error.ran } };
 }
 
-/** Sends an error, unless something was sent already. */
+/** Sends an error, or ends the response if its headers have been sent already. */
 export function sendError(response: http.ServerResponse, error: ApiError): void {
   if (response.headersSent) {
     response.end();
@@ -71,7 +71,7 @@
 };
 const defaultRetryAfterMs = 1_000;
 
-/** Turns a typed failure of a part into what the caller is told. */
+/** Converts an error of another component into the error that is sent to the caller. */
 export function toApiError(error: errors.ShedtillerError & { ran: Ran; retryAfterMs?: number }): ApiError {
   const [status, type] = statusByCode[error.code] ?? [500, "api_error"];
   const retryAfterMs = error.retryAfterMs ?? (status === 503 ? defaultRetryAfterMs : undefined);
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -1,4 +1,4 @@
-/** Who calls: client accounts by their keys, operators by their token. */
+/** Authentication of client accounts by their API keys, and of operators by their token. */
 import * as intent from "@shedtiller/intent";
 import type * as restify from "restify";
 import { ApiError } from "./apiErrors.js";
@@ -6,7 +6,7 @@
 const unauthorizedStatus = 401;
 const accountPrefix = "account/";
 
-/** The account that a request's key belongs to, or a 401. */
+/** Returns the client account that a request's key belongs to; throws a 401 error if the key is missing or invalid. */
 export function requireAccount(request: restify.Request, accounts: AccountDirectory): intent.AccountObject {
   const key = intent.parseAccountKey(getBearer(request) ?? "");
   const found = key === undefined ? undefined : accounts.find(key.keyId);
@@ -21,7 +21,7 @@
   return found.account;
 }
 
-/** Passes only with the operators' token. */
+/** Throws a 401 error unless the request has the operators' token. */
 export function requireOperator(request: restify.Request, stored: intent.AccountKey): void {
   const key = intent.parseAccountKey(getBearer(request) ?? "");
   if (key?.keyId === stored.keyId && intent.isSecret(stored, key.secret)) return;
@@ -42,7 +42,7 @@
   readonly stored: intent.AccountKey;
 }
 
-/** Accounts by the public part of their keys, kept up with the configuration object by object. */
+/** Index of client accounts by the ids of their keys, updated with each changed account of the configuration. */
 export class AccountDirectory {
   private readonly _byKeyId = new Map<string, FoundAccount>();
   private readonly _keyIds = new Map<string, readonly string[]>();
@@ -51,6 +51,7 @@
     _configuration.onChanged((changedKeys) => this._update(changedKeys));
   }
 
+  /** Returns the client account and the stored hash of a key. */
   find(keyId: string): FoundAccount | undefined {
     return this._byKeyId.get(keyId);
   }
--- a/packages/entry/src/http/callerRequest.ts
+++ b/packages/entry/src/http/callerRequest.ts
@@ -1,4 +1,4 @@
-/** What every handler of the callers' interface does first and last. */
+/** Parsing of the headers and bodies that all handlers of the callers' interface have in common. */
 import { utils } from "@shedtiller/common";
 import type * as restify from "restify";
 import type * as http from "node:http";
@@ -7,14 +7,14 @@
 const deadlineHeader = "shedtiller-deadline-ms";
 const badRequestStatus = 400;
 
-/** Aborts `controller` when the caller goes away before the answer has been sent. */
+/** Aborts `controller` if the caller disconnects before the answer has been sent. */
 export function abortWithCaller(response: http.ServerResponse, controller: AbortController): void {
   response.once("close", () => {
     if (!response.writableFinished) controller.abort();
   });
 }
 
-/** Monotonic time after which the caller does not want the answer any more. */
+/** Returns the monotonic time after which the caller no longer needs the answer. */
 export function getDeadlineMs(request: restify.Request, maxMs: number): number {
   const text = request.header(deadlineHeader);
   if (text === undefined || text === "") return utils.monotonicMs() + maxMs;
@@ -30,7 +30,7 @@
   return utils.monotonicMs() + Math.min(stated, maxMs);
 }
 
-/** The idempotency key, checked to be time-stamped. */
+/** Returns the idempotency key, which must be a time-stamped UUID; undefined if there is none. */
 export function getIdempotencyKey(request: restify.Request): string | undefined {
   const key = request.header("idempotency-key");
   if (key === undefined || key === "") return undefined;
@@ -43,7 +43,7 @@
   );
 }
 
-/** Parses a body as JSON, or tells the caller what is wrong with it. */
+/** Parses a body as JSON; throws an error for the caller if it is missing or invalid. */
 export function parseJson(body: unknown): unknown {
   const text = typeof body === "string" ? body : Buffer.isBuffer(body) ? body.toString("utf8") : undefined;
   if (text === undefined || text === "") {
--- a/packages/entry/src/http/callerRoutes.ts
+++ b/packages/entry/src/http/callerRoutes.ts
@@ -1,4 +1,4 @@
-/** The callers' interface. Its paths and fields are stated in docs/INTERFACES.md. */
+/** Routes of the callers' interface. Its paths and fields are specified in docs/INTERFACES.md. */
 import type { ConfigurationFold } from "@shedtiller/intent";
 import { ApiError, sendJson } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
@@ -10,7 +10,7 @@
 const unavailableStatus = 503;
 const retryAfterMs = 1_000;
 
-/** What the routes work with. */
+/** Dependencies of the callers' routes. */
 export interface CallerStructure {
   readonly configuration: ConfigurationFold;
   readonly accounts: AccountDirectory;
@@ -65,14 +65,14 @@
   });
 }
 
-/** While the instance drains, or knows no configuration yet, it takes nothing: true, and nothing ran. */
+/** Throws an error that tells the caller that nothing ran, while the instance drains or has no configuration yet. */
 function requireOpen(structure: CallerStructure): void {
   if (structure.isDraining()) {
     throw new ApiError(
       unavailableStatus,
       "overloaded_error",
       "draining",
-      "The instance is being stopped.",
+      "The instance is draining.",
       "no",
       retryAfterMs,
     );
--- a/packages/entry/src/http/completionSchemas.ts
+++ b/packages/entry/src/http/completionSchemas.ts
@@ -1,4 +1,4 @@
-/** Bodies of the callers' interface. Unknown fields are let through, as OpenAI's clients send many. */
+/** Bodies of model requests. Unknown fields are accepted, since OpenAI's clients send many. */
 import * as zod from "zod";
 
 const maxAnswerTokens = 32_768;
@@ -27,7 +27,7 @@
 export type ChatBody = zod.infer<typeof chatBodySchema>;
 export type TextBody = zod.infer<typeof textBodySchema>;
 
-/** The prompt that a chat stands for. */
+/** Returns the messages of a chat as one prompt. */
 export function getChatPrompt(body: ChatBody): string {
   return body.messages.map((message) => `${message.role}: ${getText(message.content)}`).join("\n");
 }
@@ -36,7 +36,7 @@
   return typeof content === "string" ? content : content.map((part) => part.text).join("");
 }
 
-/** Longest answer that a body asks for. */
+/** Returns the maximum length of the answer that a body requests. */
 export function getMaxTokens(body: {
   max_tokens?: number | undefined;
   max_completion_tokens?: number | undefined;
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -1,4 +1,4 @@
-/** The operators' interface. Its paths and fields are stated in docs/INTERFACES.md. */
+/** Routes of the operators' interface. Its paths and fields are specified in docs/INTERFACES.md. */
 import type { errors } from "@shedtiller/common";
 import * as intent from "@shedtiller/intent";
 import type { Timeline } from "@shedtiller/timeline";
@@ -23,7 +23,7 @@
 
 const logLevelSchema = zod.strictObject({ level: zod.enum(["error", "warn", "info", "debug"]) });
 
-/** What the routes work with. */
+/** Dependencies of the operators' routes. */
 export interface OperatorStructure {
   readonly tokenHash: intent.AccountKey;
   readonly configuration: intent.ConfigurationFold;
@@ -90,7 +90,7 @@
   });
 }
 
-/** Hashes of keys are nobody's business but the check's. */
+/** Removes the salts and hashes of keys, which only authentication needs. */
 function withoutSecrets(value: intent.ConfigurationObject): object {
   if (value.kind !== "account") return value;
   return { ...value, keys: value.keys.map((key) => ({ keyId: key.keyId })) };
@@ -155,15 +155,15 @@
   request: restify.Request,
   response: http.ServerResponse,
 ): void {
-  const asked = logLevelSchema.safeParse(parseJson(request.body));
-  if (!asked.success)
+  const parsed = logLevelSchema.safeParse(parseJson(request.body));
+  if (!parsed.success)
     throw new ApiError(
       badRequestStatus,
       "invalid_request_error",
       "invalid_body",
       "level must be error, warn, info or debug.",
     );
-  logs.setLevel(asked.data.level);
+  logs.setLevel(parsed.data.level);
   sendJson(response, okStatus, { level: logs.level });
 }
 
--- a/packages/entry/src/logs/createLogs.ts
+++ b/packages/entry/src/logs/createLogs.ts
@@ -1,10 +1,10 @@
-/** Logs: short sentences with a fixed prefix for each part, as text or JSON, with a level that changes at run time. */
+/** Logs of an instance, as text or JSON, with a level that can be changed at run time. */
 import * as winston from "winston";
 
-/** Parts that log, by their prefix. */
+/** Components that write logs. */
 export type LogPart = "entry" | "callers" | "operators" | "peers" | "configuration" | "orders" | "platform";
 
-/** What a part writes with. */
+/** Log of one component. */
 export interface PartLog {
   info(sentence: string): void;
   warn(sentence: string): void;
@@ -12,10 +12,11 @@
   debug(sentence: string): void;
 }
 
-/** The logs of one instance. */
+/** Logs of one instance. */
 export interface Logs {
+  /** Returns the log of a component. */
   forPart(part: LogPart): PartLog;
-  /** Changes the level for all parts from now on. */
+  /** Sets the level of all components. */
   setLevel(level: string): void;
   readonly level: string;
 }
@@ -25,11 +26,11 @@
   readonly instance: string;
   readonly level: string;
   readonly format: "text" | "json";
-  /** Writes nothing at all, for embedding and tests. */
+  /** Whether nothing is written, for embedding and tests. */
   readonly isSilent?: boolean;
 }
 
-/** Makes the logs of an instance; they go to the standard error. */
+/** Creates the logs of an instance, which are written to standard error. */
 export function createLogs(options: LogOptions): Logs {
   const logger = winston.createLogger({
     level: options.level,
--- a/packages/entry/src/metrics/InstanceMetrics.ts
+++ b/packages/entry/src/metrics/InstanceMetrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of one instance, in its own registry. Labels are few and bounded: no request or account ids. */
+/** Metrics of one instance. Labels have few values: there are none for the ids of requests or client accounts. */
 import type { Membership } from "@shedtiller/membership";
 import type { PipelineContext } from "@shedtiller/pipeline";
 import * as prom from "prom-client";
@@ -6,7 +6,7 @@
 const firstTokenBuckets = [0.02, 0.05, 0.1, 0.2, 0.4, 0.58, 1, 2, 5];
 const tokenGapBuckets = [0.005, 0.01, 0.02, 0.04, 0.064, 0.1, 0.2, 0.5, 1, 2];
 
-/** Where values come from that are read at the moment of a scrape. */
+/** Sources of the values that are read at each scrape. */
 export interface MetricSources {
   readonly membership: Membership;
   readonly pipeline: PipelineContext;
@@ -16,7 +16,10 @@
   readonly getClaimKeys: () => number;
 }
 
-/** The golden signals (latency, traffic, errors, saturation), refusals by reason, and the cost of control. */
+/**
+ * Registry of an instance's metrics: latency, traffic, errors and saturation, rejected requests by reason, and the cost of
+ * control traffic and control work.
+ */
 export class InstanceMetrics {
   readonly registry = new prom.Registry();
   readonly requests: prom.Counter<"kind" | "outcome">;
@@ -61,7 +64,7 @@
     });
   }
 
-  /** Adds the values that are read at scrape time. */
+  /** Adds the metrics whose values are read at each scrape. */
   addSources(sources: MetricSources): void {
     const { pipeline } = sources;
     this._addGauge("shedtiller_requests_active", "Requests under way", sources.getActive);
--- a/packages/entry/src/operators/PlanDesk.ts
+++ b/packages/entry/src/operators/PlanDesk.ts
@@ -1,4 +1,4 @@
-/** Plans that were made and not yet confirmed, wherever they were made; and their confirmation. */
+/** Plans of this instance and others, and their confirmation. */
 import { errors, results, utils } from "@shedtiller/common";
 import {
   planSchema,
@@ -12,22 +12,22 @@
 
 const maxPlans = 1_000;
 const planTopic = "plan";
-/** An instance that is busy or far away may take seconds; an operator waits as long for a confirmation. */
+/** A busy or remote instance may take seconds to reply. An operator waits as long for a confirmation. */
 const requestTimeoutMs = 5_000;
 const confirmTimeoutMs = 5_000;
 const inForceTimeoutMs = 5_000;
 const inForcePollMs = 20;
 
-/** No instance that can be reached knows the plan. */
+/** No reachable instance has the plan. */
 export class PlanNotFoundError extends errors.ShedtillerError {
   readonly code = "plan_not_found";
 
   constructor(readonly planId: string) {
-    super(`No instance that can be reached knows the plan ${planId}; state the intent again.`);
+    super(`No reachable instance has the plan ${planId}; submit the intent again.`);
   }
 }
 
-/** No instance that answered knows the plan, and some did not answer. */
+/** No instance that answered has the plan, and some did not answer. */
 export class PlanUnansweredError extends errors.ShedtillerError {
   readonly code = "plan_unanswered";
 
@@ -36,23 +36,23 @@
     readonly silent: readonly string[],
   ) {
     super(
-      `No instance that answered knows the plan ${planId}; without an answer: ${silent.join(", ")}. Ask again.`,
+      `No instance that answered has the plan ${planId}; no answer from ${silent.join(", ")}. Try again.`,
     );
   }
 }
 
 type PlanError = PlanNotFoundError | PlanUnansweredError;
 
-/** What came of a confirmation. */
+/** Result of a confirmation. */
 export interface Confirmation {
   readonly outcome: PlanOutcome;
-  /** Whether every instance that can be reached has the outcome in force. */
+  /** Whether the outcome is in force at every reachable instance. */
   readonly isInForce: boolean;
-  /** Instances that can't be reached, or are not there yet. */
+  /** Instances that can't be reached or have not applied the outcome yet. */
   readonly missing: readonly string[];
 }
 
-/** What the desk works with. */
+/** Dependencies of {@link PlanDesk}. */
 export interface PlanDeskStructure {
   readonly fold: ConfigurationFold;
   readonly membership: Membership;
@@ -60,7 +60,7 @@
   readonly status: StatusGatherer;
 }
 
-/** Keeps plans and confirms them. */
+/** Stores the plans made at this instance, finds those of others, and confirms plans. */
 export class PlanDesk {
   private readonly _plans = new utils.KeyedCache<Plan>(maxPlans);
 
@@ -70,29 +70,30 @@
     );
   }
 
+  /** Stores a plan; beyond 1 000 plans the oldest is dropped. */
   addPlan(plan: Plan): void {
     this._plans.set(plan.planId, plan);
   }
 
-  /** Finds a plan here or at another instance. */
+  /** Returns a plan of this instance or of another one. */
   async requirePlan(planId: string): Promise<results.Result<Plan, PlanError>> {
     const own = this._plans.get(planId);
     if (own !== undefined) return results.Ok(own);
     const { membership } = this._structure;
     const silent: string[] = [];
-    const asked = membership.getMembers().map(async ({ name }) => {
+    const replies = membership.getMembers().map(async ({ name }) => {
       const reply = await membership.request(name, planTopic, planId, requestTimeoutMs);
-      // One that can't be reached has no say; one that is slow may know the plan.
+      // An instance that times out may have the plan; one that can't be reached at all is not counted.
       if (reply.err && reply.val.code === "deadline_passed") silent.push(name);
       return planSchema.parse(reply.ok ? reply.val : undefined);
     });
-    const found = await Promise.any(asked).catch(() => undefined);
+    const found = await Promise.any(replies).catch(() => undefined);
     if (found !== undefined) return results.Ok(found);
     if (silent.length > 0) return results.Err(new PlanUnansweredError(planId, silent));
     return results.Err(new PlanNotFoundError(planId));
   }
 
-  /** Confirms a plan and waits until its outcome is in force wherever it can be seen to be. */
+  /** Confirms a plan and waits until its outcome is in force at every linked instance, for 5 s at most. */
   async confirm(planId: string): Promise<results.Result<Confirmation, errors.ShedtillerError>> {
     const plan = await this.requirePlan(planId);
     if (plan.err) return plan;
@@ -108,7 +109,7 @@
     });
   }
 
-  /** Whether an instance is linked, so that it may be slow, and is not gone. */
+  /** Returns whether an instance is linked. One that is linked and doesn't answer may be slow rather than gone. */
   private _isLinked(name: string): boolean {
     return this._structure.membership.getLinked().some((member) => member.name === name);
   }
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -1,16 +1,16 @@
-/** Makes plans from intents: what changes, where layers go, what that does to capacity. */
+/** Planning: from an intent to its changes, the placement of layers and the capacity that results. */
 import { utils } from "@shedtiller/common";
 import * as intent from "@shedtiller/intent";
 import * as placement from "@shedtiller/placement";
 import type { EndpointDirectory, EngineReport } from "@shedtiller/routing";
 
-/** Assumed rate of the weight store for the estimate, where nothing better is known. */
+/** Assumed rate at which the weight store delivers layers, for the estimate of the loading time. */
 const assumedLoadLayersPerSecond = 200;
 const noLayersText = "nothing";
-/** An engine that the plan does not need gets no order, and serves nothing once another version is in force. */
+/** Placement text of an engine that the plan does not need. It gets no order, and serves nothing once another version is in force. */
 const unchangedText = "not needed, left as it is";
 
-/** Makes plans against the configuration in force and the engines that are known. */
+/** Creates plans against the configuration in force and the reports of the engines. */
 export class Planner {
   constructor(
     private readonly _configuration: intent.ConfigurationFold,
@@ -18,6 +18,7 @@
     private readonly _instance: string,
   ) {}
 
+  /** Creates the plan of an intent. */
   createPlan(stated: intent.Intent): intent.Plan {
     const draft: intent.Plan = {
       planId: `plan.${this._instance}.${utils.newId()}`,
@@ -48,7 +49,7 @@
   private _addRemoval(draft: intent.Plan, key: string): void {
     const baseOffset = this._configuration.getBaseOffset(key);
     if (!this._configuration.getHeldObjects().has(key))
-      draft.warnings.push(`${key} is not there to be removed.`);
+      draft.warnings.push(`${key} does not exist and can't be removed.`);
     draft.changes.push({ key, baseOffset, value: null });
     const [kind, name = ""] = key.split("/");
     const pipeline = kind === "pipeline" ? this._configuration.getObject("pipeline", name) : undefined;
@@ -62,11 +63,11 @@
     const isStated = draft.changes.some((change) => change.key === `class/${account.priorityClass}`);
     if (isStated || this._configuration.getObject("class", account.priorityClass) !== undefined) return;
     draft.warnings.push(
-      `The class ${account.priorityClass} of the account ${account.name} is not known (yet).`,
+      `The class ${account.priorityClass} of the account ${account.name} does not exist (yet).`,
     );
   }
 
-  /** Engines that pipelines which this intent does not touch hold or are to hold. */
+  /** Returns the engines that have loaded, or are to load, layers of pipelines that the intent leaves unchanged. */
   private _getTakenEngines(stated: intent.Intent): Set<string> {
     const stating = new Set([...stated.objects.map(intent.getObjectKey), ...stated.removals]);
     const taken = new Set<string>();
@@ -78,7 +79,7 @@
     return taken;
   }
 
-  /** Decides which engines hold which layers, taking no more of them than the asked capacity needs. */
+  /** Assigns layers to engines, using no more engines than the requested capacity needs. */
   private _place(
     draft: intent.Plan,
     pipeline: intent.PipelineObject,
@@ -134,10 +135,12 @@
     const reports = this._getReports().filter(
       (report) => report.model === pipeline.name && report.layers !== undefined,
     );
-    const held = new Map(reports.map((report) => [report.name, report.layers as placement.LayerRange]));
-    const heldEngines = reports.map((report) => this._toPlacementEngine(report));
+    const loadedLayers = new Map(
+      reports.map((report) => [report.name, report.layers as placement.LayerRange]),
+    );
+    const loadedEngines = reports.map((report) => this._toPlacementEngine(report));
     const after = placement.getThroughput(engines, ranges, layerCount);
-    const before = placement.getThroughput(heldEngines, held, layerCount);
+    const before = placement.getThroughput(loadedEngines, loadedLayers, layerCount);
     if (after < before) {
       draft.warnings.push(
         `The capacity of ${pipeline.name} falls from ${before.toFixed(0)} to ${after.toFixed(0)} tokens/s.`,
@@ -150,16 +153,17 @@
       afterTokensPerSecond: after,
       boundTokensPerSecond: placement.getHardwareBound(engines, layerCount),
     });
-    if (after <= 0) draft.warnings.push(`No free engines hold all ${layerCount} layers of ${pipeline.name}.`);
+    if (after <= 0)
+      draft.warnings.push(`The free engines can't hold all ${layerCount} layers of ${pipeline.name}.`);
     else if (after < pipeline.tokensPerSecond) {
-      const asked = pipeline.tokensPerSecond.toFixed(0);
+      const requested = pipeline.tokensPerSecond.toFixed(0);
       draft.warnings.push(
-        `${pipeline.name} gets ${after.toFixed(0)} tokens/s of the ${asked} that are asked for.`,
+        `${pipeline.name} gets ${after.toFixed(0)} tokens/s of the ${requested} that are requested.`,
       );
     }
   }
 
-  /** Warns of availability zones whose own engines do not make a whole chain. */
+  /** Warns about availability zones whose own engines don't make up a complete chain. */
   private _warnAboutZones(
     draft: intent.Plan,
     pipeline: intent.PipelineObject,
@@ -211,13 +215,16 @@
   }
 }
 
-/** Slots ÷ step time of one layer; an engine that holds nothing reports the step time of one layer. */
+/** Returns slots ÷ step time of one layer. An engine that has loaded no layers reports the step time of one layer. */
 export function getLayersPerSecond(report: EngineReport): number {
-  const held = report.layers === undefined ? 1 : report.layers[1] - report.layers[0];
-  return (report.slots * held * utils.msPerSecond) / report.stepMs;
+  const loadedCount = report.layers === undefined ? 1 : report.layers[1] - report.layers[0];
+  return (report.slots * loadedCount * utils.msPerSecond) / report.stepMs;
 }
 
-/** All free engines for an open-ended wish; else the fastest until the asked capacity is reached with some to spare. */
+/**
+ * Chooses engines for a pipeline: all free ones if it requests no certain capacity; otherwise first those that serve the
+ * model already, then the others, each from the fastest on, until the capacity is exceeded by 15 % and all layers fit.
+ */
 function chooseEngines(free: readonly EngineReport[], pipeline: intent.PipelineObject): EngineReport[] {
   if (pipeline.tokensPerSecond <= 0) return [...free];
   const spare = 1.15;
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -1,4 +1,4 @@
-/** What all instances say of themselves, gathered by the one that is asked. */
+/** Status of all instances, gathered by the instance that receives the operator's request. */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationFold } from "@shedtiller/intent";
 import type { Member, Membership } from "@shedtiller/membership";
@@ -6,17 +6,17 @@
 
 const statusTopic = "status";
 const initialTimeoutMs = 1_000;
-/** One that is busy answers late, and is not gone. */
+/** The timeout grows up to this, since a busy instance answers late without being gone. */
 const maxTimeoutMs = 8_000;
 
 export const instanceStatusSchema = zod.object({
   name: zod.string(),
   availabilityZone: zod.string(),
-  /** Offset of the configuration in force there. */
+  /** Offset of the configuration in force at the instance. */
   offset: zod.number().int(),
   /** Wall time since when that offset is in force. */
   offsetSinceMs: zod.number(),
-  /** How long ago the log last answered; absent if it never did. */
+  /** Time since the log service last answered; absent if it never did. */
   logAgeMs: zod.number().optional(),
   isReady: zod.boolean(),
   isDraining: zod.boolean(),
@@ -28,15 +28,15 @@
 
 export type InstanceStatus = zod.infer<typeof instanceStatusSchema>;
 
-/** The status of the fleet as one instance sees it. */
+/** Status of all instances as one instance sees it. */
 export interface FleetStatus {
   readonly askedInstance: string;
   readonly instances: readonly InstanceStatus[];
-  /** Listed instances that gave no answer, with the wall time since when they are not reached. */
+  /** Listed instances that did not answer, with the wall time since when they have not been reached. */
   readonly unreached: readonly { name: string; availabilityZone: string; sinceMs: number | undefined }[];
 }
 
-/** Where an instance's own status comes from. */
+/** Sources of an instance's own status. */
 export interface StatusSources {
   readonly membership: Membership;
   readonly fold: ConfigurationFold;
@@ -46,7 +46,7 @@
   readonly getActiveRequests: () => number;
 }
 
-/** Answers for this instance and asks the others. */
+/** Serves this instance's status to its peers, and gathers theirs. */
 export class StatusGatherer {
   private _offsetSinceMs = utils.wallMs();
   private readonly _timeouts = new utils.Patience(initialTimeoutMs, maxTimeoutMs);
@@ -58,6 +58,7 @@
     });
   }
 
+  /** Returns this instance's status. */
   getOwn(): InstanceStatus {
     const { membership, fold } = this._sources;
     return {
@@ -73,6 +74,7 @@
     };
   }
 
+  /** Requests the status of all instances. */
   async gather(): Promise<FleetStatus> {
     const { membership } = this._sources;
     const members = membership.getMembers();
@@ -87,9 +89,9 @@
 
   private async _requestStatus(member: Member): Promise<InstanceStatus | undefined> {
     const { name } = member;
-    const askedAtMs = utils.monotonicMs();
+    const requestedAtMs = utils.monotonicMs();
     const reply = await this._sources.membership.request(name, statusTopic, null, this._timeouts.getMs(name));
-    if (reply.ok) this._timeouts.noteAnswer(name, utils.monotonicMs() - askedAtMs);
+    if (reply.ok) this._timeouts.noteAnswer(name, utils.monotonicMs() - requestedAtMs);
     else if (reply.val.code === "deadline_passed") this._timeouts.noteTimeout(name);
     const status = reply.ok ? instanceStatusSchema.safeParse(reply.val) : undefined;
     return status?.success === true ? status.data : undefined;
--- a/packages/entry/src/operators/TimelineGatherer.ts
+++ b/packages/entry/src/operators/TimelineGatherer.ts
@@ -1,4 +1,4 @@
-/** The time line over all instances, gathered by the one that is asked. */
+/** Time line of all instances, gathered by the instance that receives the operator's request. */
 import type { Membership } from "@shedtiller/membership";
 import { mergeEvents, timelineEventSchema, type Timeline, type TimelineEvent } from "@shedtiller/timeline";
 import * as zod from "zod";
@@ -10,16 +10,16 @@
 const filterSchema = zod.object({ requestId: zod.string().optional(), sinceMs: zod.number().optional() });
 const eventsSchema = zod.array(timelineEventSchema);
 
-/** Which events are wanted. */
+/** Selects events by request and by time. */
 export type TimelineFilter = zod.infer<typeof filterSchema>;
 
-/** Merged events, and the instances whose events are missing. */
+/** Merged events of all instances that answered, and the names of those that did not. */
 export interface FleetTimeline {
   readonly events: readonly TimelineEvent[];
   readonly gaps: readonly string[];
 }
 
-/** Answers with this instance's events and asks the others for theirs. */
+/** Serves this instance's events to its peers, and gathers theirs. */
 export class TimelineGatherer {
   constructor(
     private readonly _timeline: Timeline,
@@ -31,6 +31,7 @@
     });
   }
 
+  /** Requests the events of all instances and merges them. */
   async gather(filter: TimelineFilter): Promise<FleetTimeline> {
     const members = this._membership.getMembers();
     const lists = await Promise.all(members.map((member) => this._requestEvents(member.name, filter)));
--- a/packages/entry/src/orders/OrderKeeper.ts
+++ b/packages/entry/src/orders/OrderKeeper.ts
@@ -1,4 +1,4 @@
-/** Brings engines to the placement in force: one instance a zone, under a lease, a few engines at a time. */
+/** Reconciliation of the engines with the placement in force, by one instance per zone, which holds the zone's lease. */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationFold, PipelineObject } from "@shedtiller/intent";
 import { sendOrder, type LeaseHolder, type Order } from "@shedtiller/lease";
@@ -9,23 +9,26 @@
 import { getZoneSource } from "../feeds/zoneFeedMessages.js";
 import type { VersionRetirement } from "./VersionRetirement.js";
 import type { PartLog } from "../logs/createLogs.js";
-import { getWholeVersions } from "./servedVersions.js";
+import { getCompleteVersions } from "./servedVersions.js";
 
 const tickMs = 250;
-/** Life of an order, after which engines that check it drop it. Shorter than the unusable part of a lease. */
+/**
+ * Time after which engines that check orders drop an order. It is shorter than the final part of a lease, in which its
+ * holder may no longer act.
+ */
 export const orderLifeMs = 2_000;
 const drainTimeoutMs = 30_000;
-/** An engine that has not reported for this long after an order counts as loading no more. */
+/** An engine counts as loading until it reports, but for no longer than this after its order. */
 const maxLoadMs = 30_000;
 
-/** What an engine is to hold, by the configuration in force. */
+/** Layers of a version that an engine is to load, by the configuration in force. */
 export interface WantedHolding {
   readonly model: string;
   readonly version: string;
   readonly layers: [number, number];
 }
 
-/** What the keeper works on. */
+/** Dependencies of {@link OrderKeeper}. */
 export interface OrderKeeperStructure {
   readonly fold: ConfigurationFold;
   readonly directory: EndpointDirectory;
@@ -37,20 +40,20 @@
   readonly log: PartLog;
 }
 
-/** Sends orders while it holds its zone's lease. */
+/** Reconciler that orders engines of its zone, one at a time, to load the layers of the placement in force. */
 export class OrderKeeper {
   private readonly _drainingSinceMs = new Map<string, number>();
-  /** Engines that don't check orders get none before an older lease's orders have died out. */
+  /** Monotonic time until which orders of an older lease may arrive. Engines that don't check orders get none before. */
   private _olderOrdersExpireAtMs = 0;
   private _lastToken: number | undefined;
-  /** When each engine was last ordered. */
+  /** Monotonic time of the last order to each engine. */
   private readonly _orderedAtMs = new Map<string, number>();
-  /** Why each engine that is to hold something else has got no order yet, as it was last logged. */
+  /** Reason, as last logged, why an engine that is to load other layers has got no order yet. */
   private readonly _blockers = new Map<string, string>();
 
   constructor(private readonly _structure: OrderKeeperStructure) {}
 
-  /** Runs until `signal` aborts, then gives the lease back. */
+  /** Reconciles until `signal` aborts, then releases the lease. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
       tickMs,
@@ -66,36 +69,37 @@
     const due = this._findEnginesToOrder();
     this._removeSettled();
     if (due.length === 0) return;
-    if (!membership.ownsDuty("orders")) return this._logBlockers(due, "another instance gives the orders");
-    if (!(await holder.keep())) return this._logBlockers(due, "the lease is not ours");
+    if (!membership.ownsDuty("orders")) return this._logBlockers(due, "another instance sends the orders");
+    if (!(await holder.keep())) return this._logBlockers(due, "this instance does not hold the lease");
     this._recordToken(holder.getToken());
-    // Where no engine can be spared, there is no way to the wanted placement but through a gap; but engines that load may soon make one.
+    // If no engine can be spared, the placement can be reached only through a gap without a complete chain. While engines
+    // are loading, waiting may avoid the gap.
     const isGapNeeded = !this._isLoading() && due.every((entry) => !hasChainWithout(fold, directory, entry));
     for (const entry of due) {
-      const wanted = getWanted(fold, entry.name);
-      if (wanted === undefined) continue;
-      const hold =
+      const desired = getWanted(fold, entry.name);
+      if (desired === undefined) continue;
+      const blocker =
         this._getBlocker(entry, isGapNeeded) ?? (await this._requestRetirement(entry, isGapNeeded));
-      this._logBlockers([entry], hold);
-      if (hold !== undefined) continue;
-      await this._sendOrder(entry, wanted);
+      this._logBlockers([entry], blocker);
+      if (blocker !== undefined) continue;
+      await this._sendOrder(entry, desired);
       return;
     }
   }
 
-  /** Forgets what was noted of engines that hold what they are to hold: the next order to them is another matter. */
+  /** Removes the draining times and blockers of engines that have loaded their layers or are gone. */
   private _removeSettled(): void {
     const { directory, fold } = this._structure;
-    for (const noted of [this._drainingSinceMs, this._blockers]) {
-      for (const name of noted.keys()) {
+    for (const records of [this._drainingSinceMs, this._blockers]) {
+      for (const name of records.keys()) {
         const entry = directory.getEntry(name);
         const isSettled = entry?.report !== undefined && hasDesiredLayers(entry, getWanted(fold, name));
-        if (entry === undefined || isSettled) noted.delete(name);
+        if (entry === undefined || isSettled) records.delete(name);
       }
     }
   }
 
-  /** Whether engines of our zone load what they were ordered to hold. */
+  /** Returns whether engines of this zone are loading layers that they were ordered to load. */
   private _isLoading(): boolean {
     const { directory, membership } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -108,41 +112,46 @@
   }
 
   /**
-   * Why the chain that an engine is part of must not be broken up yet, by what was told: it is the only whole one, or the last one of a
-   * version that some instance still uses.
+   * Returns why the chain that an engine is part of must not be broken up yet, by the reports received: it is the only
+   * complete chain, or the last one of a version that some instance still uses.
    */
   private _getChainBlocker(entry: EndpointEntry): string | undefined {
     const { directory, versions } = this._structure;
-    const held = this._getLastChain(entry);
-    if (held === undefined) return undefined;
-    const { pipeline, version } = held;
-    if (getWholeVersions(directory, pipeline, entry).length === 0) return "no chain is whole without it";
+    const lastChain = this._getLastChain(entry);
+    if (lastChain === undefined) return undefined;
+    const { pipeline, version } = lastChain;
+    if (getCompleteVersions(directory, pipeline, entry).length === 0)
+      return "no chain is complete without it";
     const users = versions.getUsers(pipeline, version, this._getSources());
     return users.length === 0 ? undefined : `version ${version} may be in use at ${users.join(", ")}`;
   }
 
-  /** The version of which an engine is part of the last whole chain; undefined where there is another. */
+  /** Returns the version whose last complete chain an engine is part of; undefined if another chain is complete without it. */
   private _getLastChain(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
     const { fold, directory } = this._structure;
     const { report } = entry;
     const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
     if (report?.layers === undefined || pipeline === undefined) return undefined;
-    if (getWholeVersions(directory, pipeline, entry).includes(report.version)) return undefined;
+    if (getCompleteVersions(directory, pipeline, entry).includes(report.version)) return undefined;
     return { pipeline, version: report.version };
   }
 
-  /** Asks all instances to begin nothing on a version whose last chain is about to be broken up. */
+  /** Requests all instances to start nothing on a version whose last chain is about to be broken up; returns what blocks this. */
   private async _requestRetirement(entry: EndpointEntry, isGapNeeded: boolean): Promise<string | undefined> {
-    const held = this._getLastChain(entry);
-    if (held === undefined) return undefined;
-    const hold = await this._structure.retirement.getBlocker(held.pipeline, held.version, isGapNeeded);
-    if (hold === undefined || !isGapNeeded) return hold;
-    // Through a gap nobody can be served meanwhile whoever is waited for, so that the streams have a drain's time, and no more.
+    const lastChain = this._getLastChain(entry);
+    if (lastChain === undefined) return undefined;
+    const blocker = await this._structure.retirement.getBlocker(
+      lastChain.pipeline,
+      lastChain.version,
+      isGapNeeded,
+    );
+    if (blocker === undefined || !isGapNeeded) return blocker;
+    // During a gap no new requests can be served, so the streams in flight get the drain timeout and no more.
     this._recordDraining(entry);
-    return this._hasDrained(entry) ? undefined : hold;
+    return this._hasDrained(entry) ? undefined : blocker;
   }
 
-  /** Who tells what it uses: the linked instances of the zone, and the other zones. */
+  /** Returns the sources of reports on versions in use: the linked instances of this zone, and the other linked zones. */
   private _getSources(): Set<string> {
     const { membership } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -157,7 +166,7 @@
     this._lastToken = token;
   }
 
-  /** Engines of our zone that do not hold what they are to hold. */
+  /** Returns the engines of this zone that are live and have not loaded the layers of the placement. */
   private _findEnginesToOrder(): EndpointEntry[] {
     const { directory, membership, fold } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -168,19 +177,19 @@
   }
 
   /**
-   * Why an engine must not be changed yet, or undefined. It may be once no stream runs there, or after a while; and only if the model that
-   * it serves now keeps a whole chain without it, or it holds nothing that is in use.
+   * Returns why an engine must not get its order yet, or undefined. It gets it once it has no streams or its drain has
+   * timed out, and only if the model that it serves now keeps a complete chain without it or its version is not in use.
    */
   private _getBlocker(entry: EndpointEntry, isGapNeeded: boolean): string | undefined {
     const { report } = entry;
     if (report === undefined) return "it has not reported";
     const isChecked = report.checksOrders || utils.monotonicMs() >= this._olderOrdersExpireAtMs;
-    if (!isChecked) return "orders of an older lease may still be on their way";
+    if (!isChecked) return "orders of an older lease may still be in flight";
     const chainHold = isGapNeeded ? undefined : this._getChainBlocker(entry);
     if (chainHold !== undefined) return chainHold;
     if (report.layers === undefined || report.activeStreams === 0) return undefined;
     this._recordDraining(entry);
-    return this._hasDrained(entry) ? undefined : "streams run there";
+    return this._hasDrained(entry) ? undefined : "it has streams in flight";
   }
 
   private _recordDraining({ name }: EndpointEntry): void {
@@ -192,25 +201,25 @@
     return sinceMs !== undefined && utils.monotonicMs() - sinceMs > drainTimeoutMs;
   }
 
-  /** Logs why engines get no order where that has changed. */
-  private _logBlockers(entries: readonly EndpointEntry[], hold: string | undefined): void {
+  /** Logs why engines get no order yet, if the reason has changed. */
+  private _logBlockers(entries: readonly EndpointEntry[], blocker: string | undefined): void {
     for (const { name } of entries) {
-      if (this._blockers.get(name) === hold) continue;
-      if (hold === undefined) this._blockers.delete(name);
-      else this._blockers.set(name, hold);
-      if (hold !== undefined) this._structure.log.info(`${name} is not ordered yet: ${hold}.`);
+      if (this._blockers.get(name) === blocker) continue;
+      if (blocker === undefined) this._blockers.delete(name);
+      else this._blockers.set(name, blocker);
+      if (blocker !== undefined) this._structure.log.info(`${name} is not ordered yet: ${blocker}.`);
     }
   }
 
-  private async _sendOrder(entry: EndpointEntry, wanted: WantedHolding): Promise<void> {
+  private async _sendOrder(entry: EndpointEntry, desired: WantedHolding): Promise<void> {
     const { holder, timeline, log } = this._structure;
-    // Asked again just before the order goes out: this process may have stood still since the last time.
+    // The lease is checked again just before the order is sent, since this process may have been suspended meanwhile.
     const fencingToken = holder.getToken();
     if (fencingToken === undefined) return;
-    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderLifeMs, ...wanted };
+    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderLifeMs, ...desired };
     timeline.add("order-sent", {
       subject: entry.name,
-      detail: `${wanted.model}@${wanted.version} [${wanted.layers.join(",")})`,
+      detail: `${desired.model}@${desired.version} [${desired.layers.join(",")})`,
     });
     this._orderedAtMs.set(entry.name, utils.monotonicMs());
     const sent = await sendOrder(entry.name, entry.address, order);
@@ -218,14 +227,14 @@
     if (sent.err) log.warn(sent.val.message);
     else
       log.info(
-        `Ordered ${entry.name} to hold ${wanted.model}@${wanted.version} [${wanted.layers.join(",")}).`,
+        `Ordered ${entry.name} to load ${desired.model}@${desired.version} [${desired.layers.join(",")}).`,
       );
-    // What became of it shows in the engine's next report; only then is it ordered again or counted as done.
+    // The engine's next report shows the outcome; until then the engine is neither ordered again nor counted as done.
     entry.report = undefined;
   }
 }
 
-/** What the configuration wants an engine to hold; undefined where it says nothing of it. */
+/** Returns the layers that the configuration assigns to an engine; undefined if it assigns none. */
 export function getWanted(fold: ConfigurationFold, endpoint: string): WantedHolding | undefined {
   for (const pipeline of fold.getObjects("pipeline")) {
     const layers = pipeline.placement?.[endpoint];
@@ -238,14 +247,14 @@
   return { model: pipeline.name, version: pipeline.version, layers };
 }
 
-function hasDesiredLayers(entry: EndpointEntry, wanted: WantedHolding | undefined): boolean {
+function hasDesiredLayers(entry: EndpointEntry, desired: WantedHolding | undefined): boolean {
   const report = entry.report;
-  if (wanted === undefined || report === undefined) return true;
-  const isSameModel = report.model === wanted.model && report.version === wanted.version;
-  return isSameModel && report.layers?.[0] === wanted.layers[0] && report.layers[1] === wanted.layers[1];
+  if (desired === undefined || report === undefined) return true;
+  const isSameModel = report.model === desired.model && report.version === desired.version;
+  return isSameModel && report.layers?.[0] === desired.layers[0] && report.layers[1] === desired.layers[1];
 }
 
-/** Whether the model that an engine serves now keeps a whole chain, of some version, without that engine. */
+/** Returns whether the model that an engine serves now keeps a complete chain of some version without that engine. */
 function hasChainWithout(
   fold: ConfigurationFold,
   directory: EndpointDirectory,
@@ -254,10 +263,10 @@
   const { report } = entry;
   const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
   if (report?.layers === undefined || pipeline === undefined) return true;
-  return getWholeVersions(directory, pipeline, entry).length > 0;
+  return getCompleteVersions(directory, pipeline, entry).length > 0;
 }
 
-/** Marks the engines that are to hold something else. */
+/** Marks the engines that are to load other layers, so that new requests avoid them. */
 export function updateRetiring(fold: ConfigurationFold, directory: EndpointDirectory): void {
   for (const entry of directory.getEntries())
     entry.isRetiring = !hasDesiredLayers(entry, getWanted(fold, entry.name));
--- a/packages/entry/src/orders/VersionRetirement.ts
+++ b/packages/entry/src/orders/VersionRetirement.ts
@@ -1,7 +1,8 @@
 /**
- * Asks every other instance to begin nothing more on a version, just before its last chain is broken up. What an instance told before holds
- * only until it tells again: one that loses sight of the new version begins requests on the old chain at once, and nothing could go on with
- * those. Its answer to this question binds it for longer than the order takes.
+ * Agreement of all instances to start no more requests on a version, made just before its last chain is broken up. The
+ * periodic reports on versions in use are not enough for that: an instance that no longer sees the new version starts
+ * requests on the old chain at once, and no engine could continue those. Its reply to this request binds it for longer
+ * than the order takes.
  */
 import { utils } from "@shedtiller/common";
 import type { PipelineObject } from "@shedtiller/intent";
@@ -10,11 +11,11 @@
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
 
 const retireTopic = "retire-version";
-/** An order goes out this late after the first answer at the most; `VersionsInUse` keeps its word for longer. */
+/** An order is sent at most this long after the first reply; `VersionsInUse` keeps the version closed for longer. */
 const answerTimeoutMs = 1_000;
 /**
- * A listed instance that answers nothing for this long does not stop a rollout: it has died or is cut off. One that answers that it uses
- * the version is waited for as long as it says so, since its callers would be cut.
+ * A listed instance that has not replied for this long no longer blocks a rollout: it has died or is partitioned. One that
+ * replies that it uses the version blocks it for as long as it does so, since its callers' streams would be cut.
  */
 const maxUnansweredMs = 30_000;
 
@@ -27,7 +28,7 @@
 
 type RetirementRequest = zod.infer<typeof retirementRequestSchema>;
 
-/** What the questions are asked with. */
+/** Dependencies of {@link VersionRetirement}. */
 export interface VersionRetirementStructure {
   readonly membership: Pick<Membership, "getMembers" | "onRequest" | "request">;
   readonly versions: Pick<VersionsInUse, "tryClose">;
@@ -36,9 +37,9 @@
   readonly nowMs?: () => number;
 }
 
-/** Asks, and answers when asked. */
+/** Requests other instances to retire a version, and replies to such requests. */
 export class VersionRetirement {
-  /** Since when each instance has left questions unanswered. */
+  /** Monotonic time since when each instance has not replied. */
   private readonly _unansweredSinceMs = new Map<string, number>();
   private readonly _nowMs: () => number;
 
@@ -48,8 +49,9 @@
   }
 
   /**
-   * Why the last chain of a version must stay for now; undefined once every instance has said that it begins nothing there.
-   * @param isGap - Whether no chain of any version is left without it.
+   * Returns why the last chain of a version must not be broken up yet; undefined once every instance has agreed to start
+   * nothing on it.
+   * @param isGap - Whether no version has a complete chain without it.
    */
   async getBlocker(pipeline: PipelineObject, version: string, isGap: boolean): Promise<string | undefined> {
     if (!this._structure.versions.tryClose(pipeline, version, isGap))
@@ -57,14 +59,14 @@
     const members = this._structure.membership.getMembers().map((member) => member.name);
     for (const name of this._unansweredSinceMs.keys())
       if (!members.includes(name)) this._unansweredSinceMs.delete(name);
-    const question = { model: pipeline.name, version, isGap };
-    const holds = await Promise.all(members.map((name) => this._getPeerBlocker(name, question)));
-    const held = holds.filter((hold) => hold !== undefined);
-    return held.length === 0 ? undefined : `version ${version}: ${held.join(", ")}`;
+    const request = { model: pipeline.name, version, isGap };
+    const peerBlockers = await Promise.all(members.map((name) => this._getPeerBlocker(name, request)));
+    const blockers = peerBlockers.filter((blocker) => blocker !== undefined);
+    return blockers.length === 0 ? undefined : `version ${version}: ${blockers.join(", ")}`;
   }
 
-  private async _getPeerBlocker(name: string, question: RetirementRequest): Promise<string | undefined> {
-    const reply = await this._structure.membership.request(name, retireTopic, question, answerTimeoutMs);
+  private async _getPeerBlocker(name: string, request: RetirementRequest): Promise<string | undefined> {
+    const reply = await this._structure.membership.request(name, retireTopic, request, answerTimeoutMs);
     const answer = reply.ok ? retirementReplySchema.safeParse(reply.val) : undefined;
     if (answer?.success === true) {
       this._unansweredSinceMs.delete(name);
@@ -76,9 +78,9 @@
   }
 
   private _answer(body: unknown): unknown {
-    const question = retirementRequestSchema.safeParse(body);
-    if (!question.success) return undefined;
-    const { model, version, isGap } = question.data;
+    const request = retirementRequestSchema.safeParse(body);
+    if (!request.success) return undefined;
+    const { model, version, isGap } = request.data;
     const pipeline = this._structure.getPipeline(model);
     return { isFree: pipeline === undefined || this._structure.versions.tryClose(pipeline, version, isGap) };
   }
--- a/packages/entry/src/orders/servedVersions.ts
+++ b/packages/entry/src/orders/servedVersions.ts
@@ -1,9 +1,9 @@
-/** Which versions of a pipeline whole chains hold, and which one new requests get. */
+/** Which versions of a pipeline have a complete chain, and which one new requests get. */
 import type { PipelineObject } from "@shedtiller/intent";
 import { getBoundariesThatReach, type EndpointDirectory, type EndpointEntry } from "@shedtiller/routing";
 
-/** The versions of a pipeline that a whole chain holds, without one engine where that is named. */
-export function getWholeVersions(
+/** Returns the versions of a pipeline that have a complete chain, without the engine `excluded` if it is given. */
+export function getCompleteVersions(
   directory: EndpointDirectory,
   pipeline: PipelineObject,
   excluded?: EndpointEntry,
@@ -17,8 +17,8 @@
 }
 
 /**
- * The version to serve: the one in force once a whole chain holds it, until then one that a whole chain holds.
- * @param isOpen - Whether requests may begin on a version.
+ * Returns the version to serve: the one in force once it has a complete chain, until then another one that has.
+ * @param isOpen - Whether requests may start on a version.
  */
 export function getServedVersion(
   directory: EndpointDirectory,
@@ -26,6 +26,6 @@
   isOpen: (version: string) => boolean = () => true,
 ): string {
   const versions = [pipeline.version, ...directory.getVersions(pipeline.name)];
-  const whole = getWholeVersions(directory, pipeline).filter(isOpen);
+  const whole = getCompleteVersions(directory, pipeline).filter(isOpen);
   return versions.find((version) => whole.includes(version)) ?? pipeline.version;
 }
--- a/packages/entry/src/parts.ts
+++ b/packages/entry/src/parts.ts
@@ -1,6 +1,4 @@
-/** Service identifiers of parts that are no classes, for composition. */
-
-/** Service identifiers of parts that are no classes. */
+/** Identifiers of services that are bound in the container under a symbol instead of a class. */
 export const parts = {
   settings: Symbol.for("shedtiller.settings"),
   secrets: Symbol.for("shedtiller.secrets"),
--- a/packages/entry/src/secrets.ts
+++ b/packages/entry/src/secrets.ts
@@ -1,4 +1,4 @@
-/** Secrets of an instance: from files or the environment, never from the command line, never logged. */
+/** Secrets of an instance. They are read from files or the environment, never from the command line, and never logged. */
 import * as fs from "node:fs";
 import { errors, results } from "@shedtiller/common";
 import type { AccountKey } from "@shedtiller/intent";
@@ -8,9 +8,9 @@
 const operatorHashVariable = "SHEDTILLER_OPERATOR_TOKEN_HASH";
 const minSecretLength = 16;
 
-/** What an instance keeps to itself. */
+/** Secrets that an instance needs to authenticate peers and operators. */
 export interface InstanceSecrets {
-  /** Known to all instances of a fleet. */
+  /** Secret that all instances of a fleet share. */
   readonly peerSecret: string;
   readonly operatorTokenHash: AccountKey;
 }
@@ -35,7 +35,7 @@
   return results.Ok({ peerSecret: peerSecret.val, operatorTokenHash: operatorTokenHash.val });
 }
 
-/** Parses a stored hash as `shedtiller key` prints it: key id, salt and hash, with colons between. */
+/** Parses a stored hash as `shedtiller key` prints it: key id, salt and hash, separated by colons. */
 export function parseTokenHash(text: string): results.Result<AccountKey, errors.InvalidInputError> {
   const [keyId, salt, hash, ...rest] = text.trim().split(":");
   if (keyId === undefined || salt === undefined || hash === undefined || rest.length > 0) {
@@ -44,7 +44,7 @@
   return results.Ok({ keyId, salt, hash });
 }
 
-/** The text form of a stored hash. */
+/** Formats a stored hash as {@link parseTokenHash} reads it. */
 export function formatTokenHash(stored: AccountKey): string {
   return `${stored.keyId}:${stored.salt}:${stored.hash}`;
 }
--- a/packages/entry/src/tests/createPipeline.ts
+++ b/packages/entry/src/tests/createPipeline.ts
@@ -1,7 +1,7 @@
-/** The pipeline that tests of versions use. */
+/** Pipeline for tests of versions. */
 import type { PipelineObject } from "@shedtiller/intent";
 
-/** A pipeline of eight layers whose version in force is "2". */
+/** Creates a pipeline of eight layers whose version in force is "2". */
 export function createPipeline(): PipelineObject {
   return {
     kind: "pipeline",
--- a/packages/entry/src/tests/feeds/VersionsInUseTests.ts
+++ b/packages/entry/src/tests/feeds/VersionsInUseTests.ts
@@ -1,4 +1,4 @@
-/** Which versions may be in use, by what instances told. */
+/** Versions in use, by the requests in flight at this instance and the reports of the others. */
 import { EndpointDirectory, type EngineReport } from "@shedtiller/routing";
 import test from "ava";
 import { VersionsInUse } from "../../feeds/VersionsInUse.js";
@@ -6,7 +6,7 @@
 
 const pipeline = createPipeline();
 
-/** A directory in which one engine holds the whole of each version. */
+/** Creates a directory with one engine per version, which has loaded all layers. */
 function createDirectory(versions: readonly string[]): EndpointDirectory {
   const directory = new EndpointDirectory();
   const engines = versions.map((version) => ({ name: `g${version}`, version }));
@@ -41,13 +41,13 @@
   };
 }
 
-const openEnd = { deadlineMs: Number.POSITIVE_INFINITY, signal: new AbortController().signal };
+const noDeadline = { deadlineMs: Number.POSITIVE_INFINITY, signal: new AbortController().signal };
 
 function createUses(versions: readonly string[]): VersionsInUse {
   return new VersionsInUse(createDirectory(versions), () => [pipeline]);
 }
 
-test("a version is in use until each other instance has told that it is not", (t) => {
+test("a version is in use until each other instance has reported that it is not", (t) => {
   const uses = createUses(["1", "2"]);
   t.true(uses.mayBeUsed(pipeline, "1", ["e2"]));
   uses.setOther("e2", [["assistant", ["1"]]]);
@@ -57,29 +57,29 @@
   t.true(uses.mayBeUsed(pipeline, "1", ["e2", "zone:b"]));
 });
 
-test("an instance that tells nothing of a pipeline any more may use any version of it", (t) => {
+test("an instance that no longer reports on a pipeline may use any version of it", (t) => {
   const uses = createUses(["1", "2"]);
   uses.setOther("e2", [["assistant", ["2"]]]);
   uses.setOther("e2", []);
   t.true(uses.mayBeUsed(pipeline, "1", ["e2"]));
 });
 
-test("a request under way keeps its version in use until it ends", (t) => {
+test("a request in flight keeps its version in use until it ends", (t) => {
   const uses = createUses(["1", "2"]);
-  const leave = uses.addRequest("assistant", "1");
-  const leaveToo = uses.addRequest("assistant", "1");
-  leave();
+  const release = uses.addRequest("assistant", "1");
+  const releaseOther = uses.addRequest("assistant", "1");
+  release();
   t.true(uses.mayBeUsed(pipeline, "1", []));
   t.deepEqual(uses.getOwn(), [["assistant", ["2", "1"]]]);
-  leaveToo();
+  releaseOther();
   t.false(uses.mayBeUsed(pipeline, "1", []));
 });
 
-test("nothing is told of a pipeline whose engines hold one version", (t) => {
+test("nothing is reported on a pipeline whose engines have loaded a single version", (t) => {
   t.deepEqual(createUses(["2"]).getOwn(), []);
 });
 
-test("a zone tells the union of its instances, and nothing while one of them has not told", (t) => {
+test("a zone reports the union of its instances, and nothing while one of them has not reported", (t) => {
   const uses = createUses(["1", "2"]);
   uses.setOther("e2", [["assistant", ["1"]]]);
   t.deepEqual(uses.getZone(["e2"]), [["assistant", ["2", "1"]]]);
@@ -88,13 +88,13 @@
   t.deepEqual(uses.getZone(["e2", "e3"]), []);
 });
 
-test("a version on which nothing may begin is served no more, also where the new one is out of sight again", async (t) => {
+test("a closed version is no longer served, even if the new one has no complete chain again", async (t) => {
   const directory = createDirectory(["1", "2"]);
   const uses = new VersionsInUse(directory, () => [pipeline]);
   t.true(uses.tryClose(pipeline, "1", false));
   directory.setReport({ ...createReport("g2", "2"), state: "loading" }, true);
   let isBegun = false;
-  const begun = uses.acquire(pipeline, openEnd).then((entry) => {
+  const begun = uses.acquire(pipeline, noDeadline).then((entry) => {
     isBegun = true;
     return entry;
   });
@@ -104,21 +104,21 @@
   t.is((await begun).version, "2");
 });
 
-test("a version that is served, or that a request has, is not closed", (t) => {
+test("a version that is served or has a request in flight can't be closed", (t) => {
   t.false(createUses(["1"]).tryClose(pipeline, "1", false));
   const uses = createUses(["1", "2"]);
-  const leave = uses.addRequest("assistant", "1");
+  const release = uses.addRequest("assistant", "1");
   t.false(uses.tryClose(pipeline, "1", false));
   t.false(uses.tryClose(pipeline, "1", true));
-  leave();
+  release();
   t.true(uses.tryClose(pipeline, "1", false));
 });
 
-test("through a gap a version is closed though it is the one that is served", (t) => {
+test("a version is closed for a gap even though it is the one that is served", (t) => {
   t.true(createUses(["1"]).tryClose(pipeline, "1", true));
 });
 
-test("a request whose caller has gone waits for no version", async (t) => {
+test("a request whose caller has disconnected does not wait for a version", async (t) => {
   const uses = createUses(["1"]);
   t.true(uses.tryClose(pipeline, "1", true));
   const gone = AbortSignal.abort();
--- a/packages/entry/src/tests/orders/VersionRetirementTests.ts
+++ b/packages/entry/src/tests/orders/VersionRetirementTests.ts
@@ -1,4 +1,4 @@
-/** When the last chain of a version may be broken up, by what the other instances answer. */
+/** The last chain of a version may be broken up only once all other instances agree or have been unresponsive for 30 s. */
 import { errors, results } from "@shedtiller/common";
 import type { Member, RequestHandler } from "@shedtiller/membership";
 import test from "ava";
@@ -7,16 +7,16 @@
 
 const pipeline = createPipeline();
 
-type Answer = { isFree: boolean } | "nothing" | "unreached";
+type Reply = { isFree: boolean } | "nothing" | "unreached";
 
-/** One instance that gives orders, and others that answer as `answers` says at the moment. */
+/** One instance that sends orders, and peers that reply as `answers` says at the time of the request. */
 class Fleet {
   nowMs = 0;
   isOwnFree = true;
   handler: RequestHandler | undefined;
   readonly retirement: VersionRetirement;
 
-  constructor(readonly answers: Map<string, Answer>) {
+  constructor(readonly answers: Map<string, Reply>) {
     this.retirement = new VersionRetirement({
       membership: {
         getMembers: () => [...answers.keys()].map((name) => ({ name }) as Member),
@@ -36,64 +36,64 @@
     });
   }
 
-  ask(): Promise<string | undefined> {
+  getBlocker(): Promise<string | undefined> {
     return this.retirement.getBlocker(pipeline, "1", false);
   }
 }
 
-test("a version is free once every other instance says so", async (t) => {
+test("a version is free once every other instance has replied that it is", async (t) => {
   const fleet = new Fleet(
-    new Map<string, Answer>([
+    new Map<string, Reply>([
       ["e2", { isFree: true }],
       ["e3", { isFree: false }],
     ]),
   );
-  t.is(await fleet.ask(), "version 1: e3 uses it");
+  t.is(await fleet.getBlocker(), "version 1: e3 uses it");
   fleet.answers.set("e3", { isFree: true });
-  t.is(await fleet.ask(), undefined);
+  t.is(await fleet.getBlocker(), undefined);
 });
 
-test("a version that is used here is not even asked about", async (t) => {
+test("a version that is used at this instance is in use without any request to others", async (t) => {
   const fleet = new Fleet(new Map());
   fleet.isOwnFree = false;
-  t.is(await fleet.ask(), "version 1 is in use here");
+  t.is(await fleet.getBlocker(), "version 1 is in use here");
 });
 
-test("an instance that answers nothing is waited for 30 s, one that uses the version for as long as it says so", async (t) => {
+test("an instance that does not reply blocks for 30 s, one that uses the version for as long as it uses it", async (t) => {
   const fleet = new Fleet(
-    new Map<string, Answer>([
+    new Map<string, Reply>([
       ["e2", "unreached"],
       ["e3", "nothing"],
     ]),
   );
-  t.is(await fleet.ask(), "version 1: e2 has not answered, e3 has not answered");
+  t.is(await fleet.getBlocker(), "version 1: e2 has not answered, e3 has not answered");
   fleet.nowMs = 29_999;
-  t.is(await fleet.ask(), "version 1: e2 has not answered, e3 has not answered");
+  t.is(await fleet.getBlocker(), "version 1: e2 has not answered, e3 has not answered");
   fleet.nowMs = 30_000;
-  t.is(await fleet.ask(), undefined);
+  t.is(await fleet.getBlocker(), undefined);
   fleet.answers.set("e3", { isFree: false });
   fleet.nowMs = 90_000;
-  t.is(await fleet.ask(), "version 1: e3 uses it");
+  t.is(await fleet.getBlocker(), "version 1: e3 uses it");
 });
 
-test("silence counts from the last answer", async (t) => {
-  const fleet = new Fleet(new Map<string, Answer>([["e2", "unreached"]]));
-  await fleet.ask();
+test("the time without a reply counts from the last reply", async (t) => {
+  const fleet = new Fleet(new Map<string, Reply>([["e2", "unreached"]]));
+  await fleet.getBlocker();
   fleet.nowMs = 20_000;
   fleet.answers.set("e2", { isFree: false });
-  await fleet.ask();
+  await fleet.getBlocker();
   fleet.answers.set("e2", "unreached");
   fleet.nowMs = 40_000;
-  t.is(await fleet.ask(), "version 1: e2 has not answered");
+  t.is(await fleet.getBlocker(), "version 1: e2 has not answered");
 });
 
-test("a question is answered by what is in use, and a broken one by nothing", async (t) => {
+test("a request is answered by what is in use, and an invalid one by nothing", async (t) => {
   const fleet = new Fleet(new Map());
   const from = { name: "e1", availabilityZone: "a" };
-  const ask = async (body: unknown): Promise<unknown> => fleet.handler?.(body, from);
-  t.deepEqual(await ask({ model: "assistant", version: "1", isGap: false }), { isFree: true });
+  const request = async (body: unknown): Promise<unknown> => fleet.handler?.(body, from);
+  t.deepEqual(await request({ model: "assistant", version: "1", isGap: false }), { isFree: true });
   fleet.isOwnFree = false;
-  t.deepEqual(await ask({ model: "assistant", version: "1", isGap: false }), { isFree: false });
-  t.deepEqual(await ask({ model: "unknown", version: "1", isGap: false }), { isFree: true });
-  t.is(await ask({ model: 7 }), undefined);
+  t.deepEqual(await request({ model: "assistant", version: "1", isGap: false }), { isFree: false });
+  t.deepEqual(await request({ model: "unknown", version: "1", isGap: false }), { isFree: true });
+  t.is(await request({ model: 7 }), undefined);
 });
--- a/packages/entry/src/text/Tokenizer.ts
+++ b/packages/entry/src/text/Tokenizer.ts
@@ -1,9 +1,10 @@
-/** Text to tokens and back. Engines know tokens only. */
+/** Conversion between text and tokens. */
 
-/** Turns text into tokens and tokens into text. */
+/** Converts text to tokens and back, since engines work on tokens only. */
 export abstract class Tokenizer {
+  /** Returns the tokens of a text. */
   abstract encode(text: string): number[];
-  /** Text of one token, with the space that goes before it. */
+  /** Returns the text of one token, including the space before it. */
   abstract decode(token: number): string;
 }
 
@@ -14,7 +15,7 @@
 const syllableMask = 31;
 const vowelBits = 2;
 
-/** Bytes in, one pronounceable word a token out. Each token of 15 bits has a word of its own. */
+/** Encodes each byte as a token, and decodes each token as a pronounceable word that is unique among tokens of 15 bits. */
 export class WordTokenizer extends Tokenizer {
   override encode(text: string): number[] {
     return [...Buffer.from(text, "utf8")];
