--- a/packages/pipeline/src/engine/EngineLink.ts
+++ b/packages/pipeline/src/engine/EngineLink.ts
@@ -1,4 +1,4 @@
-/** The one narrow interface to a model engine. */
+/** Interface to model engines. */
 import { errors, type results } from "@shedtiller/common";
 import type {
   ApplyFrame,
@@ -11,7 +11,7 @@
   StandingFrame,
 } from "./engineFrames.js";
 
-/** The engine itself said that it did not run a frame. */
+/** The engine replied that it did not run the call. */
 export class EngineRefusedError extends errors.ShedtillerError {
   readonly code = "engine_refused";
 
@@ -23,38 +23,38 @@
   }
 }
 
-/** Why there is no link. After a `DeadlineError` the engine may live, and another try waits longer. */
+/** Error of opening a link. After a `DeadlineError` the engine may be live, and the next attempt has a longer timeout. */
 export type LinkError = errors.NotReachedError | errors.DeadlineError;
 
-/** Why a call to an engine has no outcome. All but `ConnectionLostError` prove that it did not run. */
+/** Error of a call to an engine. All but `ConnectionLostError` prove that the call did not run. */
 export type EngineError = LinkError | errors.ConnectionLostError | EngineRefusedError;
 
-/** A link to one engine. Calls may overlap; replies may come in any order. */
+/** Connection to one engine. Calls may overlap, and replies may arrive in any order. */
 export abstract class EngineLink {
   /** Name of the endpoint. */
   abstract readonly endpoint: string;
 
-  /** Whether the link stands. */
+  /** Whether the connection is open. */
   abstract readonly isOpen: boolean;
 
-  /** Sends work and waits for its outcome, however long that takes; the caller watches the time. */
+  /** Sends work and waits for its outcome without a timeout, which is up to the caller. */
   abstract apply(frame: ApplyFrame): Promise<results.Result<AppliedFrame, EngineError>>;
 
-  /** Asks where a stage stands. */
+  /** Requests the status of a stage. */
   abstract probe(key: StageKey): Promise<results.Result<StandingFrame, EngineError>>;
 
   /** Fetches a stage's KV cache. */
   abstract exportCache(key: StageKey): Promise<results.Result<ExportedFrame, EngineError>>;
 
-  /** Puts a KV cache into place, as the beginning of a new attempt of a stage. */
+  /** Loads a KV cache into the engine, as the start of a new attempt of a stage. */
   abstract importCache(frame: ImportFrame): Promise<results.Result<ImportedFrame, EngineError>>;
 
-  /** Gives up a stage: stops its work and frees its cache. Replies that still come are dropped. */
+  /** Aborts a stage's work and frees its cache. Replies that arrive later are dropped. */
   abstract release(key: StageKey): void;
 }
 
-/** Gives links to engines, opening them when needed. */
+/** Provides links to engines, and opens them when needed. */
 export abstract class EngineConnector {
-  /** Gives an open link, or why none could be opened. */
+  /** Returns an open link, or the error of opening one. */
   abstract getLink(endpoint: string, address: string): Promise<results.Result<EngineLink, LinkError>>;
 }
--- a/packages/pipeline/src/engine/SilenceDetector.ts
+++ b/packages/pipeline/src/engine/SilenceDetector.ts
@@ -1,19 +1,19 @@
-/** How long to wait for an engine before asking it, and how long for that answer; learned from its own times. */
+/** Failure detection of an engine by its response times. */
 import { utils } from "@shedtiller/common";
 
-/** Settings of the detector; the bench varies them. */
+/** Settings of {@link SilenceDetector}; benchmarks vary them. */
 export interface SilenceOptions {
-  /** Which of the recent times counts as the slowest ordinary one, from 0 to 1. */
+  /** Quantile of the recent response times that counts as the slowest normal one, from 0 to 1. */
   readonly quantile: number;
-  /** How many times that one a call may be silent before the engine is asked. Asking too early costs one frame. */
+  /** Factor on the quantile after which an engine that has not replied is probed. Probing too early costs one frame. */
   readonly factor: number;
-  /** The deadline is never shorter than this. */
+  /** Minimum deadline of a call. */
   readonly floorMs: number;
-  /** How many times the slowest ordinary answer to a probe may take. Too short costs the rebuilding of a stage. */
+  /** Factor on the quantile of probe times after which the engine counts as lost. Too low a factor rebuilds stages in vain. */
   readonly probeFactor: number;
-  /** How long the answer to a probe may take at the least. */
+  /** Minimum deadline of a probe. */
   readonly probeFloorMs: number;
-  /** A probe goes out beside every so many calls, so that its times are known before they are needed; 0 for none. */
+  /** Number of calls for each probe that only measures the probe time, so that it is known when needed; 0 for no probes. */
   readonly callsPerProbe: number;
 }
 
@@ -30,9 +30,12 @@
 const initialRatio = 4;
 const initialProbeDeadlineMs = 100;
 
-/** Learns the times of one engine. */
+/**
+ * Failure detector of one engine. From the recent response times it derives how long a call may take before the engine is
+ * probed, and how long the probe may take before the engine counts as lost.
+ */
 export class SilenceDetector {
-  /** Times of calls, as multiples of what was expected. */
+  /** Response times of calls, as multiples of the expected times. */
   private readonly _steps: utils.SampleWindow;
   private readonly _probes: utils.SampleWindow;
   private _calls = 0;
@@ -42,12 +45,12 @@
     this._probes = new utils.SampleWindow({ share: _options.quantile });
   }
 
-  /** Takes the time of an ended call. */
+  /** Records the response time of a call. */
   recordStep(expectedMs: number, tookMs: number): void {
     this._steps.add(tookMs / expectedMs);
   }
 
-  /** Whether this call should have a probe beside it. */
+  /** Counts a call, and returns whether a probe should be sent with it to measure the probe time. */
   isProbeDue(): boolean {
     this._calls += 1;
     const { callsPerProbe } = this._options;
@@ -55,18 +58,18 @@
     return this._calls <= initialProbes || this._calls % callsPerProbe === 0;
   }
 
-  /** Takes the time of an answered probe. */
+  /** Records the response time of a probe. */
   recordProbe(tookMs: number): void {
     this._probes.add(tookMs);
   }
 
-  /** How long a call that should take `expectedMs` may be silent before the engine is asked. */
+  /** Returns how long a call that should take `expectedMs` may take before the engine is probed. */
   getStepDeadlineMs(expectedMs: number): number {
     const ratio = this._steps.quantile ?? initialRatio;
     return Math.max(this._options.floorMs, expectedMs * Math.max(1, ratio) * this._options.factor);
   }
 
-  /** How long the engine's answer to a probe may take before the engine counts as lost. */
+  /** Returns how long a probe may take before the engine counts as lost. */
   getProbeDeadlineMs(): number {
     const slowestMs = this._probes.quantile;
     const learnedMs =
--- a/packages/pipeline/src/engine/WsEngineConnector.ts
+++ b/packages/pipeline/src/engine/WsEngineConnector.ts
@@ -1,4 +1,4 @@
-/** Keeps one WebSocket link for each engine in use. */
+/** Pool of WebSocket links to engines. */
 import { errors, results, utils } from "@shedtiller/common";
 import * as ws from "ws";
 import { EngineConnector, type EngineLink, type LinkError } from "./EngineLink.js";
@@ -12,7 +12,7 @@
 
 type LinkResult = results.Result<EngineLink, LinkError>;
 
-/** Opens links when they are first needed, and again after they were lost. */
+/** Maintains one link per engine. Links are opened when first needed, and reopened when needed after a loss. */
 export class WsEngineConnector extends EngineConnector {
   private readonly _links = new Map<string, WsEngineLink>();
   private readonly _opening = new Map<string, Promise<LinkResult>>();
@@ -33,7 +33,7 @@
     return opening;
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   close(): void {
     this._isClosed = true;
     for (const link of this._links.values()) link.close();
@@ -55,7 +55,8 @@
       failure !== undefined && tookMs >= timeoutMs && !this._connectTimeouts.noteTimeout(address);
     if (failure !== undefined || this._isClosed) {
       socket.terminate();
-      // One handshake that is late may be this instance's own lack of time; the next one gets twice as long.
+      // A single late handshake is no evidence against the engine: this instance may be short of CPU time. The next
+      // handshake has twice the timeout.
       if (isSlow) return results.Err(new errors.DeadlineError(`A connection to ${endpoint}`, timeoutMs));
       return results.Err(new errors.NotReachedError(address, failure));
     }
@@ -75,7 +76,7 @@
   }
 }
 
-/** Resolves with undefined once the socket is open, else with what went wrong. */
+/** Resolves with undefined once the socket is open, or with the error of opening it. */
 function waitForOpen(socket: ws.WebSocket): Promise<Error | undefined> {
   return new Promise((resolve) => {
     socket.once("open", () => {
--- a/packages/pipeline/src/engine/WsEngineLink.ts
+++ b/packages/pipeline/src/engine/WsEngineLink.ts
@@ -1,23 +1,23 @@
-/** A link to an engine over one WebSocket. */
+/** Links to engines over WebSocket. */
 import { errors, results, utils } from "@shedtiller/common";
 import * as ws from "ws";
 import { EngineLink, EngineRefusedError, type EngineError } from "./EngineLink.js";
 import * as frames from "./engineFrames.js";
 import { decodeFrame, encodeFrame } from "./frameCodec.js";
 
-/** What a link tells its owner. */
+/** Event handlers of a link's owner. */
 export interface EngineLinkEvents {
-  /** The link is gone. */
+  /** Called when the connection has been closed or has failed. */
   onClosed(link: WsEngineLink, error: unknown): void;
-  /** The engine says that it is about to go. */
+  /** Called when the engine announces that it is draining. */
   onLeaving(endpoint: string): void;
-  /** A reply matched no call: late, crossed or doubled. */
+  /** Called for a reply that matches no pending call, since it is late, a duplicate or from another call. */
   onStrayReply(endpoint: string): void;
 }
 
 type PendingReply<T> = utils.Deferred<results.Result<T, EngineError>>;
 
-/** Matches replies to calls by request, attempt, stage and position; anything else is dropped and counted. */
+/** Matches replies to calls by request, attempt, stage and position; other replies are reported as stray and dropped. */
 export class WsEngineLink extends EngineLink {
   private readonly _applies = new Map<string, PendingReply<frames.AppliedFrame>>();
   private readonly _probes = new Map<string, PendingReply<frames.StandingFrame>>();
@@ -62,23 +62,23 @@
     this._socket.send(encodeFrame({ kind: "release", ...frames.pickStageKey(key) }));
   }
 
-  /** Ends the link. */
+  /** Closes the link at once. */
   close(): void {
     this._socket.terminate();
   }
 
   private _call<T>(
-    waiters: Map<string, PendingReply<T>>,
+    pendingReplies: Map<string, PendingReply<T>>,
     key: string,
     frame: frames.ToEngineFrame,
   ): Promise<results.Result<T, EngineError>> {
     if (!this.isOpen) return Promise.resolve(results.Err(new errors.NotReachedError(this.endpoint)));
-    const known = waiters.get(key);
+    const known = pendingReplies.get(key);
     if (known !== undefined) return known.promise;
-    const waiter = new utils.Deferred<results.Result<T, EngineError>>();
-    waiters.set(key, waiter);
+    const pendingReply = new utils.Deferred<results.Result<T, EngineError>>();
+    pendingReplies.set(key, pendingReply);
     this._socket.send(encodeFrame(frame));
-    return waiter.promise;
+    return pendingReply.promise;
   }
 
   private _handleMessage(data: ws.RawData): void {
@@ -101,7 +101,7 @@
     }
   }
 
-  /** A refusal answers whichever call of the stage is waiting. */
+  /** Settles the pending call of the stage, since a refusal does not name the kind of call that it answers. */
   private _settleRefused(frame: frames.RefusedFrame): void {
     const refusal = results.Err(new EngineRefusedError(this.endpoint, frame.reason));
     const stage = formatStageKey(frame);
@@ -112,23 +112,23 @@
   }
 
   private _settle<T>(
-    waiters: Map<string, PendingReply<T>>,
+    pendingReplies: Map<string, PendingReply<T>>,
     key: string,
     outcome: results.Result<T, EngineError>,
   ): void {
-    const waiter = waiters.get(key);
-    if (waiter === undefined) return this._events.onStrayReply(this.endpoint);
-    waiters.delete(key);
-    waiter.resolve(outcome);
+    const pendingReply = pendingReplies.get(key);
+    if (pendingReply === undefined) return this._events.onStrayReply(this.endpoint);
+    pendingReplies.delete(key);
+    pendingReply.resolve(outcome);
   }
 
   private _close(error: unknown): void {
     this._socket.removeAllListeners("close");
     this._socket.terminate();
     const lost = results.Err(new errors.ConnectionLostError(this.endpoint, error));
-    for (const waiters of [this._applies, this._probes, this._exports, this._imports]) {
-      for (const waiter of waiters.values()) waiter.resolve(lost);
-      waiters.clear();
+    for (const pendingReplies of [this._applies, this._probes, this._exports, this._imports]) {
+      for (const pendingReply of pendingReplies.values()) pendingReply.resolve(lost);
+      pendingReplies.clear();
     }
     this._events.onClosed(this, error);
   }
--- a/packages/pipeline/src/engine/engineFrames.ts
+++ b/packages/pipeline/src/engine/engineFrames.ts
@@ -1,14 +1,14 @@
-/** Frames between an entry instance and a model engine: MessagePack maps over one WebSocket. See docs/INTERFACES.md. */
+/** Frames between an entry instance and a model engine: MessagePack maps over one WebSocket, see docs/INTERFACES.md. */
 import { layerRangeSchema } from "@shedtiller/routing";
 import * as zod from "zod";
 
 const bytes = zod.custom<Uint8Array>((value) => value instanceof Uint8Array, "expected bytes");
 const wholeNumber = zod.number().int().nonnegative();
 
-/** What names one stage of one attempt of one request. */
+/** Fields that identify one stage of one attempt of one request. */
 const stageKeyShape = { requestId: zod.string(), attempt: wholeNumber, firstLayer: wholeNumber };
 
-/** Work on positions [position, position + count) of a stage. Stage 0 gets tokens, later ones activations. */
+/** Call to apply a stage to positions [position, position + count). Stage 0 gets tokens, later stages get activations. */
 export const applyFrameSchema = zod.object({
   kind: zod.literal("apply"),
   ...stageKeyShape,
@@ -17,9 +17,9 @@
   count: zod.number().int().positive(),
   tokens: zod.array(wholeNumber).optional(),
   activations: bytes.optional(),
-  /** 1 is the highest. */
+  /** Rank of the request's priority class; 1 is the highest. */
   priority: zod.number().int().positive(),
-  /** What is left until nobody wants the answer any more. */
+  /** Time left until the answer is no longer needed. */
   remainingMs: zod.number(),
 });
 
@@ -42,7 +42,7 @@
   importFrameSchema,
 ]);
 
-/** The outcome of an `apply`: activations, or from the last stage the next token. */
+/** Outcome of an `apply`: activations, or the next token from the last stage. */
 export const appliedFrameSchema = zod.object({
   kind: zod.literal("applied"),
   ...stageKeyShape,
@@ -50,24 +50,24 @@
   count: zod.number().int().positive(),
   activations: bytes.optional(),
   token: wholeNumber.optional(),
-  /** The model ended its answer with this token. */
+  /** Whether the model ended its answer with this token. */
   isEnd: zod.boolean().optional(),
 });
 
-/** Where a stage stands, and its last outcome in case the reply was lost. */
+/** Status of a stage, with its last outcome in case the reply was lost. */
 export const standingFrameSchema = zod.object({
   kind: zod.literal("standing"),
   ...stageKeyShape,
-  /** The position that the stage expects next. */
+  /** Position that the stage expects next. */
   position: wholeNumber,
-  /** An `apply` is queued or running. */
+  /** Whether an `apply` is queued or running. */
   isBusy: zod.boolean(),
   last: appliedFrameSchema.optional(),
 });
 
 export const refusalReasons = ["not-loaded", "wrong-position", "unknown-stream", "full", "expired"] as const;
 
-/** The engine did not run the frame and says why. */
+/** Reply to a call that the engine did not run, with the reason. */
 export const refusedFrameSchema = zod.object({
   kind: zod.literal("refused"),
   ...stageKeyShape,
@@ -86,7 +86,7 @@
   ...stageKeyShape,
   position: wholeNumber,
 });
-/** The engine is about to go: no new streams, please. */
+/** Notice that the engine is draining and accepts no new streams. */
 export const leavingFrameSchema = zod.object({ kind: zod.literal("leaving") });
 
 export const fromEngineSchema = zod.discriminatedUnion("kind", [
@@ -111,14 +111,14 @@
 export type FromEngineFrame = zod.infer<typeof fromEngineSchema>;
 export type RefusalReason = (typeof refusalReasons)[number];
 
-/** Names one stage of one attempt of one request. */
+/** Identifies one stage of one attempt of one request. */
 export interface StageKey {
   readonly requestId: string;
   readonly attempt: number;
   readonly firstLayer: number;
 }
 
-/** The name alone, out of a frame or anything else that carries it. */
+/** Returns the key without the other fields of a frame. */
 export function pickStageKey(key: StageKey): StageKey {
   return { requestId: key.requestId, attempt: key.attempt, firstLayer: key.firstLayer };
 }
--- a/packages/pipeline/src/engine/frameCodec.ts
+++ b/packages/pipeline/src/engine/frameCodec.ts
@@ -1,4 +1,4 @@
-/** Encoding of frames, and their check on arrival. */
+/** Encoding of frames, and decoding with validation. */
 import { errors, results } from "@shedtiller/common";
 import { Packr } from "msgpackr";
 import type * as zod from "zod";
@@ -11,7 +11,7 @@
   return packr.pack(frame);
 }
 
-/** Decodes and checks a frame; `sender` names the other side in the error. */
+/** Decodes and validates a frame; `sender` names its origin in the error. */
 export function decodeFrame<S extends zod.ZodType>(
   data: unknown,
   schema: S,
--- a/packages/pipeline/src/request/BoundaryHistory.ts
+++ b/packages/pipeline/src/request/BoundaryHistory.ts
@@ -1,28 +1,31 @@
-/** The activations that passed one layer boundary, kept so that the stage behind it can be rebuilt alone. */
+/** Activations that passed a layer boundary, stored so that the stage behind it can be rebuilt without the others. */
 
-/** Counts the bytes that all histories of a process hold together. */
+/** Limits the bytes that all histories of a process store together. */
 export class HistoryBudget {
   private _usedBytes = 0;
 
-  /** @param limitBytes - Beyond it histories are given up, and a lost stage is rebuilt from the prompt instead. */
+  /** @param limitBytes - Beyond this limit histories are dropped, and a lost stage is rebuilt from the prompt instead. */
   constructor(readonly limitBytes: number) {}
 
+  /** Bytes that are reserved now. */
   get usedBytes(): number {
     return this._usedBytes;
   }
 
+  /** Reserves bytes; returns false and reserves none if they exceed the limit. */
   tryTake(sizeBytes: number): boolean {
     if (this._usedBytes + sizeBytes > this.limitBytes) return false;
     this._usedBytes += sizeBytes;
     return true;
   }
 
+  /** Releases bytes that were reserved. */
   give(sizeBytes: number): void {
     this._usedBytes -= sizeBytes;
   }
 }
 
-/** Activations of positions [0, length) at one boundary, in order. */
+/** Stores the activations of positions [0, length) at one boundary, within a budget. */
 export class BoundaryHistory {
   private _chunks: Uint8Array[] = [];
   private _length = 0;
@@ -33,17 +36,17 @@
 
   constructor(private readonly _budget: HistoryBudget) {}
 
-  /** Positions held. */
+  /** Number of positions that have passed the boundary. */
   get length(): number {
     return this._length;
   }
 
-  /** Whether the activations of positions [from, length) are still held. The newest ones always are. */
+  /** Returns whether the activations of positions [from, length) are still stored. Those last added always are. */
   hasFrom(from: number): boolean {
     return this._isComplete || from >= this._lastFrom;
   }
 
-  /** Adds the activations of the next positions. Beyond the budget all but the newest are given up. */
+  /** Adds the activations of the next positions. If they exceed the budget, all older ones are dropped. */
   add(activations: Uint8Array, count: number): void {
     this._last = activations;
     this._lastFrom = this._length;
@@ -54,7 +57,7 @@
     this._chunks.push(activations);
   }
 
-  /** Gives the activations of positions [from, length), where `hasFrom` says that they are held. */
+  /** Returns the activations of positions [from, length), for which `hasFrom` must be true. */
   getFrom(from: number): Uint8Array {
     if (from >= this._lastFrom)
       return slicePositions(this._last, this._length - this._lastFrom, from - this._lastFrom);
@@ -64,7 +67,7 @@
     return slicePositions(bytes, this._length, from);
   }
 
-  /** Gives the memory back. */
+  /** Drops all activations but those last added, and releases their bytes in the budget. */
   release(): void {
     this._budget.give(this._sizeBytes);
     this._sizeBytes = 0;
@@ -73,7 +76,7 @@
   }
 }
 
-/** Cuts the first positions off; all positions are of one size. */
+/** Returns the activations from position `from` on. All positions have the same size. */
 function slicePositions(bytes: Uint8Array, count: number, from: number): Uint8Array {
   return from === 0 ? bytes : bytes.subarray((bytes.byteLength / Math.max(1, count)) * from);
 }
--- a/packages/pipeline/src/request/CrashGuard.ts
+++ b/packages/pipeline/src/request/CrashGuard.ts
@@ -1,23 +1,23 @@
-/** What a run asks and tells of requests that crash the engines that begin to run them. */
+/** Quarantine of requests that crash the engines that start to run them. */
 
-/** An engine that ended its connection. */
+/** An engine whose connection was closed. */
 export interface LostEngine {
   readonly name: string;
   /** IP and port. */
   readonly address: string;
 }
 
-/** Knows requests by a digest, since a repeat has another id. */
+/** Decides which requests are quarantined. Requests are identified by a digest, since a retry has another request id. */
 export abstract class CrashGuard {
-  /** How long a request is held back from now on; undefined where it may run. */
+  /** Returns how long a request is still quarantined; undefined if it may run. */
   abstract getHeldBackMs(digest: string): number | undefined;
-  /** Notes that an engine ended its connection to a run without a token; resolves once it is known whether it crashed. */
+  /** Records that an engine closed its connection before a run had a token; resolves once it is known whether it crashed. */
   abstract noteLost(digest: string, engine: LostEngine): Promise<void>;
-  /** Notes that a run gave a token. */
+  /** Records that a run has produced its first token, and so has not crashed its engines. */
   abstract noteOutlived(digest: string): void;
 }
 
-/** Holds nothing back. */
+/** Quarantines no requests. */
 export class NoCrashGuard extends CrashGuard {
   override getHeldBackMs(): undefined {
     return undefined;
--- a/packages/pipeline/src/request/PipelineContext.ts
+++ b/packages/pipeline/src/request/PipelineContext.ts
@@ -1,4 +1,4 @@
-/** What all requests of one instance share. */
+/** State and dependencies that all requests of one instance share. */
 import { NoCrashGuard, type CrashGuard } from "./CrashGuard.js";
 import type { utils } from "@shedtiller/common";
 import type { ChainChooser, EndpointDirectory } from "@shedtiller/routing";
@@ -9,7 +9,7 @@
 
 const defaultHistoryLimitBytes = 64 * 1024 * 1024;
 
-/** Counts for the metrics. */
+/** Counters for the metrics. */
 export interface PipelineCounters {
   probes: number;
   stagesLost: number;
@@ -19,7 +19,7 @@
   tokens: number;
 }
 
-/** The parts that a request is run with. */
+/** Dependencies and options of {@link PipelineContext}. */
 export interface PipelineContextStructure {
   readonly availabilityZone: string;
   readonly directory: EndpointDirectory;
@@ -29,12 +29,12 @@
   readonly random: utils.RandomSource;
   readonly silence?: SilenceOptions;
   readonly historyLimitBytes?: number;
-  /** Instances that share the engines, this one included. */
+  /** Returns the number of instances that share the engines, including this one. */
   readonly getInstanceCount?: () => number;
   readonly crashes?: CrashGuard;
 }
 
-/** Shared parts, and what is learned of each endpoint. */
+/** Provides the dependencies of a run, and the silence detector of each endpoint. */
 export class PipelineContext {
   readonly availabilityZone: string;
   readonly directory: EndpointDirectory;
@@ -69,7 +69,7 @@
     this.historyBudget = new HistoryBudget(structure.historyLimitBytes ?? defaultHistoryLimitBytes);
   }
 
-  /** Gives what was learned of the times of an endpoint. */
+  /** Returns the silence detector of an endpoint, with the response times observed so far. */
   getDetector(endpoint: string): SilenceDetector {
     const known = this._detectors.get(endpoint);
     if (known !== undefined) return known;
--- a/packages/pipeline/src/request/PipelineRequest.ts
+++ b/packages/pipeline/src/request/PipelineRequest.ts
@@ -1,47 +1,48 @@
-/** What the pipeline is asked for, and how it can fail. */
+/** Requests to a pipeline, their answers and their errors. */
 import { errors, type Ran } from "@shedtiller/common";
 
-/** How a request that has lost its version for good goes on. */
+/** Lets a request continue on another version if no chain of its own is left. */
 export interface VersionChoice {
-  /** Whether engines are to hold another version of the model now. */
+  /** Returns whether the configuration has replaced a version by another one. */
   isReplaced(version: string): boolean;
-  /** Gives up the version that the request has, and gives the one that it goes on with from its first layer. */
+  /** Releases the request's version, and returns the one on which the request restarts from the first layer. */
   changeVersion(): string;
 }
 
-/** One model request, checked and admitted. */
+/** A validated and admitted model request. */
 export interface PipelineRequest {
   readonly requestId: string;
-  /** Equal for equal requests; without one it is not known again. */
+  /** Hash that equal requests have in common; absent for requests that are never quarantined. */
   readonly digest?: string;
   readonly model: string;
   readonly version: string;
-  /** Absent where versions don't change. */
+  /** Switch to another version; absent if versions don't change. */
   readonly versions?: VersionChoice;
-  /** Layers [0, layerCount) make the whole model. */
+  /** Number of layers of the model. */
   readonly layerCount: number;
   readonly promptTokens: readonly number[];
   readonly maxTokens: number;
-  /** 1 is the highest. */
+  /** Rank of the priority class; 1 is the highest. */
   readonly priority: number;
-  /** Monotonic milliseconds after which nobody wants the answer. */
+  /** Monotonic milliseconds after which the answer is no longer needed. */
   readonly deadlineMs: number;
 }
 
-/** How an answer ended. */
+/** A complete answer. */
 export interface PipelineAnswer {
   readonly tokens: readonly number[];
+  /** Whether the model ended the answer; otherwise the maximum length was reached. */
   readonly isEnd: boolean;
-  /** Stages that were replaced on the way. */
+  /** Number of lost stages and chains that were replaced during the run. */
   readonly replacements: number;
 }
 
-/** A request that did not get its whole answer, with what is known of its having run. */
+/** Error of a request without a complete answer, with whether the request has run. */
 export abstract class PipelineError extends errors.ShedtillerError {
   abstract readonly ran: Ran;
 }
 
-/** No chain of live endpoints covers the model. */
+/** No chain of live endpoints covers all layers of the model. */
 export class NoChainError extends PipelineError {
   readonly code = "no_endpoints";
 
@@ -53,7 +54,7 @@
   }
 }
 
-/** Equal requests have crashed several engines. */
+/** The request is quarantined, since equal requests have crashed several engines. */
 export class RequestHeldBackError extends PipelineError {
   readonly code = "held_back";
 
@@ -61,7 +62,7 @@
     readonly ran: Ran,
     readonly retryAfterMs: number,
   ) {
-    super("The request is held back: equal ones have crashed the engines that began to run them.");
+    super("The request is quarantined: equal requests have crashed the engines that started to run them.");
   }
 }
 
@@ -70,15 +71,15 @@
   readonly code = "deadline_passed";
 
   constructor(readonly ran: Ran) {
-    super("The request's deadline passed before its answer was whole.");
+    super("The request's deadline passed before its answer was complete.");
   }
 }
 
-/** The caller went away or the instance cut the request short. */
+/** The caller disconnected, or the instance aborted the request. */
 export class RequestCancelledError extends PipelineError {
   readonly code = "cancelled";
 
   constructor(readonly ran: Ran) {
-    super("The request was cancelled before its answer was whole.");
+    super("The request was cancelled before its answer was complete.");
   }
 }
--- a/packages/pipeline/src/request/PipelineRun.ts
+++ b/packages/pipeline/src/request/PipelineRun.ts
@@ -1,4 +1,4 @@
-/** One request through its stages, token by token, written straight down. */
+/** Execution of one request over the stages of a chain, token by token, with recovery of lost stages. */
 import { results, utils } from "@shedtiller/common";
 import { isSameRange, type EngineCandidate } from "@shedtiller/routing";
 import type { AppliedFrame, ApplyFrame } from "../engine/engineFrames.js";
@@ -8,21 +8,24 @@
 import { Stage, type StageError } from "./Stage.js";
 
 const chainRetryIntervalMs = 20;
-/** The first step, each after so many and each that met a failure go to the time line; all of them would flood it. */
+/** Interval of steps that are added to the time line, besides those with a replaced stage; all steps would flood it. */
 const tokensPerEvent = 32;
 
-/** Takes each token once, in order, as soon as it is known. */
+/** Receives each token once, in order, as soon as it is generated. */
 export type TokenSink = (token: number, isEnd: boolean) => void;
 
 type Outcome<T> = results.Result<T, requests.PipelineError>;
-/** The chain was chosen anew and must run from its first layer. */
+/** Marks that a new chain was chosen, which must run from its first layer. */
 const restarted = Symbol("restarted");
 
-/** Runs one request. Not reused. */
+/**
+ * Runs one request. A lost stage is replaced by a replica and rebuilt from the stored activations; if that is not possible,
+ * the request restarts on another chain. Each instance runs a single request.
+ */
 export class PipelineRun {
   private readonly _tokens: number[];
   private _stages: Stage[] = [];
-  /** `_boundaries[i]` holds the inputs of stage i; stage 0 takes tokens and has none. */
+  /** `_boundaries[i]` stores the inputs of stage i; that of stage 0 stays empty, since its inputs are tokens. */
   private _boundaries: BoundaryHistory[] = [];
   private _nextAttempt = 1;
   private _replacements = 0;
@@ -39,11 +42,11 @@
     this._version = _request.version;
   }
 
-  /** Runs to the end, handing each token to `sink`. */
+  /** Runs the request to its end, and passes each token to `sink`. */
   async run(sink: TokenSink): Promise<Outcome<requests.PipelineAnswer>> {
     try {
-      const held = this._getQuarantineError();
-      if (held !== undefined) return results.Err(held);
+      const quarantined = this._getQuarantineError();
+      if (quarantined !== undefined) return results.Err(quarantined);
       const chosen = await this._chooseChain();
       if (chosen.err) return chosen;
       return await this._generate(sink);
@@ -75,7 +78,7 @@
     return results.Ok({ tokens: answer, isEnd, replacements: this._replacements });
   }
 
-  /** Brings all positions through all stages and gives the last stage's outcome. */
+  /** Applies all stages to the positions that they lack, and returns the last stage's outcome. */
   private async _forward(): Promise<Outcome<AppliedFrame>> {
     let index = 0;
     for (;;) {
@@ -93,7 +96,7 @@
     }
   }
 
-  /** A rebuilt stage gives positions again that are known already; only the new ones are kept. */
+  /** Stores a stage's output. A rebuilt stage repeats positions that are stored already; only the new ones are added. */
   private _storeOutput(index: number, applied: AppliedFrame): void {
     const boundary = this._boundaries[index + 1];
     if (boundary === undefined || applied.activations === undefined) return;
@@ -122,7 +125,7 @@
     }
   }
 
-  /** The call for all positions that the stage lacks, or undefined where their inputs are no longer held. */
+  /** Creates the call for all positions that a stage lacks; returns undefined if their inputs are no longer stored. */
   private _createFrame(stage: Stage, index: number): ApplyFrame | undefined {
     const position = stage.appliedTo;
     const count = this._tokens.length - position;
@@ -146,9 +149,9 @@
     if (lost === undefined) return results.Ok(restarted);
     this._recordLoss(lost, cause);
     await this._reportEngineLoss(lost, cause);
-    // The next replica would crash as well.
-    const held = this._getQuarantineError();
-    if (held !== undefined) return results.Err(held);
+    // A request that has just been quarantined would crash the next replica as well.
+    const quarantined = this._getQuarantineError();
+    if (quarantined !== undefined) return results.Err(quarantined);
     const startMs = utils.monotonicMs();
     const replica = this._findReplica(lost.candidate);
     if (replica === undefined) return this._restart();
@@ -165,7 +168,7 @@
     return results.Ok(undefined);
   }
 
-  /** A run that has given no token yet may be what ended its engine. */
+  /** Reports an engine that closed its connection before the first token, since the request may have crashed it. */
   private async _reportEngineLoss({ candidate }: Stage, cause: StageError): Promise<void> {
     const { digest, promptTokens } = this._request;
     const hasTokens = this._tokens.length > promptTokens.length;
@@ -189,7 +192,7 @@
     this._addEvent("stage-lost", lost.endpoint, cause.message);
   }
 
-  /** Another endpoint with the same layers, the one with the least expected time. */
+  /** Returns the endpoint with the same layers and the least expected time. */
   private _findReplica(lost: EngineCandidate): EngineCandidate | undefined {
     const { directory, chooser } = this._context;
     const replicas = directory
@@ -204,7 +207,7 @@
     return replicas.find((candidate) => candidate.entry === chosen?.[0]?.entry);
   }
 
-  /** Gives up the whole chain and begins with a new one, from the prompt and the tokens known so far. */
+  /** Releases the whole chain and chooses a new one, which starts with the prompt and the tokens generated so far. */
   private async _restart(): Promise<Outcome<typeof restarted>> {
     this._releaseAll();
     this._context.counters.chainsRestarted += 1;
@@ -214,7 +217,7 @@
     return results.Ok(restarted);
   }
 
-  /** Chooses a chain; where none can be had, waits for one for as long as the request may. */
+  /** Chooses a chain. If there is none, a request that may have run already waits until its deadline. */
   private async _chooseChain(): Promise<Outcome<void>> {
     for (;;) {
       const stopped = this._getStopError();
@@ -233,8 +236,9 @@
   }
 
   /**
-   * Whether no chain of the version will come back: engines are to hold another one, and by their last reports they don't make up a chain of
-   * this one, whatever their state. Waiting would keep the caller for the rest of its deadline, two minutes unless it says otherwise.
+   * Returns whether no chain of the version will come back: the configuration has replaced it, and by their last reports the
+   * engines don't make up a chain of it, whatever their state. Waiting for one would delay the caller until its deadline,
+   * which is two minutes unless the caller sets another.
    */
   private _isVersionGone(): boolean {
     const { model, layerCount, versions } = this._request;
@@ -242,7 +246,10 @@
     return !this._context.directory.mayHaveChain(model, this._version, layerCount);
   }
 
-  /** Goes over to the version that is served now, unless the caller has tokens of the lost one: two versions make no one answer. */
+  /**
+   * Switches to the version that is served now, unless the caller has received tokens of the lost one: an answer must not
+   * mix two versions.
+   */
   private _changeVersion(): boolean {
     const { versions, promptTokens } = this._request;
     if (versions === undefined || this._tokens.length > promptTokens.length) return false;
@@ -250,7 +257,10 @@
     return true;
   }
 
-  /** A chain without engines that were lost or are about to hold something else; where there is none, one with them. */
+  /**
+   * Chooses a chain without engines that were lost in this run or are about to load other layers. If there is none, the
+   * latter are allowed, then both.
+   */
   private _tryChoose(): EngineCandidate[] | undefined {
     const all = this._context.directory.getEngines(this._request.model, this._version);
     const staying = all.filter((candidate) => !candidate.entry.isRetiring);
@@ -301,7 +311,7 @@
     return undefined;
   }
 
-  /** Settles as `work` does, or with undefined once the request is cancelled or its deadline has passed. */
+  /** Settles like `work`, or resolves with undefined once the request is cancelled or its deadline has passed. */
   private async _raceWithStop<T>(work: Promise<T>): Promise<T | undefined> {
     const stop = new utils.Deferred<undefined>();
     const onAbort = (): void => stop.resolve(undefined);
@@ -325,7 +335,7 @@
   }
 }
 
-/** A replica search is a choice for a model that has just the layers of the lost stage. */
+/** Shifts a candidate's layers to 0, since a replica is chosen like a chain for a model with only the lost stage's layers. */
 function shiftToZero(candidate: EngineCandidate): EngineCandidate {
   const [first, end] = candidate.layers;
   return { ...candidate, layers: [0, end - first] };
--- a/packages/pipeline/src/request/Stage.ts
+++ b/packages/pipeline/src/request/Stage.ts
@@ -1,11 +1,11 @@
-/** One stage of a running request: an endpoint, the attempt that runs there, and how far it is. */
+/** Stages of a running request. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { EngineCandidate } from "@shedtiller/routing";
 import type { AppliedFrame, ApplyFrame, StageKey, StandingFrame } from "../engine/engineFrames.js";
 import type { EngineError, EngineLink } from "../engine/EngineLink.js";
 import type { PipelineContext } from "./PipelineContext.js";
 
-/** The engine is silent: it answered neither the call nor a probe in time. */
+/** The engine answered neither the call nor a probe in time. */
 export class StageSilentError extends errors.ShedtillerError {
   readonly code = "stage_silent";
 
@@ -13,16 +13,16 @@
     readonly endpoint: string,
     readonly silentMs: number,
   ) {
-    super(`The endpoint ${endpoint} was silent for ${Math.round(silentMs)} ms.`);
+    super(`The endpoint ${endpoint} did not respond for ${Math.round(silentMs)} ms.`);
   }
 }
 
-/** The engine answers, but has lost the stream's KV cache or stands at another position. */
+/** The engine answers, but has lost the stream's KV cache or expects another position. */
 export class StageForgottenError extends errors.ShedtillerError {
   readonly code = "stage_forgotten";
 
   constructor(readonly endpoint: string) {
-    super(`The endpoint ${endpoint} no longer holds the stream.`);
+    super(`The endpoint ${endpoint} no longer has the stream's KV cache.`);
   }
 }
 
@@ -31,11 +31,11 @@
 
 const waitGrowthFactor = 2;
 
-/** Runs calls on one endpoint and tells a lost reply from a lost endpoint. */
+/** Runs the calls of one stage attempt on an endpoint, and distinguishes a lost reply from a lost endpoint. */
 export class Stage {
   /** Positions [0, appliedTo) are in the endpoint's KV cache. */
   appliedTo = 0;
-  /** Whether anything was ever written to the endpoint for this stage. */
+  /** Whether a call may have been sent to the endpoint for this stage. */
   isWritten = false;
 
   constructor(
@@ -46,11 +46,12 @@
     candidate.entry.ownStreams += 1;
   }
 
+  /** Name of the endpoint. */
   get endpoint(): string {
     return this.candidate.entry.name;
   }
 
-  /** Applies the stage to positions from `appliedTo` on, waiting as long as the engine shows signs of life. */
+  /** Applies the stage to positions from `appliedTo` on, and waits for as long as the engine answers probes. */
   async apply(frame: ApplyFrame): Promise<Applied> {
     const link = await this._context.connector.getLink(this.endpoint, this.candidate.entry.address);
     if (link.err) return link;
@@ -62,7 +63,7 @@
     return outcome;
   }
 
-  /** Frees the engine's memory and drops what it may still say. */
+  /** Frees the engine's memory for this stage; later replies to it are dropped. */
   release(): void {
     this.candidate.entry.ownStreams -= 1;
     if (!this.isWritten) return;
@@ -80,42 +81,41 @@
     for (;;) {
       const first = await settleWithin(reply, waitMs);
       if (first !== undefined) return first;
-      const standing = await this._probe(link);
-      if (standing === undefined)
+      const status = await this._probe(link);
+      if (status === undefined)
         return results.Err(new StageSilentError(this.endpoint, utils.monotonicMs() - startMs));
-      if (standing.err) return standing;
-      const resolved = this._resolveStatus(standing.val, frame);
+      if (status.err) return status;
+      const resolved = this._resolveStatus(status.val, frame);
       if (resolved !== undefined) return resolved;
       waitMs *= waitGrowthFactor;
     }
   }
 
-  /** Probes an engine that is not silent, to know how soon it answers. */
+  /** Probes an engine while it responds, to measure how soon it answers. */
   private async _sampleProbeTime(link: EngineLink): Promise<void> {
     const startMs = utils.monotonicMs();
-    const standing = await link.probe(this.key);
-    if (standing.ok) this._context.getDetector(this.endpoint).recordProbe(utils.monotonicMs() - startMs);
+    const status = await link.probe(this.key);
+    if (status.ok) this._context.getDetector(this.endpoint).recordProbe(utils.monotonicMs() - startMs);
   }
 
   private async _probe(link: EngineLink): Promise<results.Result<StandingFrame, EngineError> | undefined> {
     const detector = this._context.getDetector(this.endpoint);
     const startMs = utils.monotonicMs();
     const answer = link.probe(this.key);
-    const standing = await settleWithin(answer, detector.getProbeDeadlineMs());
+    const status = await settleWithin(answer, detector.getProbeDeadlineMs());
     this._context.counters.probes += 1;
-    // An answer that comes too late for this stage still shows that the endpoint lives.
-    if (standing === undefined)
+    // An answer that is too late for this stage still proves that the endpoint is live.
+    if (status === undefined)
       void answer.then((late) => late.ok && this._context.directory.markReachable(this.endpoint));
-    if (standing?.ok === true) detector.recordProbe(utils.monotonicMs() - startMs);
-    return standing;
+    if (status?.ok === true) detector.recordProbe(utils.monotonicMs() - startMs);
+    return status;
   }
 
-  /** Reads a standing: the outcome whose reply was lost, a lost cache, or undefined while the engine is at work. */
-  private _resolveStatus(standing: StandingFrame, frame: ApplyFrame): Applied | undefined {
+  /** Evaluates a stage's status: the outcome if its reply was lost, an error if the cache was, undefined while it is busy. */
+  private _resolveStatus(status: StandingFrame, frame: ApplyFrame): Applied | undefined {
     const end = frame.position + frame.count;
-    if (standing.position === end && standing.last?.position === frame.position)
-      return results.Ok(standing.last);
-    if (standing.isBusy) return undefined;
+    if (status.position === end && status.last?.position === frame.position) return results.Ok(status.last);
+    if (status.isBusy) return undefined;
     return results.Err(new StageForgottenError(this.endpoint));
   }
 
@@ -132,8 +132,8 @@
 }
 
 /**
- * Gives the outcome of `work`, or undefined after `durationMs`. A reply that already lies in the socket when the
- * timer fires late, because this process itself stood still, still counts: one turn of the event loop reads it.
+ * Returns the outcome of `work`, or undefined after `durationMs`. If the timer fires late because this process was
+ * suspended, a reply that is already in the socket's buffer still counts: one turn of the event loop reads it.
  */
 async function settleWithin<T>(work: Promise<T>, durationMs: number): Promise<T | undefined> {
   const timer = new utils.Deferred<undefined>();
--- a/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
+++ b/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
@@ -1,4 +1,4 @@
-/** What a handshake that does not end says of an engine. */
+/** Errors of opening a link: a slow engine must not be taken for a lost one after a single late handshake. */
 import * as net from "node:net";
 import { errors, utils } from "@shedtiller/common";
 import test, { type ExecutionContext } from "ava";
@@ -7,7 +7,7 @@
 const firstWaitMs = 20;
 const longestWaitMs = 40;
 
-/** Listens, and answers no handshake. */
+/** Starts a server that accepts connections and answers no handshake. */
 async function listenSilently(t: ExecutionContext): Promise<string> {
   const sockets = new Set<net.Socket>();
   const server = net.createServer((socket) => sockets.add(socket.on("error", () => undefined)));
@@ -25,7 +25,7 @@
   return new WsEngineConnector(events, new utils.Patience(firstWaitMs, longestWaitMs));
 }
 
-test("one handshake that is late is no proof that an engine is gone; a second one that had more time is", async (t) => {
+test("one late handshake is no evidence that an engine is gone, a second one with a longer timeout is", async (t) => {
   const address = await listenSilently(t);
   const connector = createConnector();
   const first = await connector.getLink("g1", address);
@@ -34,7 +34,7 @@
   t.true(second.err && second.val instanceof errors.NotReachedError);
 });
 
-test("an engine that refuses connections is not reached at once", async (t) => {
+test("an engine that refuses connections counts as not reached after a single attempt", async (t) => {
   const server = net.createServer();
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
   const { port } = server.address() as net.AddressInfo;
