--- a/packages/cli/src/commands/CommandContext.ts
+++ b/packages/cli/src/commands/CommandContext.ts
@@ -1,13 +1,13 @@
-/** What every command works with: output, exit code and the operators' interface. */
+/** Output, exit codes and access to the operators' interface, shared by all commands. */
 import { errors, results } from "@shedtiller/common";
 import got from "got";
 
-/** Exit codes. */
+/** Exit codes of all commands. */
 export const exitCodes = {
   ok: 0,
-  /** The command ran and the answer is no: a trace did not hold, a plan was rejected, a file has faults. */
+  /** The command ran with a negative result: a trace did not hold, a plan was rejected, a file has faults. */
   no: 1,
-  /** The command could not run: bad arguments, unreadable input, no instance reached. */
+  /** The command could not run: invalid arguments, unreadable input, no instance reached. */
   unusable: 2,
 } as const;
 
@@ -34,7 +34,7 @@
   process.stderr.write(`${text}\n`);
 }
 
-/** The instance answered with an error. */
+/** An instance answered with an error. */
 export class OperatorError extends errors.ShedtillerError {
   readonly code = "operator_error";
 
@@ -47,7 +47,7 @@
   }
 }
 
-/** An answer of the operators' interface. */
+/** Response of the operators' interface. */
 export interface OperatorAnswer {
   readonly status: number;
   readonly body: unknown;
@@ -55,7 +55,7 @@
 
 type Answer = results.Result<OperatorAnswer, errors.ShedtillerError>;
 
-/** Calls the operators' interface of one instance. Statuses up to 299 and 409 are answers. */
+/** Calls the operators' interface of one instance. Responses with a status up to 299 or 409 are results, others are errors. */
 export async function callOperator(
   options: CommonOptions,
   method: "GET" | "POST" | "PUT",
@@ -66,7 +66,7 @@
   const token = process.env[tokenVariable];
   if (token === undefined || token === "") {
     return results.Err(
-      new errors.InvalidInputError(tokenVariable, "is not set; it holds the operators' token"),
+      new errors.InvalidInputError(tokenVariable, "is not set; it must contain the operators' token"),
     );
   }
   try {
@@ -99,7 +99,7 @@
   return results.Err(new OperatorError(address, status, message ?? `${address} answered ${status}.`));
 }
 
-/** Reports a failure that kept the command from running. */
+/** Prints an error that kept the command from running, and returns its exit code. */
 export function failUnusable(error: errors.ShedtillerError): ExitCode {
   printError(error.message);
   return exitCodes.unusable;
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -1,4 +1,4 @@
-/** `shedtiller check FILE`: checks a settings file as a whole. */
+/** `shedtiller check`: checks a settings file and reports all its faults. */
 import * as fs from "node:fs";
 import type { errors, results } from "@shedtiller/common";
 import { loadGatewaySettings } from "@shedtiller/gateway";
@@ -11,15 +11,15 @@
 
 /** Options of the command. */
 export interface CheckOptions extends CommonOptions {
-  /** The daemon that the file is for; by its sections where left out. */
+  /** The daemon that the file is for; by default it is derived from the file's sections. */
   readonly daemon?: string;
 }
 
-/** Only a gateway reads the platform's store. */
+/** Section that only a gateway's settings have, since only gateways read the platform's store. */
 const gatewaySectionPattern = /^\s*\[store\]\s*$/m;
-/** The reason of a fault that is about a name and not about its value. */
+/** Reason of a fault about a name rather than a value. */
 const unknownNamePattern = /^is not a known name/;
-/** Filled in by the platform at each start of a process. */
+/** Placeholder that the platform replaces by a value at each start of a process. */
 const placeholderPattern = /\{\{.*\}\}/;
 
 const loaders: Readonly<Record<Daemon, (file: string) => results.Result<unknown, SettingsError>>> = {
@@ -27,18 +27,19 @@
   gateway: loadGatewaySettings,
 };
 
+/** Prints the faults of a settings file. */
 export function runCheck(file: string, options: CheckOptions): ExitCode {
   const text = readText(file);
   const daemon = options.daemon ?? (gatewaySectionPattern.test(text) ? "gateway" : "entry");
   if (!isDaemon(daemon)) {
-    printError(`${daemon} is no daemon; known are ${daemons.join(" and ")}.`);
+    printError(`Unknown daemon ${daemon}; expected ${daemons.join(" or ")}.`);
     return exitCodes.unusable;
   }
   const loaded = loaders[daemon](file);
   const faults = loaded.ok ? [] : loaded.val.faults.filter((fault) => !isPlaceholderFault(fault, text, file));
   if (options.json === true) {
     print(JSON.stringify({ file, daemon, faults: faults.map(({ place, reason }) => ({ place, reason })) }));
-  } else if (faults.length === 0) print(`${file} is in order (${daemon}).`);
+  } else if (faults.length === 0) print(`${file} is valid (${daemon}).`);
   else printError(faults.map((fault) => fault.message).join("\n"));
   return faults.length === 0 ? exitCodes.ok : exitCodes.no;
 }
@@ -47,7 +48,7 @@
   return daemons.some((daemon) => daemon === name);
 }
 
-/** The loaders say why a file can't be read. */
+/** Returns the text of a file, or an empty text if it can't be read, which the loader reports. */
 function readText(file: string): string {
   try {
     return fs.readFileSync(file, "utf8");
@@ -56,7 +57,7 @@
   }
 }
 
-/** Whether a fault is only that a value is a placeholder of a template; a name is never filled in. */
+/** Returns whether a fault is only that a value is a template's placeholder. Names are never placeholders. */
 function isPlaceholderFault(fault: errors.InvalidInputError, text: string, file: string): boolean {
   if (unknownNamePattern.test(fault.reason)) return false;
   const place = fault.place.slice(file.length);
--- a/packages/cli/src/commands/explain.ts
+++ b/packages/cli/src/commands/explain.ts
@@ -1,9 +1,9 @@
-/** `shedtiller explain`: from a request's id to its cause, over the logs of all instances. */
+/** `shedtiller explain`: shows the decisions about a request, from the logs of all instances. */
 import { explainRequest, formatExplained } from "../explain/explainRequest.js";
 import { exitCodes, print, printError, type CommonOptions, type ExitCode } from "./CommandContext.js";
 import { readLogs } from "./readLogs.js";
 
-/** Prints the lines that explain a request; answers no where none names it. */
+/** Prints the lines that explain a request; the result is negative if no line names it. */
 export function runExplain(requestId: string, files: readonly string[], options: CommonOptions): ExitCode {
   const lines = readLogs(files);
   if (lines === undefined) return exitCodes.unusable;
--- a/packages/cli/src/commands/losses.ts
+++ b/packages/cli/src/commands/losses.ts
@@ -1,21 +1,21 @@
-/** `shedtiller losses`: how the requests of a day ended, and which decision lost those that were not served in time. */
+/** `shedtiller losses`: counts how requests ended, and why some were not served in time. */
 import { countLosses, formatLosses } from "../losses/countLosses.js";
 import { exitCodes, print, printError, type CommonOptions, type ExitCode } from "./CommandContext.js";
 import { readLogs } from "./readLogs.js";
 
 const defaultSpanS = 2;
 
-/** What the command takes. */
+/** Options of the command. */
 export interface LossesOptions extends CommonOptions {
-  /** Seconds of a row. */
+  /** Seconds that one row covers. */
   readonly span?: number;
 }
 
-/** Prints the ends of all requests over time; answers no where the logs have none. */
+/** Prints how requests ended over time; the result is negative if the logs have no ended requests. */
 export function runLosses(files: readonly string[], options: LossesOptions): ExitCode {
   const spanS = Number(options.span ?? defaultSpanS);
   if (!(spanS > 0)) {
-    printError(`--span: ${String(options.span)} is no number of seconds above 0.`);
+    printError(`--span: ${String(options.span)} is not a number of seconds above 0.`);
     return exitCodes.unusable;
   }
   const lines = readLogs(files);
--- a/packages/cli/src/commands/plans.ts
+++ b/packages/cli/src/commands/plans.ts
@@ -1,4 +1,4 @@
-/** `shedtiller plan`, `confirm` and `show`. */
+/** `shedtiller plan`, `confirm` and `show`: create, confirm and show plans. */
 import * as fs from "node:fs";
 import { errors, results } from "@shedtiller/common";
 import { checkIntent, type Intent } from "@shedtiller/intent";
@@ -31,18 +31,18 @@
   outcome: confirmedSchema.shape.outcome.optional(),
 });
 
-/** States an intent and prints the plan that answers it. */
+/** Submits an intent and prints the resulting plan. */
 export async function runPlan(file: string, options: CommonOptions): Promise<ExitCode> {
-  const stated = readIntent(file);
-  if (stated.err) return failUnusable(stated.val);
-  const answer = await callOperator(options, "POST", "/v1/plans", stated.val);
+  const intent = readIntent(file);
+  if (intent.err) return failUnusable(intent.val);
+  const answer = await callOperator(options, "POST", "/v1/plans", intent.val);
   if (answer.err) return failUnusable(answer.val);
   const planned = plannedSchema.parse(answer.val.body);
   print(options.json === true ? JSON.stringify(answer.val.body) : planned.text);
   return exitCodes.ok;
 }
 
-/** Confirms a plan and tells its outcome. */
+/** Confirms a plan and prints its outcome. */
 export async function runConfirm(planId: string, options: CommonOptions): Promise<ExitCode> {
   const answer = await callOperator(options, "POST", `/v1/plans/${encodeURIComponent(planId)}/confirm`);
   if (answer.err) return failUnusable(answer.val);
@@ -52,7 +52,7 @@
   return outcome.isAccepted ? exitCodes.ok : exitCodes.no;
 }
 
-/** Shows a plan and what became of it. */
+/** Prints a plan and its outcome. */
 export async function runShow(planId: string, options: CommonOptions): Promise<ExitCode> {
   const answer = await callOperator(options, "GET", `/v1/plans/${encodeURIComponent(planId)}`);
   if (answer.err) return failUnusable(answer.val);
@@ -68,11 +68,11 @@
 type Outcome = zod.infer<typeof confirmedSchema>["outcome"];
 
 function describeConfirmation(outcome: Outcome, isInForce: boolean, missing: readonly string[]): string {
-  const told = describeOutcome(outcome);
-  if (!outcome.isAccepted) return told;
-  if (missing.length === 0) return `${told} In force on every instance.`;
-  const where = isInForce ? "In force on every instance that can be reached" : "Not in force everywhere yet";
-  return `${told} ${where}; missing: ${missing.join(", ")}.`;
+  const text = describeOutcome(outcome);
+  if (!outcome.isAccepted) return text;
+  if (missing.length === 0) return `${text} In force on every instance.`;
+  const where = isInForce ? "In force on every reachable instance" : "Not in force everywhere yet";
+  return `${text} ${where}; missing: ${missing.join(", ")}.`;
 }
 
 function describeOutcome(outcome: Outcome): string {
--- a/packages/cli/src/commands/readIniIntent.ts
+++ b/packages/cli/src/commands/readIniIntent.ts
@@ -1,4 +1,4 @@
-/** Intents as INI: `[intent] operator = …`, then one section an object, named kind.name. */
+/** Intents in INI form: `[intent] operator = …`, then one section per object, named kind.name. */
 import { errors, results } from "@shedtiller/common";
 import { readIni } from "@shedtiller/settings";
 
@@ -14,7 +14,7 @@
 const jsonFields = new Set(["keys"]);
 const kinds = new Set(["pipeline", "account", "class", "service"]);
 
-/** Reads an intent; its check against the schema comes after. */
+/** Reads an intent without validating it against the schema. */
 export function readIniIntent(text: string, file: string): results.Result<unknown, errors.InvalidInputError> {
   const document = readIni(text, file);
   if (document.err) return document;
@@ -44,7 +44,9 @@
   for (const [field, text] of Object.entries(fields)) {
     const value = convert(field, text);
     if (value === undefined)
-      return results.Err(new errors.InvalidInputError(`${place} ${field}`, "is not of the expected form"));
+      return results.Err(
+        new errors.InvalidInputError(`${place} ${field}`, "does not have the expected form"),
+      );
     converted[field] = value;
   }
   return results.Ok(converted);
--- a/packages/cli/src/commands/readLogs.ts
+++ b/packages/cli/src/commands/readLogs.ts
@@ -1,10 +1,13 @@
-/** Reads the structured logs of instances. */
+/** Reading of structured logs from files. */
 import * as fs from "node:fs";
 import { errors } from "@shedtiller/common";
 import { parseLogLine, type LogLine } from "../explain/logLine.js";
 import { printError } from "./CommandContext.js";
 
-/** Reads the lines of all files, and says how many are none; undefined, with a message, where a file can't be read. */
+/**
+ * Reads the log lines of all files, and prints how many other lines were skipped. Prints an error and returns undefined if a
+ * file can't be read.
+ */
 export function readLogs(files: readonly string[]): LogLine[] | undefined {
   const lines: LogLine[] = [];
   let skipped = 0;
@@ -17,7 +20,7 @@
       else if (line.trim() !== "") skipped += 1;
     }
   }
-  if (skipped > 0) printError(`${skipped} lines are no log lines and were passed over.`);
+  if (skipped > 0) printError(`${skipped} lines are not log lines and were skipped.`);
   return lines;
 }
 
--- a/packages/cli/src/commands/replay.ts
+++ b/packages/cli/src/commands/replay.ts
@@ -1,4 +1,4 @@
-/** `shedtiller replay TRACE.jsonl`: replays a trace and compares it with its stated outcomes. */
+/** `shedtiller replay`: replays a trace and compares it with its expected outcomes. */
 import type { TraceVerdict } from "@shedtiller/standins";
 import {
   exitCodes,
@@ -9,8 +9,9 @@
   type ExitCode,
 } from "./CommandContext.js";
 
+/** Replays a trace and prints the outcomes and the expectations that failed. */
 export async function runReplay(file: string, options: CommonOptions): Promise<ExitCode> {
-  // Loaded only here, so that the other commands start without the stand-ins.
+  // The stand-ins are imported here, so that the other commands start without loading them.
   const { checkTrace, readTrace, runTrace } = await import("@shedtiller/standins");
   const trace = readTrace(file);
   if (trace.err) return failUnusable(trace.val);
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -1,4 +1,4 @@
-/** `shedtiller status`: each instance with its offset, age and reachability. */
+/** `shedtiller status`: shows the configuration offset, its age and the reachability of each instance. */
 import { instanceStatusSchema } from "@shedtiller/entry";
 import * as zod from "zod";
 import {
@@ -21,6 +21,7 @@
 type Status = zod.infer<typeof statusSchema>;
 const msPerSecond = 1000;
 
+/** Prints the status of all instances; the result is negative if an instance was not reached. */
 export async function runStatus(options: CommonOptions): Promise<ExitCode> {
   const answer = await callOperator(options, "GET", "/v1/status");
   if (answer.err) return failUnusable(answer.val);
@@ -43,7 +44,7 @@
   const { name, availabilityZone, offset, offsetSinceMs, logAgeMs, activeRequests } = instance;
   const age = `${((Date.now() - offsetSinceMs) / msPerSecond).toFixed(0)} s`;
   const log =
-    logAgeMs === undefined ? "log never reached" : `log heard ${(logAgeMs / msPerSecond).toFixed(1)} s ago`;
+    logAgeMs === undefined ? "log never reached" : `log reached ${(logAgeMs / msPerSecond).toFixed(1)} s ago`;
   const parts = [
     name.padEnd(12),
     availabilityZone.padEnd(14),
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -1,4 +1,4 @@
-/** `shedtiller timeline`: events of all instances, merged. */
+/** `shedtiller timeline`: shows the merged events of all instances. */
 import { utils } from "@shedtiller/common";
 import {
   renderEventText,
@@ -24,14 +24,15 @@
 export interface TimelineOptions extends CommonOptions {
   /** Only events of this request. */
   readonly request?: string;
-  /** Only events since so many seconds ago. */
+  /** Only events of the last so many seconds. */
   readonly since?: number;
-  /** Prints new events as they come, until interrupted. */
+  /** Prints new events as they arrive, until interrupted. */
   readonly follow?: boolean;
-  /** Prints Trace Event JSON, which trace viewers open. */
+  /** Prints Trace Event JSON for trace viewers. */
   readonly trace?: boolean;
 }
 
+/** Prints events once or continuously; the result is negative if an instance was not reached. */
 export async function runTimeline(options: TimelineOptions): Promise<ExitCode> {
   let sinceMs = options.since === undefined ? 0 : utils.wallMs() - options.since * utils.msPerSecond;
   let startMs: number | undefined;
@@ -44,10 +45,11 @@
     for (const event of fresh) seen.add(getEventId(event));
     startMs ??= fresh[0]?.stamp.wallMs;
     printEvents(fresh, startMs ?? 0, options);
-    if (gaps.length > 0) printError(`Not reached, so their events are missing: ${gaps.join(", ")}.`);
+    if (gaps.length > 0)
+      printError(`Events are missing from instances that were not reached: ${gaps.join(", ")}.`);
     if (options.follow !== true) return gaps.length === 0 ? exitCodes.ok : exitCodes.no;
     const lastMs = events[events.length - 1]?.stamp.wallMs;
-    // Late events of other instances may still come; asking a little back finds them.
+    // Events of other instances may arrive late; the next request overlaps by 1 s to include them.
     if (lastMs !== undefined) sinceMs = lastMs - utils.msPerSecond;
     await utils.sleep(followIntervalMs);
   }
--- a/packages/cli/src/explain/explainRequest.ts
+++ b/packages/cli/src/explain/explainRequest.ts
@@ -1,10 +1,10 @@
-/** What became of a request and why: its own lines, and those before and during it that show what its instance believed. */
+/** Selection of the log lines that explain a request: its own, and those of events that may have caused its outcome. */
 import { getWallMs, type LogLine } from "./logLine.js";
 
-/** How long before a request a change may be its cause: a suspicion lasts for seconds, a drain and a stop as well. */
+/** Time before a request in which an event counts as a possible cause: suspicions, drains and stops last for seconds. */
 const causeWindowMs = 8_000;
 
-/** Lines of the request's instance that act on all its requests. */
+/** Messages about events that affect all requests of an instance. */
 const instanceMessages = [
   /^configuration-/,
   /-store-(lost|regained)$/,
@@ -13,17 +13,17 @@
   /^settings-/,
   /^zone-duty-changed$/,
 ];
-/** Lines of any instance that change the room for requests. */
+/** Messages about events that change the capacity for requests. */
 const capacityMessages = [
   /^layers-ordered$/,
   /^endpoint-(gone|draining|suspected)$/,
   /^endpoint-limit-/,
   /^leader-/,
 ];
-/** Outcomes and reasons that are about room. */
+/** Outcomes and reasons of requests that lacked capacity. */
 const capacityReasons: readonly unknown[] = ["no-room", "limited", "resting", "not-run"];
 
-/** Gives the lines that explain a request, the earliest first; none where no line names it. */
+/** Returns the lines that explain a request, the earliest first; empty if no line names the request. */
 export function explainRequest(requestId: string, lines: readonly LogLine[]): LogLine[] {
   const own = lines.filter((line) => line.requestId === requestId);
   if (own.length === 0) return [];
@@ -37,7 +37,7 @@
   );
   const isCause = (line: LogLine): boolean => {
     if (line.requestId !== undefined) return false;
-    // Crashes count against equal requests for minutes, at all instances.
+    // Crashes count against equal requests for minutes and at all instances, so all earlier lines of any instance are causes.
     if (typeof line["digest"] === "string" && digests.has(line["digest"])) return getWallMs(line) <= toMs;
     const wallMs = getWallMs(line);
     if (wallMs < fromMs || wallMs > toMs) return false;
@@ -49,13 +49,13 @@
   return explaining.sort((a, b) => getWallMs(a) - getWallMs(b));
 }
 
-/** When the request came, by its last line; another line may be the first that was written. */
+/** Returns the start of a request by one of its lines: the line that ends the request has its duration. */
 function getStartMs(line: LogLine): number {
   const { tookMs } = line;
   return getWallMs(line) - (typeof tookMs === "number" ? tookMs : 0);
 }
 
-/** Ids and addresses of the endpoints that a line is about; a chain names each as `address=from-to`. */
+/** Returns the ids and addresses of the endpoints in a line; chains have entries of the form `address=from-to`. */
 function getEndpoints(line: LogLine): string[] {
   const { endpointId, address, chain, cause, faultyAddress } = line;
   const inChain = Array.isArray(chain) ? chain.map((stage) => String(stage).split("=")[0] ?? "") : [];
@@ -68,7 +68,7 @@
   return patterns.some((pattern) => pattern.test(line.message));
 }
 
-/** One line for a person: time, instance, what happened, and its inputs. */
+/** Formats a line as text: time, instance, message and fields. */
 export function formatExplained({ timestamp, instance, message, level: _level, ...fields }: LogLine): string {
   const inputs = Object.entries(fields).map(([name, value]) => `${name}=${formatValue(value)}`);
   return `${timestamp}  ${instance}  ${message}  ${inputs.join(" ")}`.trimEnd();
--- a/packages/cli/src/explain/logLine.ts
+++ b/packages/cli/src/explain/logLine.ts
@@ -1,4 +1,4 @@
-/** One line of an instance's structured log. */
+/** Lines of an instance's structured log. */
 import { results, errors } from "@shedtiller/common";
 import * as zod from "zod";
 
@@ -12,10 +12,10 @@
 });
 export type LogLine = zod.infer<typeof logLineSchema>;
 
-/** Parses a line; what stands before the object, such as a time or a host, is passed over. */
+/** Parses a line. A prefix before the JSON object, such as a time or a host, is skipped. */
 export function parseLogLine(text: string, place: string): results.Result<LogLine, errors.InvalidInputError> {
   const start = text.indexOf("{");
-  if (start < 0) return results.Err(new errors.InvalidInputError(place, "holds no object"));
+  if (start < 0) return results.Err(new errors.InvalidInputError(place, "has no JSON object"));
   try {
     const checked = logLineSchema.safeParse(JSON.parse(text.slice(start)));
     return checked.success
@@ -26,7 +26,7 @@
   }
 }
 
-/** Milliseconds since the Unix epoch, by the clock of the instance that wrote the line. */
+/** Returns the time of a line in milliseconds since the Unix epoch, by the clock of the instance that wrote it. */
 export function getWallMs(line: LogLine): number {
   return Date.parse(line.timestamp);
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
-/** The command line has nothing to embed; its commands are its interface. */
+/** The package exports nothing, since its interface is the commands. */
 export {};
--- a/packages/cli/src/losses/classifyEnd.ts
+++ b/packages/cli/src/losses/classifyEnd.ts
@@ -1,7 +1,7 @@
-/** How a request ended, and for one that was not served in time the decision that lost it. */
+/** Classification of how requests ended, and why some were not served in time. */
 import type { LogLine } from "../explain/logLine.js";
 
-/** Ends of requests, from the best to what was never let in. */
+/** Kinds of ends: served in time, late, refused or failed. Rows are printed in this order. */
 export const endKinds = [
   "in time",
   "late: waited for room",
@@ -47,7 +47,7 @@
 const successPattern = /^status 2\d\d$/;
 const statusPattern = /^status \d+$/;
 
-/** Judges the line that ends a request; undefined for lines that end none. */
+/** Returns how a request ended by the line that ends it; undefined for other lines. */
 export function classifyEnd(line: LogLine): EndKind | undefined {
   if (line.message === "request-refused") return endsByRefusal[String(line["reason"])] ?? "refused: other";
   if (line.message !== "request-ended") return undefined;
@@ -58,7 +58,7 @@
   return endsByRefusal[outcome] ?? endsByFailure[outcome] ?? "refused: other";
 }
 
-/** A stream that came whole: the first thing that went wrong with it. */
+/** Returns how a complete stream was late, by the first reason that applies, or that it was in time. */
 function classifyStream(line: LogLine): EndKind {
   const attempts = Number(line["attempts"] ?? 1);
   if (line["isFirstEventLate"] === true) {
--- a/packages/cli/src/losses/countLosses.ts
+++ b/packages/cli/src/losses/countLosses.ts
@@ -1,18 +1,18 @@
-/** Counts how requests ended, over time and over routes. */
+/** Counts of how requests ended, by time and route. */
 import { utils } from "@shedtiller/common";
 import { getWallMs, type LogLine } from "../explain/logLine.js";
 import { endKinds, classifyEnd, type EndKind } from "./classifyEnd.js";
 
-/** Requests of one route that arrived in one span of time and ended alike. */
+/** Number of requests of one route that arrived in the same span of time and ended in the same way. */
 export interface LossRow {
-  /** Seconds from the first line of the logs to the beginning of the span. */
+  /** Seconds from the first line of the logs to the start of the span. */
   readonly fromS: number;
   readonly route: string;
   readonly end: EndKind;
   readonly count: number;
 }
 
-/** Counts the ends of all requests in `lines`, by spans of `spanS` seconds in which they arrived. */
+/** Counts the ended requests in `lines`, by the spans of `spanS` seconds in which they arrived. */
 export function countLosses(lines: readonly LogLine[], spanS: number): LossRow[] {
   const firstMs = lines.reduce((least, line) => Math.min(least, getWallMs(line)), Number.POSITIVE_INFINITY);
   const counts = new Map<string, LossRow>();
@@ -28,7 +28,7 @@
   return [...counts.values()].sort(compareRows);
 }
 
-/** One line a span: the ends that occurred, the commonest kinds of loss in their fixed order. */
+/** Formats one line per span with the counts of its ends in the order of {@link endKinds}, and a line with the totals. */
 export function formatLosses(rows: readonly LossRow[]): string[] {
   const spans = utils.groupBy(rows, (row) => String(row.fromS));
   const lines = [...spans].map(([fromS, span]) => `${fromS.padStart(6)} s  ${formatSpan(span)}`);
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The operators' command line. */
+/** Entry point of the operators' command line. */
 import { errors } from "@shedtiller/common";
 import { cac } from "cac";
 import { runCheck, type CheckOptions } from "./commands/check.js";
@@ -16,7 +16,7 @@
 const operator = ["--operator <address>", "IP address and port of any instance's operator listener"] as const;
 
 program
-  .command("plan <file>", "State an intent (JSON or INI) and read the plan that answers it")
+  .command("plan <file>", "Submit an intent (JSON or INI) and show the resulting plan")
   .option(...asJson)
   .option(...operator)
   .action((file: string, options: CommonOptions) => runPlan(file, options));
@@ -26,7 +26,7 @@
   .option(...operator)
   .action((plan: string, options: CommonOptions) => runConfirm(plan, options));
 program
-  .command("show <plan>", "Show a plan and what became of it")
+  .command("show <plan>", "Show a plan and its outcome")
   .option(...asJson)
   .option(...operator)
   .action((plan: string, options: CommonOptions) => runShow(plan, options));
@@ -39,34 +39,37 @@
   .command("timeline", "Show the events of all instances, merged")
   .option("--request <id>", "Only events of this request")
   .option("--since <seconds>", "Only events of the last so many seconds")
-  .option("--follow", "Go on printing as events come")
+  .option("--follow", "Keep printing events as they arrive")
   .option("--trace", "Print Trace Event JSON for a trace viewer")
   .option("--json", "Print JSON lines")
   .option(...operator)
   .action((options: TimelineOptions) => runTimeline(options));
 program
-  .command("replay <trace>", "Replay a recorded trace and compare it with its stated outcomes")
+  .command("replay <trace>", "Replay a recorded trace and compare it with its expected outcomes")
   .option(...asJson)
   .action((trace: string, options: CommonOptions) => runReplay(trace, options));
 program
   .command(
     "explain <request> [...logs]",
-    "Show the decisions about a request, over the logs of all instances",
+    "Show the decisions about a request, from the logs of all instances",
   )
   .option(...asJson)
   .action((request: string, logs: string[], options: CommonOptions) => runExplain(request, logs, options));
 program
-  .command("losses [...logs]", "Count how requests ended, and what lost those that were not served in time")
-  .option("--span <seconds>", "Seconds of a row (2)")
+  .command("losses [...logs]", "Count how requests ended, and why some were not served in time")
+  .option("--span <seconds>", "Seconds that one row covers (2)")
   .option(...asJson)
   .action((logs: string[], options: LossesOptions) => runLosses(logs, options));
 program
-  .command("check <file>", "Check a settings file as a whole")
-  .option("--daemon <name>", "The daemon that it is for: entry or gateway (by its sections)")
+  .command("check <file>", "Check a settings file and report all its faults")
+  .option(
+    "--daemon <name>",
+    "The daemon that the file is for: entry or gateway (derived from the file's sections)",
+  )
   .option(...asJson)
   .action((file: string, options: CheckOptions) => runCheck(file, options));
 program
-  .command("key", "Make a key for a client account or the operators")
+  .command("key", "Create a key for a client account or the operators")
   .option(...asJson)
   .action((options: CommonOptions) => runKey(options));
 program.help();
--- a/packages/cli/src/tests/checkTests.ts
+++ b/packages/cli/src/tests/checkTests.ts
@@ -1,4 +1,4 @@
-/** Settings files of both daemons are checked by their own schema, with file, line, field and the nearest name. */
+/** `shedtiller check` validates the settings of each daemon by its own schema and reports file, line and field of faults. */
 import { spawnSync } from "node:child_process";
 import * as fs from "node:fs";
 import * as os from "node:os";
@@ -27,26 +27,26 @@
 
 const template = fs.readFileSync("platform/settings.ini", "utf8");
 
-test("a gateway's template is in order, though its values are filled in later", (t) => {
+test("a gateway's template has no faults, although its values are placeholders", (t) => {
   const ended = run("check", "platform/settings.ini");
   t.is(ended.status, 0, ended.output);
   t.regex(ended.output, /\(gateway\)/);
 });
 
-test("an entry's settings are checked as before", (t) => {
+test("an entry's settings are checked by the entry's schema", (t) => {
   const ended = run("check", "examples/lakeshore-east-1.ini");
   t.is(ended.status, 0, ended.output);
   t.regex(ended.output, /\(entry\)/);
 });
 
-test("a slip in a gateway's settings names the line, the field and the nearest name", (t) => {
+test("a misspelt name in a gateway's settings is reported with its line, its field and the nearest name", (t) => {
   const file = write(t, template.replace("budgetSlack", "budgetSlck"));
   const ended = run("check", file);
   t.is(ended.status, 1);
   t.regex(ended.output, /settings\.ini:\d+: \[retries\] budgetSlck.*did you mean budgetSlack/);
 });
 
-test("a value that is wrong is a fault also in a template", (t) => {
+test("an invalid value is a fault in a template as well", (t) => {
   const file = write(t, template.replace("{{bounds.budget-window-s}}", "soon"));
   const ended = run("check", "--json", file);
   t.is(ended.status, 1);
@@ -56,7 +56,7 @@
   t.regex(faults[0]?.place ?? "", /\[retries\] budgetWindowS$/);
 });
 
-test("a daemon that does not exist, and a file that can't be read, are told apart", (t) => {
+test("an unknown daemon and an unreadable file have different exit codes", (t) => {
   t.is(run("check", "--daemon", "gatway", "platform/settings.ini").status, 2);
   t.is(run("check", "no-such-file.ini").status, 1);
 });
--- a/packages/cli/src/tests/examplesTests.ts
+++ b/packages/cli/src/tests/examplesTests.ts
@@ -1,4 +1,4 @@
-/** The examples of the packages' READMEs run, and the example files are in order. */
+/** The examples in the packages' READMEs run, the example files are valid, and commands exit with the documented codes. */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as url from "node:url";
@@ -25,7 +25,7 @@
 }
 
 for (const name of fs.readdirSync(`${root}examples`)) {
-  test(`the example file ${name} is in order`, (t) => {
+  test(`the example file ${name} is valid`, (t) => {
     const file = `${root}examples/${name}`;
     const isIntent = name.includes("intent");
     const read = isIntent ? readIntent(file) : loadSettings(file);
@@ -47,7 +47,7 @@
   );
 }
 
-test("commands that can't run exit with 2 and say why in a sentence", async (t) => {
+test("commands that can't run exit with 2 and print the reason", async (t) => {
   const cases: [string[], RegExp][] = [
     [["replay", "nowhere.jsonl"], /nowhere\.jsonl/],
     [["status"], /SHEDTILLER_OPERATOR_TOKEN/],
@@ -70,7 +70,7 @@
   t.regex(failure.stderr, /callerAddress/);
 });
 
-test("key makes a key that is stored as a hash only", async (t) => {
+test("key creates a key of which only the hash is stored", async (t) => {
   const { stdout } = await run(process.execPath, [shedtiller, "key", "--json"]);
   const made = JSON.parse(stdout) as { key: string; hash: string };
   t.regex(made.key, /^sk-/);
--- a/packages/cli/src/tests/explainTests.ts
+++ b/packages/cli/src/tests/explainTests.ts
@@ -1,4 +1,4 @@
-/** The lines that explain a request are found over all instances, in their order, without those of others. */
+/** `shedtiller explain` finds the lines that explain a request over all instances, in order, without those of other requests. */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as os from "node:os";
@@ -31,7 +31,7 @@
   create(30, "a", "endpoint-added", { endpointId: "e3", address: "10.0.0.2:80" }),
 ];
 
-test("a cut request: its lines, its engines' on all instances, and what its instance believed", (t) => {
+test("a cut request has its own lines, those of its engines at all instances, and its instance's configuration", (t) => {
   const found = explainRequest("r1", lines).map((line) => `${line.instance} ${line.message}`);
   t.deepEqual(found, [
     "a configuration-in-force",
@@ -42,14 +42,14 @@
   ]);
 });
 
-test("a request without room: the endpoints that were lost before it as well", (t) => {
+test("a request that lacked capacity has the lines of endpoints that were lost before it as well", (t) => {
   const refused = create(23, "a", "stream-refused", { requestId: "r3", reason: "no-room" });
   const found = explainRequest("r3", [...lines, refused]).map((line) => line.message);
   t.deepEqual(found, ["configuration-in-force", "endpoint-gone", "endpoint-gone", "stream-refused"]);
 });
 
-test("a request that is held back: the crashes that count against equal ones, minutes before and at other instances", (t) => {
-  const held = [
+test("a quarantined request has the crashes of equal requests, minutes before and at other instances", (t) => {
+  const crashLines = [
     create(1, "a", "crash-counted", { digest: "d1", endpointId: "e1", weight: 1 }),
     create(2, "b", "crash-counted", { digest: "d1", endpointId: "e2", weight: 1 }),
     create(2, "b", "crash-counted", { digest: "d2", endpointId: "e2", weight: 1 }),
@@ -58,30 +58,30 @@
     create(201, "b", "request-released", { digest: "d1" }),
   ];
   t.deepEqual(
-    explainRequest("r5", held).map((line) => line.message),
+    explainRequest("r5", crashLines).map((line) => line.message),
     ["crash-counted", "crash-counted", "request-held", "request-held-back"],
   );
 });
 
-test("a refusal for a key behind a cut: the lost store", (t) => {
-  const cut = [
+test("a request refused for a stale configuration has the loss of the store", (t) => {
+  const staleLines = [
     create(2, "a", "configuration-store-lost", { cause: "no answer" }),
     create(7, "a", "request-refused", { requestId: "r4", reason: "stale-configuration", proofAgeMs: 4_700 }),
   ];
   t.deepEqual(
-    explainRequest("r4", cut).map((line) => line.message),
+    explainRequest("r4", staleLines).map((line) => line.message),
     ["configuration-store-lost", "request-refused"],
   );
 });
 
-test("a line may have a time and a host before its object; others are typed errors with their place", (t) => {
+test("a line may have a time and a host before its object; lines without an object are errors with their place", (t) => {
   const good = parseLogLine(`12.5 front-1 ${JSON.stringify(lines[0])}`, "x.log:1");
   t.is(good.ok ? good.val.message : "", "instance-started");
   const bad = parseLogLine("no object", "x.log:2");
   t.regex(bad.err ? bad.val.message : "", /x\.log:2/);
 });
 
-test("the command prints what it finds, and says so by its exit code where it finds nothing", async (t) => {
+test("the command prints the lines, and exits with 1 for an unknown request and with 2 for an unreadable file", async (t) => {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "explain-"));
   t.teardown(() => fs.rmSync(folder, { recursive: true }));
   const file = path.join(folder, "a.log");
--- a/packages/cli/src/tests/lossesTests.ts
+++ b/packages/cli/src/tests/lossesTests.ts
@@ -1,4 +1,4 @@
-/** Requests are counted by how they ended, each with the decision that lost it. */
+/** `shedtiller losses` counts requests by how they ended, with the reason why some were not served in time. */
 import test from "ava";
 import type { LogLine } from "../explain/logLine.js";
 import { countLosses, formatLosses } from "../losses/countLosses.js";
@@ -11,30 +11,30 @@
 
 const inTime = { outcome: "completed", attempts: 1, isFirstEventLate: false, isPauseLate: false };
 
-test("each end has its cause", (t) => {
-  const judge = (fields: object, message?: string): string | undefined =>
+test("each line that ends a request is classified", (t) => {
+  const classify = (fields: object, message?: string): string | undefined =>
     classifyEnd(create(0, fields, message));
-  t.is(judge(inTime), "in time");
-  t.is(judge({ outcome: "status 200" }), "in time");
+  t.is(classify(inTime), "in time");
+  t.is(classify({ outcome: "status 200" }), "in time");
   t.is(
-    judge({ ...inTime, isFirstEventLate: true, queuedMs: 400, firstEventMs: 600 }),
+    classify({ ...inTime, isFirstEventLate: true, queuedMs: 400, firstEventMs: 600 }),
     "late: waited for room",
   );
   t.is(
-    judge({ ...inTime, isFirstEventLate: true, queuedMs: 10, firstEventMs: 600 }),
+    classify({ ...inTime, isFirstEventLate: true, queuedMs: 10, firstEventMs: 600 }),
     "late: slow first event",
   );
-  t.is(judge({ ...inTime, isPauseLate: true, moves: 1 }), "late: moved");
-  t.is(judge({ ...inTime, isPauseLate: true, attempts: 2 }), "late: cut and resumed");
-  t.is(judge({ ...inTime, isPauseLate: true }), "late: pause");
-  t.is(judge({ outcome: "no-room" }), "refused: no room");
-  t.is(judge({ outcome: "limited" }), "refused: limits of endpoints");
-  t.is(judge({ outcome: "resting" }), "refused: endpoints asked for rest");
-  t.is(judge({ outcome: "outcome-unknown" }), "failed: cut and not resumed");
-  t.is(judge({ outcome: "status 500" }), "failed: endpoint's failure");
-  t.is(judge({ reason: "stale-configuration" }, "request-refused"), "refused: keys not fresh");
-  t.is(judge({ reason: "unknown-key" }, "request-refused"), "refused: key or route unknown");
-  t.is(judge({}, "endpoint-gone"), undefined);
+  t.is(classify({ ...inTime, isPauseLate: true, moves: 1 }), "late: moved");
+  t.is(classify({ ...inTime, isPauseLate: true, attempts: 2 }), "late: cut and resumed");
+  t.is(classify({ ...inTime, isPauseLate: true }), "late: pause");
+  t.is(classify({ outcome: "no-room" }), "refused: no room");
+  t.is(classify({ outcome: "limited" }), "refused: limits of endpoints");
+  t.is(classify({ outcome: "resting" }), "refused: endpoints asked for rest");
+  t.is(classify({ outcome: "outcome-unknown" }), "failed: cut and not resumed");
+  t.is(classify({ outcome: "status 500" }), "failed: endpoint's failure");
+  t.is(classify({ reason: "stale-configuration" }, "request-refused"), "refused: keys not fresh");
+  t.is(classify({ reason: "unknown-key" }, "request-refused"), "refused: key or route unknown");
+  t.is(classify({}, "endpoint-gone"), undefined);
 });
 
 test("requests count in the span in which they arrived", (t) => {
--- a/packages/entry/src/http/callerRequest.ts
+++ b/packages/entry/src/http/callerRequest.ts
@@ -18,8 +18,8 @@
 export function getDeadlineMs(request: restify.Request, maxMs: number): number {
   const text = request.header(deadlineHeader);
   if (text === undefined || text === "") return utils.monotonicMs() + maxMs;
-  const stated = Number(text);
-  if (!Number.isFinite(stated) || stated <= 0) {
+  const requestedMs = Number(text);
+  if (!Number.isFinite(requestedMs) || requestedMs <= 0) {
     throw new ApiError(
       badRequestStatus,
       "invalid_request_error",
@@ -27,7 +27,7 @@
       `${deadlineHeader} must be a number of milliseconds.`,
     );
   }
-  return utils.monotonicMs() + Math.min(stated, maxMs);
+  return utils.monotonicMs() + Math.min(requestedMs, maxMs);
 }
 
 /** Returns the idempotency key, which must be a time-stamped UUID; undefined if there is none. */
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -119,10 +119,10 @@
   request: restify.Request,
   response: http.ServerResponse,
 ): void {
-  const stated = intent.checkIntent(parseJson(request.body), "intent");
-  if (stated.err)
-    throw new ApiError(badRequestStatus, "invalid_request_error", "invalid_intent", stated.val.message);
-  const plan = structure.planner.createPlan(stated.val);
+  const submitted = intent.checkIntent(parseJson(request.body), "intent");
+  if (submitted.err)
+    throw new ApiError(badRequestStatus, "invalid_request_error", "invalid_intent", submitted.val.message);
+  const plan = structure.planner.createPlan(submitted.val);
   structure.desk.addPlan(plan);
   sendJson(response, createdStatus, { plan, text: intent.renderPlan(plan) });
 }
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -19,10 +19,10 @@
   ) {}
 
   /** Creates the plan of an intent. */
-  createPlan(stated: intent.Intent): intent.Plan {
+  createPlan(submitted: intent.Intent): intent.Plan {
     const draft: intent.Plan = {
       planId: `plan.${this._instance}.${utils.newId()}`,
-      operator: stated.operator,
+      operator: submitted.operator,
       madeBy: this._instance,
       baseOffset: this._configuration.offset,
       changes: [],
@@ -32,9 +32,9 @@
       loadMs: 0,
       warnings: [],
     };
-    const taken = this._getTakenEngines(stated);
-    for (const object of stated.objects) this._addObject(draft, object, taken);
-    for (const key of stated.removals) this._addRemoval(draft, key);
+    const taken = this._getTakenEngines(submitted);
+    for (const object of submitted.objects) this._addObject(draft, object, taken);
+    for (const key of submitted.removals) this._addRemoval(draft, key);
     this._addAccounts(draft);
     return draft;
   }
@@ -68,11 +68,11 @@
   }
 
   /** Returns the engines that have loaded, or are to load, layers of pipelines that the intent leaves unchanged. */
-  private _getTakenEngines(stated: intent.Intent): Set<string> {
-    const stating = new Set([...stated.objects.map(intent.getObjectKey), ...stated.removals]);
+  private _getTakenEngines(submitted: intent.Intent): Set<string> {
+    const submittedKeys = new Set([...submitted.objects.map(intent.getObjectKey), ...submitted.removals]);
     const taken = new Set<string>();
     for (const pipeline of this._configuration.getObjects("pipeline")) {
-      if (stating.has(intent.getObjectKey(pipeline))) continue;
+      if (submittedKeys.has(intent.getObjectKey(pipeline))) continue;
       for (const name of Object.keys(pipeline.placement ?? {})) taken.add(name);
       for (const report of this._getReports()) if (report.model === pipeline.name) taken.add(report.name);
     }
