--- a/packages/cli/src/commands/CommandContext.ts
+++ b/packages/cli/src/commands/CommandContext.ts
@@ -55,7 +55,7 @@
 
 type Answer = results.Result<OperatorAnswer, errors.ShedtillerError>;
 
-/** Calls the operators' interface of one instance. Responses with a status up to 299 or 409 are results, others are errors. */
+/** Calls the operators' interface of one instance. Responses with a status below 300 or of 409 are results, others errors. */
 export async function callOperator(
   options: CommonOptions,
   method: "GET" | "POST" | "PUT",
--- a/packages/cli/src/explain/explainRequest.ts
+++ b/packages/cli/src/explain/explainRequest.ts
@@ -37,7 +37,7 @@
   );
   const isCause = (line: LogLine): boolean => {
     if (line.requestId !== undefined) return false;
-    // Crashes count against equal requests for minutes and at all instances, so all earlier lines of any instance are causes.
+    // Crashes count against equal requests for minutes and at all instances, so earlier lines of any instance are causes.
     if (typeof line["digest"] === "string" && digests.has(line["digest"])) return getWallMs(line) <= toMs;
     const wallMs = getWallMs(line);
     if (wallMs < fromMs || wallMs > toMs) return false;
--- a/packages/cli/src/tests/explainTests.ts
+++ b/packages/cli/src/tests/explainTests.ts
@@ -1,4 +1,4 @@
-/** `shedtiller explain` finds the lines that explain a request over all instances, in order, without those of other requests. */
+/** `shedtiller explain` finds the lines that explain a request over all instances, in order and without unrelated lines. */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as os from "node:os";
--- a/packages/entry/src/crashes/RequestCrashes.ts
+++ b/packages/entry/src/crashes/RequestCrashes.ts
@@ -1,4 +1,4 @@
-/** Quarantine of requests that crash engines, shared with all instances; the crash ledger decides what counts as evidence. */
+/** Quarantine of requests that crash engines, shared with all instances. The crash ledger evaluates the evidence. */
 import { utils } from "@shedtiller/common";
 import {
   CrashExchange,
--- a/packages/entry/src/feeds/ZoneFeed.ts
+++ b/packages/entry/src/feeds/ZoneFeed.ts
@@ -21,7 +21,10 @@
 const reportsTopic = "reports";
 const digestTopic = "digest";
 const leavingTopic = "endpoint-leaving";
-/** The timeout may grow with each late report, since reports are fetched concurrently and a hung engine delays no other. */
+/**
+ * The timeout of a report request grows with each late reply, up to the maximum. A long timeout does no harm, since reports
+ * are fetched concurrently and a hung engine delays no other.
+ */
 const initialReportTimeoutMs = 400;
 const maxReportTimeoutMs = 6_400;
 const minReportIntervalMs = 200;
@@ -100,7 +103,7 @@
     });
   }
 
-  /** Returns the engines that this instance polls: those it owns, and those that are unreachable or have no recent report. */
+  /** Returns the engines to poll: those that this instance owns, and those that are unreachable or lack a recent report. */
   private _getEnginesToPoll(intervalMs: number): EndpointEntry[] {
     const staleMs = Math.max(utils.msPerSecond, intervalMs * maxReportAgeRounds);
     const nowMs = utils.monotonicMs();
--- a/packages/entry/src/operators/PlanDesk.ts
+++ b/packages/entry/src/operators/PlanDesk.ts
@@ -93,7 +93,7 @@
     return results.Err(new PlanNotFoundError(planId));
   }
 
-  /** Confirms a plan and waits until its outcome is in force at every linked instance, for 5 s at most. */
+  /** Confirms a plan, then waits up to 5 s until its outcome is in force at every linked instance. */
   async confirm(planId: string): Promise<results.Result<Confirmation, errors.ShedtillerError>> {
     const plan = await this.requirePlan(planId);
     if (plan.err) return plan;
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -7,7 +7,10 @@
 /** Assumed rate at which the weight store delivers layers, for the estimate of the loading time. */
 const assumedLoadLayersPerSecond = 200;
 const noLayersText = "nothing";
-/** Placement text of an engine that the plan does not need. It gets no order, and serves nothing once another version is in force. */
+/**
+ * Placement text of an engine that the plan does not need. The engine gets no order, and serves nothing once another
+ * version is in force.
+ */
 const unchangedText = "not needed, left as it is";
 
 /** Creates plans against the configuration in force and the reports of the engines. */
--- a/packages/entry/src/orders/OrderKeeper.ts
+++ b/packages/entry/src/orders/OrderKeeper.ts
@@ -126,7 +126,7 @@
     return users.length === 0 ? undefined : `version ${version} may be in use at ${users.join(", ")}`;
   }
 
-  /** Returns the version whose last complete chain an engine is part of; undefined if another chain is complete without it. */
+  /** Returns the version whose last complete chain an engine is part of; undefined if another chain is complete. */
   private _getLastChain(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
     const { fold, directory } = this._structure;
     const { report } = entry;
@@ -136,7 +136,10 @@
     return { pipeline, version: report.version };
   }
 
-  /** Requests all instances to start nothing on a version whose last chain is about to be broken up; returns what blocks this. */
+  /**
+   * Requests all instances to start nothing on a version whose last chain is about to be broken up. Returns the reason why
+   * the chain must stay for now, or undefined.
+   */
   private async _requestRetirement(entry: EndpointEntry, isGapNeeded: boolean): Promise<string | undefined> {
     const lastChain = this._getLastChain(entry);
     if (lastChain === undefined) return undefined;
--- a/packages/pipeline/src/engine/SilenceDetector.ts
+++ b/packages/pipeline/src/engine/SilenceDetector.ts
@@ -9,7 +9,7 @@
   readonly factor: number;
   /** Minimum deadline of a call. */
   readonly floorMs: number;
-  /** Factor on the quantile of probe times after which the engine counts as lost. Too low a factor rebuilds stages in vain. */
+  /** Factor on the quantile of probe times after which the engine counts as lost. If too low, stages are rebuilt in vain. */
   readonly probeFactor: number;
   /** Minimum deadline of a probe. */
   readonly probeFloorMs: number;
--- a/packages/pipeline/src/request/PipelineRun.ts
+++ b/packages/pipeline/src/request/PipelineRun.ts
@@ -335,7 +335,7 @@
   }
 }
 
-/** Shifts a candidate's layers to 0, since a replica is chosen like a chain for a model with only the lost stage's layers. */
+/** Shifts a candidate's layers to 0: a replica is chosen like a chain for a model with only the lost stage's layers. */
 function shiftToZero(candidate: EngineCandidate): EngineCandidate {
   const [first, end] = candidate.layers;
   return { ...candidate, layers: [0, end - first] };
--- a/packages/pipeline/src/request/Stage.ts
+++ b/packages/pipeline/src/request/Stage.ts
@@ -111,7 +111,7 @@
     return status;
   }
 
-  /** Evaluates a stage's status: the outcome if its reply was lost, an error if the cache was, undefined while it is busy. */
+  /** Returns the outcome if its reply was lost, an error if the KV cache was lost, or undefined while the stage is busy. */
   private _resolveStatus(status: StandingFrame, frame: ApplyFrame): Applied | undefined {
     const end = frame.position + frame.count;
     if (status.position === end && status.last?.position === frame.position) return results.Ok(status.last);
