--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -16,7 +16,7 @@
 import { InstanceListPoller } from "./feeds/InstanceListPoller.js";
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
-import { ZoneFeed } from "./feeds/ZoneFeed.js";
+import { ZoneStateExchange } from "./feeds/ZoneStateExchange.js";
 import { getZoneSource } from "./feeds/zoneFeedMessages.js";
 import { AccountDirectory } from "./http/authenticate.js";
 import { addCallerRoutes } from "./http/callerRoutes.js";
@@ -25,16 +25,16 @@
 import { addOperatorRoutes } from "./http/operatorRoutes.js";
 import { ServiceHandler } from "./http/ServiceHandler.js";
 import type { StoredAnswer } from "./http/StoredAnswer.js";
-import { InFlight } from "./InFlight.js";
-import type { Logs, PartLog } from "./logs/createLogs.js";
+import { InFlightRequests } from "./InFlightRequests.js";
+import type { Logs, ComponentLog } from "./logs/createLogs.js";
 import { InstanceMetrics } from "./metrics/InstanceMetrics.js";
 import { ModelQueues } from "./ModelQueues.js";
-import { PlanDesk } from "./operators/PlanDesk.js";
+import { PlanService } from "./operators/PlanService.js";
 import { Planner } from "./operators/Planner.js";
 import { StatusGatherer } from "./operators/StatusGatherer.js";
 import { TimelineGatherer } from "./operators/TimelineGatherer.js";
-import { OrderKeeper, updateRetiring } from "./orders/OrderKeeper.js";
-import { parts } from "./parts.js";
+import { OrderReconciler, markRetiringEngines } from "./orders/OrderReconciler.js";
+import { serviceIdentifiers } from "./serviceIdentifiers.js";
 import type { InstanceSecrets } from "./secrets.js";
 import { Tokenizer } from "./text/Tokenizer.js";
 
@@ -46,21 +46,21 @@
 /** Result of a drain. */
 export interface DrainReport {
   /** Ids of the requests that were aborted while the instance drained. */
-  readonly cut: readonly string[];
+  readonly abortedRequestIds: readonly string[];
 }
 
 /** Starts, drains and stops an entry instance. Can be embedded in another process; created by `composeEntry`. */
 export class EntryInstance {
   readonly settings: InstanceSettings;
   readonly timeline: timeline.Timeline;
-  readonly fold: intent.ConfigurationFold;
+  readonly configuration: intent.ConfigurationProjection;
   readonly membership: membership.Membership;
   readonly directory: routing.EndpointDirectory;
   readonly pipeline: pipeline.PipelineContext;
   readonly metrics: InstanceMetrics;
-  private readonly _log: PartLog;
+  private readonly _log: ComponentLog;
   private readonly _shutdown: AbortController;
-  private readonly _inFlight: InFlight;
+  private readonly _inFlight: InFlightRequests;
   private readonly _callerListener: HttpListener;
   private readonly _operatorListener: HttpListener;
   private _isDraining = false;
@@ -70,16 +70,16 @@
   private _tasks: Promise<unknown>[] = [];
 
   constructor(private readonly _container: Pick<inversify.ResolutionContext, "get">) {
-    this.settings = _container.get<InstanceSettings>(parts.settings);
+    this.settings = _container.get<InstanceSettings>(serviceIdentifiers.settings);
     this.timeline = _container.get(timeline.Timeline);
-    this.fold = _container.get(intent.ConfigurationFold);
+    this.configuration = _container.get(intent.ConfigurationProjection);
     this.membership = _container.get(membership.Membership);
     this.directory = _container.get(routing.EndpointDirectory);
     this.pipeline = _container.get(pipeline.PipelineContext);
     this.metrics = _container.get(InstanceMetrics);
-    this._log = _container.get<Logs>(parts.logs).forPart("entry");
-    this._shutdown = _container.get<AbortController>(parts.shutdown);
-    this._inFlight = _container.get(InFlight);
+    this._log = _container.get<Logs>(serviceIdentifiers.logs).forComponent("entry");
+    this._shutdown = _container.get<AbortController>(serviceIdentifiers.shutdown);
+    this._inFlight = _container.get(InFlightRequests);
     this._callerListener = this._createListener("callers", this.settings.instance.callerAddress);
     this._operatorListener = this._createListener("operators", this.settings.instance.operatorAddress);
   }
@@ -123,7 +123,7 @@
     await this.membership.listen();
     await this._callerListener.listen();
     await this._operatorListener.listen();
-    this.fold.onChanged(() => this._recordConfiguration());
+    this.configuration.onChanged(() => this._recordConfiguration());
     this._startTasks(this._shutdown.signal);
     const ports = `callers on port ${this.callerPort}, operators on port ${this.operatorPort}, peers on port ${this.membership.port}`;
     this._log.info(`Listening for ${ports}.`);
@@ -146,18 +146,18 @@
     this.timeline.add("drain-ended");
     await this._stop();
     this._log.info("Drained.");
-    return { cut: this._abortedRequestIds };
+    return { abortedRequestIds: this._abortedRequestIds };
   }
 
   /** Aborts the requests in flight, so that a drain completes early. */
-  hurry(): void {
-    this._abortedRequestIds = this._inFlight.cutAll();
+  abortInFlightRequests(): void {
+    this._abortedRequestIds = this._inFlight.abortAll();
     for (const requestId of this._abortedRequestIds) this._log.warn(`Cut the request ${requestId} short.`);
   }
 
   /** Stops at once, as a killed process does. */
   async kill(): Promise<void> {
-    this._inFlight.cutAll();
+    this._inFlight.abortAll();
     await this._stop();
   }
 
@@ -181,28 +181,32 @@
   }
 
   private _checkReady(): boolean {
-    const follower = this._container.get<platform.LogFollower>(parts.configurationFollower);
-    if (this.fold.offset < 0 || this.fold.isMissingPast) return false;
+    const follower = this._container.get<platform.LogFollower>(serviceIdentifiers.configurationFollower);
+    if (this.configuration.offset < 0 || this.configuration.hasHistoryGap) return false;
     if (follower.isCaughtUp) return true;
     const hasWaited = utils.monotonicMs() - this._startedAtMs > peerWaitMs;
     return hasWaited && this._container.get(ConfigurationSync).hasAnswerOfEveryPeer;
   }
 
   private _startTasks(signal: AbortSignal): void {
-    const logParts = [parts.configurationFollower, parts.claimFollower, parts.leaseFollower];
+    const logParts = [
+      serviceIdentifiers.configurationFollower,
+      serviceIdentifiers.claimFollower,
+      serviceIdentifiers.leaseFollower,
+    ];
     const followers = logParts.map((part) => this._container.get<platform.LogFollower>(part));
     const list = new InstanceListPoller(this._container.get(platform.InstanceList), (page) =>
       this._applyInstanceList(page),
     );
-    const retire = (): void => updateRetiring(this.fold, this.directory);
+    const retire = (): void => markRetiringEngines(this.configuration, this.directory);
     this._tasks = [
       ...followers.map((follower) => follower.run(signal)),
       list.run(signal),
       this.membership.run(signal),
       this._container.get(ConfigurationSync).run(signal),
-      this._container.get(ZoneFeed).run(signal),
+      this._container.get(ZoneStateExchange).run(signal),
       this._container.get(ModelQueues).run(signal),
-      this._container.get(OrderKeeper).run(signal),
+      this._container.get(OrderReconciler).run(signal),
       utils.repeat(retiringUpdateIntervalMs, signal, retire, (error) =>
         this._log.error(errors.describeError(error)),
       ),
@@ -219,20 +223,20 @@
     const sources = new Set(entries.filter((e) => e.availabilityZone === own).map((e) => e.name));
     for (const entry of entries)
       if (entry.availabilityZone !== own) sources.add(getZoneSource(entry.availabilityZone));
-    this._container.get(admission.AccountLimits).keepSources(sources);
-    this._container.get(PipelineDemands).keepSources(sources);
+    this._container.get(admission.AccountLimits).retainSources(sources);
+    this._container.get(PipelineDemands).retainSources(sources);
     this._container.get(VersionsInUse).retainSources(sources);
   }
 
   private _recordConfiguration(): void {
-    this.timeline.add("configuration-in-force", { detail: `offset ${this.fold.offset}` });
+    this.timeline.add("configuration-in-force", { detail: `offset ${this.configuration.offset}` });
   }
 
   private _addRoutes(): void {
     const p = this._container;
     const shared = {
       settings: this.settings,
-      configuration: this.fold,
+      configuration: this.configuration,
       accounts: p.get(AccountDirectory),
       once: p.get(claims.AtMostOnce) as claims.AtMostOnce<StoredAnswer>,
       timeline: this.timeline,
@@ -252,15 +256,15 @@
     const isDraining = (): boolean => this._isDraining;
     addCallerRoutes(this._callerListener, { ...shared, completions, services, isReady, isDraining });
     addOperatorRoutes(this._operatorListener, {
-      tokenHash: p.get<InstanceSecrets>(parts.secrets).operatorTokenHash,
-      configuration: this.fold,
+      tokenHash: p.get<InstanceSecrets>(serviceIdentifiers.secrets).operatorTokenHash,
+      configuration: this.configuration,
       planner: p.get(Planner),
-      desk: p.get(PlanDesk),
+      desk: p.get(PlanService),
       status: p.get(StatusGatherer),
       timelines: p.get(TimelineGatherer),
       timeline: this.timeline,
       metrics: this.metrics,
-      logs: p.get<Logs>(parts.logs),
+      logs: p.get<Logs>(serviceIdentifiers.logs),
     });
   }
 
@@ -269,10 +273,10 @@
     this.metrics.addSources({
       membership: this.membership,
       pipeline: this.pipeline,
-      getConfigurationOffset: () => this.fold.offset,
+      getConfigurationOffset: () => this.configuration.offset,
       getActive: () => this._inFlight.size,
       getWaiting: () => queues.waiting,
-      getClaimKeys: () => this._container.get(claims.ClaimFold).size,
+      getClaimKeys: () => this._container.get(claims.ClaimProjection).size,
     });
   }
 
--- a/packages/entry/src/InFlight.ts
+++ b/packages/entry/src/InFlightRequests.ts
@@ -2,7 +2,7 @@
 import { utils } from "@shedtiller/common";
 
 /** Tracks the requests in flight, so that a drain can wait for them or abort them. */
-export class InFlight {
+export class InFlightRequests {
   private readonly _requests = new Map<string, AbortController>();
   private _idle: utils.Deferred<void> | undefined;
 
@@ -12,7 +12,7 @@
   }
 
   /** Adds a request, and returns the function that removes it. */
-  enter(requestId: string, controller: AbortController): () => void {
+  add(requestId: string, controller: AbortController): () => void {
     this._requests.set(requestId, controller);
     return () => {
       this._requests.delete(requestId);
@@ -28,7 +28,7 @@
   }
 
   /** Aborts all requests in flight, and returns their ids. */
-  cutAll(): string[] {
+  abortAll(): string[] {
     const cut = [...this._requests.keys()];
     for (const controller of this._requests.values()) controller.abort();
     return cut;
--- a/packages/entry/src/configuration/ConfigurationSync.ts
+++ b/packages/entry/src/configuration/ConfigurationSync.ts
@@ -4,7 +4,7 @@
   configurationStateSchema,
   configurationStream,
   recordVersion,
-  type ConfigurationFold,
+  type ConfigurationProjection,
   type SnapshotRecord,
 } from "@shedtiller/intent";
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
@@ -29,7 +29,7 @@
 
 /** Dependencies of {@link ConfigurationSync}. */
 export interface ConfigurationSyncStructure {
-  readonly configuration: ConfigurationFold;
+  readonly configuration: ConfigurationProjection;
   readonly membership: Membership;
   readonly log: LogService;
   readonly logRetentionMs: number;
@@ -107,7 +107,8 @@
 
   private async _writeSnapshotIfDue(): Promise<void> {
     const { configuration, membership, log, logRetentionMs } = this._structure;
-    if (configuration.offset < 0 || configuration.isMissingPast || !membership.ownsDuty("snapshot")) return;
+    if (configuration.offset < 0 || configuration.hasHistoryGap || !membership.ownsZoneRole("snapshot"))
+      return;
     const last = configuration.lastSnapshot;
     const ageMs = last === undefined ? Number.POSITIVE_INFINITY : utils.wallMs() - last.atMs;
     const isDue =
--- a/packages/entry/src/feeds/PipelineDemands.ts
+++ b/packages/entry/src/feeds/PipelineDemands.ts
@@ -22,7 +22,7 @@
   }
 
   /** Removes the demands of all sources but the given ones. */
-  keepSources(sources: ReadonlySet<string>): void {
+  retainSources(sources: ReadonlySet<string>): void {
     for (const name of this._others.keys()) if (!sources.has(name)) this._others.delete(name);
   }
 
--- a/packages/entry/src/feeds/ZoneFeed.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -42,8 +42,8 @@
 /** Each instance polls an engine itself once its report is older than this many rounds. */
 const maxReportAgeRounds = 5;
 
-/** Dependencies of {@link ZoneFeed}. */
-export interface ZoneFeedStructure {
+/** Dependencies of {@link ZoneStateExchange}. */
+export interface ZoneStateExchangeStructure {
   readonly membership: Membership;
   readonly directory: EndpointDirectory;
   readonly limits: AccountLimits;
@@ -53,24 +53,24 @@
 }
 
 /** Sends and receives engine reports, zone digests, demands and the versions in use. */
-export class ZoneFeed {
+export class ZoneStateExchange {
   private _round = 0;
   private readonly _fetching = new Set<string>();
-  private readonly _reportTimeouts = new utils.Patience(initialReportTimeoutMs, maxReportTimeoutMs);
+  private readonly _reportTimeouts = new utils.AdaptiveTimeout(initialReportTimeoutMs, maxReportTimeoutMs);
   private _digestRound = 0;
   private _demandsSentAtMs = 0;
   private readonly _fixedHashes = new Map<string, number>();
   private readonly _lastFixedParts = new Map<string, string>();
 
-  constructor(private readonly _structure: ZoneFeedStructure) {
+  constructor(private readonly _structure: ZoneStateExchangeStructure) {
     const { membership, directory } = _structure;
     membership.onNotice(reportsTopic, (body, from) => this._handleReports(body, from.name));
     membership.onNotice(digestTopic, (body) => this._handleDigest(body));
     membership.onRequest(digestTopic, (body) => this._createDigest(body));
     membership.onNotice(leavingTopic, (body) => {
-      if (typeof body === "string") directory.markLeaving(body);
+      if (typeof body === "string") directory.markDraining(body);
     });
-    directory.onLeaving((entry) => membership.notifyAll(leavingTopic, entry.name));
+    directory.onDraining((entry) => membership.notifyAll(leavingTopic, entry.name));
   }
 
   /** Runs both exchanges until `signal` aborts. */
@@ -93,7 +93,7 @@
 
   private _getReportIntervalMs(): number {
     const { membership } = this._structure;
-    const receivers = membership.getDutyCandidates().length - 1;
+    const receivers = membership.getZoneRoleCandidates().length - 1;
     const owned = this._getOwnedEngines().length;
     return getBudgetIntervalMs({
       messageBytes: 60 + owned * (loadBytes + amortizedFixedBytes),
@@ -111,7 +111,7 @@
     return this._structure.directory.getEntries().filter((entry) => {
       if (entry.role !== "engine") return false;
       if (entry.isUnreachable || entry.report === undefined) return true;
-      if (entry.availabilityZone === zone && this._structure.membership.ownsDuty(`report:${entry.name}`))
+      if (entry.availabilityZone === zone && this._structure.membership.ownsZoneRole(`report:${entry.name}`))
         return true;
       return nowMs - entry.reportAtMs > staleMs;
     });
@@ -124,7 +124,8 @@
     return directory
       .getEntries()
       .filter(
-        (e) => e.role === "engine" && e.availabilityZone === zone && membership.ownsDuty(`report:${e.name}`),
+        (e) =>
+          e.role === "engine" && e.availabilityZone === zone && membership.ownsZoneRole(`report:${e.name}`),
       );
   }
 
@@ -142,7 +143,7 @@
       const body: unknown = await got
         .get(`http://${entry.address}/v1/state`, {
           retry: { limit: 0 },
-          timeout: { request: this._reportTimeouts.getMs(entry.address) },
+          timeout: { request: this._reportTimeouts.getTimeoutMs(entry.address) },
         })
         .json();
       this._reportTimeouts.noteAnswer(entry.address, utils.monotonicMs() - startMs);
@@ -182,7 +183,7 @@
     const { membership } = this._structure;
     const intervalMs = getBudgetIntervalMs({
       messageBytes: demandCount * demandBytes,
-      receivers: membership.getDutyCandidates().length - 1,
+      receivers: membership.getZoneRoleCandidates().length - 1,
       bytesPerSecond: demandBytesPerSecond,
       floorMs: minReportIntervalMs,
     });
@@ -242,7 +243,7 @@
     return getBudgetIntervalMs({
       messageBytes:
         (100 + zoneEndpoints * (loadBytes + amortizedFixedBytes)) * this._getZonesToFetch().length,
-      receivers: membership.getDutyCandidates().length - 1,
+      receivers: membership.getZoneRoleCandidates().length - 1,
       bytesPerSecond: digestBytesPerSecond,
       floorMs: minDigestIntervalMs,
     });
@@ -253,7 +254,7 @@
     const { membership } = this._structure;
     const zones = new Set(membership.getLinked().map((member) => member.availabilityZone));
     zones.delete(membership.self.availabilityZone);
-    return [...zones].filter((zone) => membership.ownsDuty(`digest:${zone}`));
+    return [...zones].filter((zone) => membership.ownsZoneRole(`digest:${zone}`));
   }
 
   private async _fetchDigest(zone: string): Promise<void> {
@@ -286,7 +287,7 @@
     const isKnown = known === fixedHash;
     return {
       availabilityZone: zone,
-      instanceCount: membership.getDutyCandidates().length,
+      instanceCount: membership.getZoneRoleCandidates().length,
       fixedHash,
       full: isKnown ? [] : reports,
       loads: isKnown ? reports.map((report) => [report.name, report.activeStreams]) : [],
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -24,7 +24,7 @@
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
 import type { ModelQueues } from "../ModelQueues.js";
 import type { Tokenizer } from "../text/Tokenizer.js";
-import type { InFlight } from "../InFlight.js";
+import type { InFlightRequests } from "../InFlightRequests.js";
 import { AnswerWriter, type CompletionForm } from "./AnswerWriter.js";
 import { ApiError, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
@@ -40,7 +40,7 @@
 /** Dependencies of {@link CompletionHandler}. */
 export interface CompletionStructure {
   readonly settings: InstanceSettings;
-  readonly configuration: intent.ConfigurationFold;
+  readonly configuration: intent.ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly limits: AccountLimits;
   readonly queues: ModelQueues;
@@ -50,7 +50,7 @@
   readonly tokenizer: Tokenizer;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightRequests;
 }
 
 /** One parsed and authenticated request. */
@@ -90,7 +90,7 @@
     // A request with an idempotency key continues after its caller disconnects, so that a retry finds the answer.
     if (completion.key === undefined) callerRequest.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, completion.requestId);
-    const removeRequest = inFlight.enter(completion.requestId, controller);
+    const removeRequest = inFlight.add(completion.requestId, controller);
     try {
       const outcome = await this._answer(completion, response);
       metrics.requests.inc({ kind: "model", outcome });
--- a/packages/entry/src/http/ServiceHandler.ts
+++ b/packages/entry/src/http/ServiceHandler.ts
@@ -1,30 +1,30 @@
 /** Handling of calls to plain services under `/services/{service}/…`. */
 import { errors, results, utils } from "@shedtiller/common";
 import { ServiceError, type AtMostOnce, type ServiceCall, type ServiceCaller } from "@shedtiller/claims";
-import type { ConfigurationFold, ServiceObject } from "@shedtiller/intent";
+import type { ConfigurationProjection, ServiceObject } from "@shedtiller/intent";
 import type { InstanceSettings } from "@shedtiller/settings";
 import type { Timeline } from "@shedtiller/timeline";
 import type * as restify from "restify";
 import type * as http from "node:http";
-import type { InFlight } from "../InFlight.js";
+import type { InFlightRequests } from "../InFlightRequests.js";
 import type { InstanceMetrics } from "../metrics/InstanceMetrics.js";
 import { ApiError, ranHeader, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
 import * as callerRequest from "./callerRequest.js";
-import { toStored, type StoredAnswer, type StoredServiceAnswer } from "./StoredAnswer.js";
+import { toStoredAnswer, type StoredAnswer, type StoredServiceAnswer } from "./StoredAnswer.js";
 
 const notFoundStatus = 404;
 
 /** Dependencies of {@link ServiceHandler}. */
 export interface ServiceStructure {
   readonly settings: InstanceSettings;
-  readonly configuration: ConfigurationFold;
+  readonly configuration: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly caller: ServiceCaller;
   readonly once: AtMostOnce<StoredAnswer>;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightRequests;
 }
 
 type ServiceOutcome = results.Result<StoredAnswer, errors.ShedtillerError & { ran: "no" | "unknown" }>;
@@ -44,7 +44,7 @@
     if (call.isRepeatable || call.idempotencyKey === undefined)
       callerRequest.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, call.requestId);
-    const removeRequest = inFlight.enter(call.requestId, controller);
+    const removeRequest = inFlight.add(call.requestId, controller);
     try {
       const outcome = await this._run(call);
       metrics.requests.inc({ kind: "service", outcome: this._send(response, call, outcome) });
@@ -96,7 +96,7 @@
 
   private async _call(call: ServiceCall): Promise<results.Result<StoredAnswer, ServiceError>> {
     const answer = await this._structure.caller.call(call);
-    return answer.ok ? results.Ok(toStored(answer.val)) : answer;
+    return answer.ok ? results.Ok(toStoredAnswer(answer.val)) : answer;
   }
 
   private _send(response: http.ServerResponse, call: ServiceCall, outcome: ServiceOutcome): string {
--- a/packages/entry/src/http/callerRoutes.ts
+++ b/packages/entry/src/http/callerRoutes.ts
@@ -1,5 +1,5 @@
 /** Routes of the callers' interface. Its paths and fields are specified in docs/INTERFACES.md. */
-import type { ConfigurationFold } from "@shedtiller/intent";
+import type { ConfigurationProjection } from "@shedtiller/intent";
 import { ApiError, sendJson } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
 import type { CompletionHandler } from "./CompletionHandler.js";
@@ -12,7 +12,7 @@
 
 /** Dependencies of the callers' routes. */
 export interface CallerStructure {
-  readonly configuration: ConfigurationFold;
+  readonly configuration: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly completions: CompletionHandler;
   readonly services: ServiceHandler;
--- a/packages/entry/src/logs/createLogs.ts
+++ b/packages/entry/src/logs/createLogs.ts
@@ -2,10 +2,11 @@
 import * as winston from "winston";
 
 /** Components that write logs. */
-export type LogPart = "entry" | "callers" | "operators" | "peers" | "configuration" | "orders" | "platform";
+export type LogComponent =
+  "entry" | "callers" | "operators" | "peers" | "configuration" | "orders" | "platform";
 
 /** Log of one component. */
-export interface PartLog {
+export interface ComponentLog {
   info(sentence: string): void;
   warn(sentence: string): void;
   error(sentence: string): void;
@@ -15,7 +16,7 @@
 /** Logs of one instance. */
 export interface Logs {
   /** Returns the log of a component. */
-  forPart(part: LogPart): PartLog;
+  forComponent(part: LogComponent): ComponentLog;
   /** Sets the level of all components. */
   setLevel(level: string): void;
   readonly level: string;
@@ -40,7 +41,7 @@
     transports: [new winston.transports.Console({ stderrLevels: ["error", "warn", "info", "debug"] })],
   });
   return {
-    forPart: (part) => createPartLog(logger, part),
+    forComponent: (part) => createPartLog(logger, part),
     setLevel: (level) => {
       logger.level = level;
     },
@@ -50,7 +51,7 @@
   };
 }
 
-function createPartLog(logger: winston.Logger, part: LogPart): PartLog {
+function createPartLog(logger: winston.Logger, part: LogComponent): ComponentLog {
   const write = (level: string) => (sentence: string) => void logger.log({ level, message: sentence, part });
   return { info: write("info"), warn: write("warn"), error: write("error"), debug: write("debug") };
 }
--- a/packages/entry/src/operators/PlanDesk.ts
+++ b/packages/entry/src/operators/PlanService.ts
@@ -3,7 +3,7 @@
 import {
   planSchema,
   type Confirmer,
-  type ConfigurationFold,
+  type ConfigurationProjection,
   type Plan,
   type PlanOutcome,
 } from "@shedtiller/intent";
@@ -33,10 +33,10 @@
 
   constructor(
     readonly planId: string,
-    readonly silent: readonly string[],
+    readonly unresponsiveInstances: readonly string[],
   ) {
     super(
-      `No instance that answered has the plan ${planId}; no answer from ${silent.join(", ")}. Try again.`,
+      `No instance that answered has the plan ${planId}; no answer from ${unresponsiveInstances.join(", ")}. Try again.`,
     );
   }
 }
@@ -52,19 +52,19 @@
   readonly missing: readonly string[];
 }
 
-/** Dependencies of {@link PlanDesk}. */
-export interface PlanDeskStructure {
-  readonly fold: ConfigurationFold;
+/** Dependencies of {@link PlanService}. */
+export interface PlanServiceStructure {
+  readonly configuration: ConfigurationProjection;
   readonly membership: Membership;
   readonly confirmer: Confirmer;
   readonly status: StatusGatherer;
 }
 
 /** Stores the plans made at this instance, finds those of others, and confirms plans. */
-export class PlanDesk {
-  private readonly _plans = new utils.KeyedCache<Plan>(maxPlans);
+export class PlanService {
+  private readonly _plans = new utils.BoundedMap<Plan>(maxPlans);
 
-  constructor(private readonly _structure: PlanDeskStructure) {
+  constructor(private readonly _structure: PlanServiceStructure) {
     _structure.membership.onRequest(planTopic, (body) =>
       typeof body === "string" ? this._plans.get(body) : undefined,
     );
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -16,7 +16,7 @@
 /** Creates plans against the configuration in force and the reports of the engines. */
 export class Planner {
   constructor(
-    private readonly _configuration: intent.ConfigurationFold,
+    private readonly _configuration: intent.ConfigurationProjection,
     private readonly _directory: EndpointDirectory,
     private readonly _instance: string,
   ) {}
@@ -51,7 +51,7 @@
 
   private _addRemoval(draft: intent.Plan, key: string): void {
     const baseOffset = this._configuration.getBaseOffset(key);
-    if (!this._configuration.getHeldObjects().has(key))
+    if (!this._configuration.getStoredObjects().has(key))
       draft.warnings.push(`${key} does not exist and can't be removed.`);
     draft.changes.push({ key, baseOffset, value: null });
     const [kind, name = ""] = key.split("/");
@@ -204,7 +204,7 @@
   private _getReports(): EngineReport[] {
     return this._directory
       .getEntries()
-      .filter((entry) => !entry.isLeaving && !entry.isUnreachable)
+      .filter((entry) => !entry.isDraining && !entry.isUnreachable)
       .flatMap((entry) => entry.report ?? []);
   }
 
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -1,6 +1,6 @@
 /** Status of all instances, gathered by the instance that receives the operator's request. */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationFold } from "@shedtiller/intent";
+import type { ConfigurationProjection } from "@shedtiller/intent";
 import type { Member, Membership } from "@shedtiller/membership";
 import * as zod from "zod";
 
@@ -39,7 +39,7 @@
 /** Sources of an instance's own status. */
 export interface StatusSources {
   readonly membership: Membership;
-  readonly fold: ConfigurationFold;
+  readonly configuration: ConfigurationProjection;
   readonly getLogAgeMs: () => number | undefined;
   readonly isReady: () => boolean;
   readonly isDraining: () => boolean;
@@ -49,18 +49,18 @@
 /** Serves this instance's status to its peers, and gathers theirs. */
 export class StatusGatherer {
   private _offsetSinceMs = utils.wallMs();
-  private readonly _timeouts = new utils.Patience(initialTimeoutMs, maxTimeoutMs);
+  private readonly _timeouts = new utils.AdaptiveTimeout(initialTimeoutMs, maxTimeoutMs);
 
   constructor(private readonly _sources: StatusSources) {
     _sources.membership.onRequest(statusTopic, () => this.getOwn());
-    _sources.fold.onChanged(() => {
+    _sources.configuration.onChanged(() => {
       this._offsetSinceMs = utils.wallMs();
     });
   }
 
   /** Returns this instance's status. */
   getOwn(): InstanceStatus {
-    const { membership, fold } = this._sources;
+    const { membership, configuration: fold } = this._sources;
     return {
       ...membership.self,
       offset: fold.offset,
@@ -90,7 +90,12 @@
   private async _requestStatus(member: Member): Promise<InstanceStatus | undefined> {
     const { name } = member;
     const requestedAtMs = utils.monotonicMs();
-    const reply = await this._sources.membership.request(name, statusTopic, null, this._timeouts.getMs(name));
+    const reply = await this._sources.membership.request(
+      name,
+      statusTopic,
+      null,
+      this._timeouts.getTimeoutMs(name),
+    );
     if (reply.ok) this._timeouts.noteAnswer(name, utils.monotonicMs() - requestedAtMs);
     else if (reply.val.code === "deadline_passed") this._timeouts.noteTimeout(name);
     const status = reply.ok ? instanceStatusSchema.safeParse(reply.val) : undefined;
--- a/packages/entry/src/orders/OrderKeeper.ts
+++ b/packages/entry/src/orders/OrderReconciler.ts
@@ -1,6 +1,6 @@
 /** Reconciliation of the engines with the placement in force, by one instance per zone, which holds the zone's lease. */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationFold, PipelineObject } from "@shedtiller/intent";
+import type { ConfigurationProjection, PipelineObject } from "@shedtiller/intent";
 import { sendOrder, type LeaseHolder, type Order } from "@shedtiller/lease";
 import type { Member, Membership } from "@shedtiller/membership";
 import type { EndpointDirectory, EndpointEntry } from "@shedtiller/routing";
@@ -8,7 +8,7 @@
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
 import { getZoneSource } from "../feeds/zoneFeedMessages.js";
 import type { VersionRetirement } from "./VersionRetirement.js";
-import type { PartLog } from "../logs/createLogs.js";
+import type { ComponentLog } from "../logs/createLogs.js";
 import { getCompleteVersions } from "./servedVersions.js";
 
 const tickMs = 250;
@@ -16,32 +16,32 @@
  * Time after which engines that check orders drop an order. It is shorter than the final part of a lease, in which its
  * holder may no longer act.
  */
-export const orderLifeMs = 2_000;
+export const orderValidityMs = 2_000;
 const drainTimeoutMs = 30_000;
 /** An engine counts as loading until it reports, but for no longer than this after its order. */
 const maxLoadMs = 30_000;
 
 /** Layers of a version that an engine is to load, by the configuration in force. */
-export interface WantedHolding {
+export interface DesiredLayers {
   readonly model: string;
   readonly version: string;
   readonly layers: [number, number];
 }
 
-/** Dependencies of {@link OrderKeeper}. */
-export interface OrderKeeperStructure {
-  readonly fold: ConfigurationFold;
+/** Dependencies of {@link OrderReconciler}. */
+export interface OrderReconcilerStructure {
+  readonly configuration: ConfigurationProjection;
   readonly directory: EndpointDirectory;
   readonly membership: Membership;
   readonly versions: VersionsInUse;
   readonly retirement: VersionRetirement;
   readonly holder: LeaseHolder;
   readonly timeline: Timeline;
-  readonly log: PartLog;
+  readonly log: ComponentLog;
 }
 
 /** Reconciler that orders engines of its zone, one at a time, to load the layers of the placement in force. */
-export class OrderKeeper {
+export class OrderReconciler {
   private readonly _drainingSinceMs = new Map<string, number>();
   /** Monotonic time until which orders of an older lease may arrive. Engines that don't check orders get none before. */
   private _olderOrdersExpireAtMs = 0;
@@ -51,7 +51,7 @@
   /** Reason, as last logged, why an engine that is to load other layers has got no order yet. */
   private readonly _blockers = new Map<string, string>();
 
-  constructor(private readonly _structure: OrderKeeperStructure) {}
+  constructor(private readonly _structure: OrderReconcilerStructure) {}
 
   /** Reconciles until `signal` aborts, then releases the lease. */
   async run(signal: AbortSignal): Promise<void> {
@@ -65,18 +65,20 @@
   }
 
   private async _tick(): Promise<void> {
-    const { membership, holder, fold, directory } = this._structure;
+    const { membership, holder, configuration: fold, directory } = this._structure;
     const due = this._findEnginesToOrder();
     this._removeSettled();
     if (due.length === 0) return;
-    if (!membership.ownsDuty("orders")) return this._logBlockers(due, "another instance sends the orders");
-    if (!(await holder.keep())) return this._logBlockers(due, "this instance does not hold the lease");
+    if (!membership.ownsZoneRole("orders"))
+      return this._logBlockers(due, "another instance sends the orders");
+    if (!(await holder.acquireOrRenew()))
+      return this._logBlockers(due, "this instance does not hold the lease");
     this._recordToken(holder.getToken());
     // If no engine can be spared, the placement can be reached only through a gap without a complete chain. While engines
     // are loading, waiting may avoid the gap.
     const isGapNeeded = !this._isLoading() && due.every((entry) => !hasChainWithout(fold, directory, entry));
     for (const entry of due) {
-      const desired = getWanted(fold, entry.name);
+      const desired = getDesiredLayers(fold, entry.name);
       if (desired === undefined) continue;
       const blocker =
         this._getBlocker(entry, isGapNeeded) ?? (await this._requestRetirement(entry, isGapNeeded));
@@ -89,11 +91,12 @@
 
   /** Removes the draining times and blockers of engines that have loaded their layers or are gone. */
   private _removeSettled(): void {
-    const { directory, fold } = this._structure;
+    const { directory, configuration: fold } = this._structure;
     for (const records of [this._drainingSinceMs, this._blockers]) {
       for (const name of records.keys()) {
         const entry = directory.getEntry(name);
-        const isSettled = entry?.report !== undefined && hasDesiredLayers(entry, getWanted(fold, name));
+        const isSettled =
+          entry?.report !== undefined && hasDesiredLayers(entry, getDesiredLayers(fold, name));
         if (entry === undefined || isSettled) records.delete(name);
       }
     }
@@ -105,7 +108,7 @@
     const zone = membership.self.availabilityZone;
     const earliestMs = utils.monotonicMs() - maxLoadMs;
     return directory.getEntries().some((entry) => {
-      if (entry.availabilityZone !== zone || entry.isLeaving || entry.isUnreachable) return false;
+      if (entry.availabilityZone !== zone || entry.isDraining || entry.isUnreachable) return false;
       if (entry.report !== undefined) return entry.report.state === "loading";
       return (this._orderedAtMs.get(entry.name) ?? Number.NEGATIVE_INFINITY) >= earliestMs;
     });
@@ -128,7 +131,7 @@
 
   /** Returns the version whose last complete chain an engine is part of; undefined if another chain is complete. */
   private _getLastChain(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
-    const { fold, directory } = this._structure;
+    const { configuration: fold, directory } = this._structure;
     const { report } = entry;
     const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
     if (report?.layers === undefined || pipeline === undefined) return undefined;
@@ -165,17 +168,17 @@
 
   private _recordToken(token: number | undefined): void {
     if (token === undefined || token === this._lastToken) return;
-    if (this._lastToken === undefined) this._olderOrdersExpireAtMs = utils.monotonicMs() + orderLifeMs;
+    if (this._lastToken === undefined) this._olderOrdersExpireAtMs = utils.monotonicMs() + orderValidityMs;
     this._lastToken = token;
   }
 
   /** Returns the engines of this zone that are live and have not loaded the layers of the placement. */
   private _findEnginesToOrder(): EndpointEntry[] {
-    const { directory, membership, fold } = this._structure;
+    const { directory, membership, configuration: fold } = this._structure;
     const zone = membership.self.availabilityZone;
     return directory.getEntries().filter((entry) => {
-      if (entry.availabilityZone !== zone || entry.isLeaving || entry.isUnreachable) return false;
-      return entry.report?.state === "live" && !hasDesiredLayers(entry, getWanted(fold, entry.name));
+      if (entry.availabilityZone !== zone || entry.isDraining || entry.isUnreachable) return false;
+      return entry.report?.state === "live" && !hasDesiredLayers(entry, getDesiredLayers(fold, entry.name));
     });
   }
 
@@ -214,12 +217,12 @@
     }
   }
 
-  private async _sendOrder(entry: EndpointEntry, desired: WantedHolding): Promise<void> {
+  private async _sendOrder(entry: EndpointEntry, desired: DesiredLayers): Promise<void> {
     const { holder, timeline, log } = this._structure;
     // The lease is checked again just before the order is sent, since this process may have been suspended meanwhile.
     const fencingToken = holder.getToken();
     if (fencingToken === undefined) return;
-    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderLifeMs, ...desired };
+    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderValidityMs, ...desired };
     timeline.add("order-sent", {
       subject: entry.name,
       detail: `${desired.model}@${desired.version} [${desired.layers.join(",")})`,
@@ -238,7 +241,7 @@
 }
 
 /** Returns the layers that the configuration assigns to an engine; undefined if it assigns none. */
-export function getWanted(fold: ConfigurationFold, endpoint: string): WantedHolding | undefined {
+export function getDesiredLayers(fold: ConfigurationProjection, endpoint: string): DesiredLayers | undefined {
   for (const pipeline of fold.getObjects("pipeline")) {
     const layers = pipeline.placement?.[endpoint];
     if (layers !== undefined) return toDesiredLayers(pipeline, layers);
@@ -246,11 +249,11 @@
   return undefined;
 }
 
-function toDesiredLayers(pipeline: PipelineObject, layers: [number, number]): WantedHolding {
+function toDesiredLayers(pipeline: PipelineObject, layers: [number, number]): DesiredLayers {
   return { model: pipeline.name, version: pipeline.version, layers };
 }
 
-function hasDesiredLayers(entry: EndpointEntry, desired: WantedHolding | undefined): boolean {
+function hasDesiredLayers(entry: EndpointEntry, desired: DesiredLayers | undefined): boolean {
   const report = entry.report;
   if (desired === undefined || report === undefined) return true;
   const isSameModel = report.model === desired.model && report.version === desired.version;
@@ -259,7 +262,7 @@
 
 /** Returns whether the model that an engine serves now keeps a complete chain of some version without that engine. */
 function hasChainWithout(
-  fold: ConfigurationFold,
+  fold: ConfigurationProjection,
   directory: EndpointDirectory,
   entry: EndpointEntry,
 ): boolean {
@@ -270,7 +273,7 @@
 }
 
 /** Marks the engines that are to load other layers, so that new requests avoid them. */
-export function updateRetiring(fold: ConfigurationFold, directory: EndpointDirectory): void {
+export function markRetiringEngines(fold: ConfigurationProjection, directory: EndpointDirectory): void {
   for (const entry of directory.getEntries())
-    entry.isRetiring = !hasDesiredLayers(entry, getWanted(fold, entry.name));
+    entry.isRetiring = !hasDesiredLayers(entry, getDesiredLayers(fold, entry.name));
 }
--- a/packages/entry/src/parts.ts
+++ b/packages/entry/src/serviceIdentifiers.ts
@@ -1,5 +1,5 @@
 /** Identifiers of services that are bound in the container under a symbol instead of a class. */
-export const parts = {
+export const serviceIdentifiers = {
   settings: Symbol.for("shedtiller.settings"),
   secrets: Symbol.for("shedtiller.secrets"),
   logs: Symbol.for("shedtiller.logs"),
--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -1,12 +1,12 @@
 /** Gives requests chains with room; those that find none wait, the most urgent first, and first those that can still be in time. */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { PermitForecast } from "../requests/PermitForecast.js";
 import type { RequestDemand } from "../requests/RequestDemand.js";
 import type { ChainChooser } from "./ChainChooser.js";
 import { ChainReservation } from "./ChainReservation.js";
-import type { ChainDemand } from "./coverLayers.js";
+import type { ChainDemand } from "./findCheapestChain.js";
 
 /** Room may also come free at peers, which tell of it; this is how often waiting requests look again. */
 const lookAgainMs = 50;
@@ -22,19 +22,19 @@
 const shortestRetryAfterMs = 500;
 
 /** Who waits for a chain. */
-export interface ChainApplicant {
+export interface ChainAcquisition {
   readonly service: string;
   readonly demand: ChainDemand;
   /** 0 is the most urgent. */
   readonly priority: number;
-  readonly patienceMs: number;
+  readonly maxWaitMs: number;
   /** Monotonic time until which a chain still lets the answer be in time; infinite where it is late or begun already. */
-  readonly inTimeUntilMs: number;
+  readonly latestStartAtMs: number;
   readonly signal: AbortSignal;
 }
 
 interface Waiter {
-  readonly applicant: ChainApplicant;
+  readonly applicant: ChainAcquisition;
   readonly done: utils.Deferred<ChainReservation | undefined>;
   /** Monotonic time at which its patience ends. */
   readonly giveUpAtMs: number;
@@ -50,7 +50,7 @@
   private _releaseIntervalMs = initialReleaseIntervalMs;
 
   constructor(
-    private readonly _keeper: ConfigurationKeeper,
+    private readonly _keeper: ActiveConfiguration,
     private readonly _endpoints: EndpointTable,
     private readonly _chooser: ChainChooser,
     private readonly _demand: RequestDemand,
@@ -68,15 +68,15 @@
   }
 
   /** Reserves a chain, waiting for room; undefined once the patience is over or the caller has left. */
-  async acquire(applicant: ChainApplicant): Promise<ChainReservation | undefined> {
+  async acquire(applicant: ChainAcquisition): Promise<ChainReservation | undefined> {
     if (!this.hasEndpoints(applicant.service)) return undefined;
     const ahead = this._countAhead(applicant);
     const reservation = ahead === 0 ? this._tryReserve(applicant) : undefined;
     if (reservation !== undefined) return reservation;
     // An engine that another one stands in for comes with a load of layers, which takes seconds.
-    if (applicant.demand.spares === "only") return undefined;
+    if (applicant.demand.redundantFirstEngine === "only") return undefined;
     // A refusal at once lets the caller come back in time; one after a wait in vain does not.
-    if (this._getWaitMs(applicant.service, ahead) > applicant.patienceMs) return undefined;
+    if (this._getWaitMs(applicant.service, ahead) > applicant.maxWaitMs) return undefined;
     return this._wait(applicant);
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Those that wait and go before one that comes now. */
-  private _countAhead(applicant: ChainApplicant): number {
+  private _countAhead(applicant: ChainAcquisition): number {
     const nowMs = utils.monotonicMs();
     return this._waiters.filter((waiter) => compareTurns(waiter.applicant, applicant, nowMs) <= 0).length;
   }
@@ -148,15 +148,15 @@
     }
   }
 
-  private async _wait(applicant: ChainApplicant): Promise<ChainReservation | undefined> {
+  private async _wait(applicant: ChainAcquisition): Promise<ChainReservation | undefined> {
     const done = new utils.Deferred<ChainReservation | undefined>();
     const giveUp = (): void => {
       this._remove(waiter);
       done.resolve(undefined);
     };
-    const giveUpAtMs = utils.monotonicMs() + applicant.patienceMs;
+    const giveUpAtMs = utils.monotonicMs() + applicant.maxWaitMs;
     const waiter: Waiter = { applicant, done, giveUpAtMs, giveUp };
-    const timer = setTimeout(giveUp, applicant.patienceMs);
+    const timer = setTimeout(giveUp, applicant.maxWaitMs);
     applicant.signal.addEventListener("abort", giveUp, { once: true });
     this._waiters.push(waiter);
     this._lookAgainTimer ??= setInterval(() => this._lookAgain(), lookAgainMs);
@@ -175,7 +175,7 @@
     this._lookAgainTimer = undefined;
   }
 
-  private _tryReserve(applicant: ChainApplicant): ChainReservation | undefined {
+  private _tryReserve(applicant: ChainAcquisition): ChainReservation | undefined {
     const profile = this._keeper.table?.getEngineProfile(applicant.service);
     if (profile === undefined) return undefined;
     const endpoints = this._endpoints.getUsable(applicant.service);
@@ -188,7 +188,7 @@
   }
 }
 
-function countTokens({ demand }: ChainApplicant): number {
+function countTokens({ demand }: ChainAcquisition): number {
   return demand.promptTokens + demand.answerTokens;
 }
 
@@ -196,7 +196,7 @@
  * By priority; among equals those that can still be in time go first, and otherwise those that came first. Where more come than
  * can be served, an order by arrival alone makes all of them late.
  */
-function compareTurns(a: ChainApplicant, b: ChainApplicant, nowMs: number): number {
-  const isLate = (applicant: ChainApplicant): number => (nowMs > applicant.inTimeUntilMs ? 1 : 0);
+function compareTurns(a: ChainAcquisition, b: ChainAcquisition, nowMs: number): number {
+  const isLate = (applicant: ChainAcquisition): number => (nowMs > applicant.latestStartAtMs ? 1 : 0);
   return a.priority - b.priority || isLate(a) - isLate(b);
 }
--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -4,7 +4,7 @@
 import type { AcceleratorKind, EngineProfile } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { ChainStage } from "../http/MessageCodec.js";
-import { coverLayers, type ChainCandidate, type ChainDemand } from "./coverLayers.js";
+import { findCheapestChain, type ChainCandidate, type ChainDemand } from "./findCheapestChain.js";
 import { getCapacityTokenLayers, getKind, getStepMs, getUnqueuedRequests } from "./engineModel.js";
 
 /** Share of an engine's room that is handed out; the rest covers answers longer than guessed. */
@@ -55,8 +55,8 @@
     demand: ChainDemand,
   ): ChainStage[] | undefined {
     const sparing = this._chooseAmong(endpoints, profile, demand);
-    if (sparing !== undefined || demand.spares !== "rather") return sparing;
-    return this._chooseAmong(endpoints, profile, { ...demand, spares: undefined });
+    if (sparing !== undefined || demand.redundantFirstEngine !== "rather") return sparing;
+    return this._chooseAmong(endpoints, profile, { ...demand, redundantFirstEngine: undefined });
   }
 
   private _chooseAmong(
@@ -66,15 +66,16 @@
   ): ChainStage[] | undefined {
     const { layerCount } = profile;
     const wholeZones = getWholeZones(endpoints, layerCount, this._nowMs());
-    const spared = demand.spares === undefined ? undefined : getLastFirsts(endpoints, this._nowMs());
+    const spared =
+      demand.redundantFirstEngine === undefined ? undefined : getLastFirsts(endpoints, this._nowMs());
     const candidates = endpoints.flatMap((endpoint) =>
       this._toCandidates(endpoint, profile, demand, wholeZones).map((candidate) =>
-        spared?.has(endpoint) === true ? { ...candidate, mayBegin: false } : candidate,
+        spared?.has(endpoint) === true ? { ...candidate, canBeFirst: false } : candidate,
       ),
     );
     return (
-      coverLayers(candidates, layerCount, demand, "one-zone") ??
-      coverLayers(candidates, layerCount, demand, "several-zones")
+      findCheapestChain(candidates, layerCount, demand, "one-zone") ??
+      findCheapestChain(candidates, layerCount, demand, "several-zones")
     );
   }
 
@@ -86,9 +87,9 @@
   ): ChainCandidate[] {
     const nowMs = this._nowMs();
     if (endpoint.isSuspect(nowMs) || nowMs < endpoint.refusedUntilMs) return [];
-    if (endpoint.failures.isAvoided(nowMs)) return [];
+    if (endpoint.circuitBreaker.isOpen(nowMs)) return [];
     // A stream that is moved stays with its first engine, which asked for no new ones.
-    if (endpoint.rest.getLeftMs(nowMs) > 0 && endpoint.id !== demand.firstEndpointId) return [];
+    if (endpoint.backoff.getLeftMs(nowMs) > 0 && endpoint.id !== demand.firstEndpointId) return [];
     if (demand.refusedBy?.has(endpoint.listed.address) === true) return [];
     const kind = getKind(endpoint, profile);
     if (kind === undefined) return [];
@@ -101,7 +102,7 @@
     const tokenFullness = capacity <= 0 ? 1 : load.tokenLayers / capacity;
     const fullness = Math.max(tokenFullness, load.requests / getUnqueuedRequests(endpoint, profile));
     const state = { sequences: load.requests + 1, slowness: endpoint.slowness };
-    const spread = demand.isSpread === true ? 1 + spreadRange * (this._random() - 0.5) : 1;
+    const spread = demand.isRandomized === true ? 1 + spreadRange * (this._random() - 0.5) : 1;
     const crowding = 1 + fullRoomFactor * fullness ** 2;
     const msPerLayer = getMsPerLayer(profile, kind, demand, state) * crowding * spread;
     const countFree = (share: number): number =>
@@ -117,8 +118,8 @@
       end,
       msPerLayer,
       freeLayers,
-      freeLayersAcross,
-      mayBegin,
+      freeLayersCrossZone: freeLayersAcross,
+      canBeFirst: mayBegin,
     }));
   }
 }
@@ -139,7 +140,7 @@
 function getLastFirsts(endpoints: readonly Endpoint[], nowMs: number): Set<Endpoint> {
   // One that has just failed a request may have crashed, and stands in for nobody.
   const sound = endpoints.filter(
-    (endpoint) => !endpoint.isSuspect(nowMs) && !endpoint.failures.isAvoided(nowMs),
+    (endpoint) => !endpoint.isSuspect(nowMs) && !endpoint.circuitBreaker.isOpen(nowMs),
   );
   const firsts = sound.filter(({ listed }) => listed.layers.some(({ start }) => start === 0));
   const zones = utils.groupBy(firsts, (endpoint) => endpoint.listed.availabilityZone);
--- a/packages/gateway/src/chains/describeRoom.ts
+++ b/packages/gateway/src/chains/describeFreeCapacity.ts
@@ -2,10 +2,10 @@
 import { utils } from "@shedtiller/common";
 import type { EngineProfile } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
-import { getCapacityTokenLayers, getHeldLayers } from "./engineModel.js";
+import { getCapacityTokenLayers, countLoadedLayers } from "./engineModel.js";
 
 /** For each zone the layers with the least room, and the tokens that fit there: `zone:46-63=1200`. */
-export function describeRoom(
+export function describeFreeCapacity(
   endpoints: readonly Endpoint[],
   profile: EngineProfile,
   nowMs: number,
@@ -23,7 +23,7 @@
 function getFreeTokensByLayer(members: readonly Endpoint[], profile: EngineProfile): number[] {
   const tokens = new Array<number>(profile.layerCount).fill(0);
   for (const member of members) {
-    const held = getHeldLayers(member);
+    const held = countLoadedLayers(member);
     const free = Math.max(0, getCapacityTokenLayers(member, profile) - member.getLoad().tokenLayers);
     for (const { start, end } of member.listed.layers) {
       for (let layer = start; layer < end; layer++) tokens[layer] = (tokens[layer] ?? 0) + free / held;
--- a/packages/gateway/src/chains/engineModel.ts
+++ b/packages/gateway/src/chains/engineModel.ts
@@ -15,7 +15,7 @@
 }
 
 /** How many layers an engine holds. */
-export function getHeldLayers(endpoint: Endpoint): number {
+export function countLoadedLayers(endpoint: Endpoint): number {
   return utils.getSum(endpoint.listed.layers.map((span) => span.end - span.start));
 }
 
@@ -26,7 +26,7 @@
  * events come after 600 ms, at 1.4 17 and at 1.7 45.
  */
 export function getUnqueuedRequests(endpoint: Endpoint, profile: EngineProfile): number {
-  const held = Math.max(1, getHeldLayers(endpoint));
+  const held = Math.max(1, countLoadedLayers(endpoint));
   const passes = (profile.usualAnswerTokens / profile.stepsPerPass) * (profile.layerCount / held);
   return passes * (profile.promptTokensPerPass / profile.usualPromptTokens);
 }
@@ -35,7 +35,7 @@
 export function getCapacityTokenLayers(endpoint: Endpoint, profile: EngineProfile): number {
   const kind = getKind(endpoint, profile);
   if (kind === undefined) return 0;
-  const freeMb = kind.memoryMb - getHeldLayers(endpoint) * profile.layerMb;
+  const freeMb = kind.memoryMb - countLoadedLayers(endpoint) * profile.layerMb;
   return (Math.max(0, freeMb) * bytesPerMb) / (profile.kvBytesPerToken / profile.layerCount);
 }
 
--- a/packages/gateway/src/chains/coverLayers.ts
+++ b/packages/gateway/src/chains/findCheapestChain.ts
@@ -16,12 +16,12 @@
    * Whether the choice is spread by chance over engines of like cost. For streams that many instances move at the same
    * moment: each knows the others' load only as it was before.
    */
-  readonly isSpread?: boolean | undefined;
+  readonly isRandomized?: boolean | undefined;
   /**
    * For a request that may have crashed an engine: whether it begins only, or rather, where another engine of the zone holds the first
    * layers, too. A zone that loses its last first engine serves nobody until another one has loaded them.
    */
-  readonly spares?: "rather" | "only" | undefined;
+  readonly redundantFirstEngine?: "rather" | "only" | undefined;
   /** Addresses of engines that have refused this request: what hindered them is seldom gone within milliseconds. */
   readonly refusedBy?: ReadonlySet<string> | undefined;
 }
@@ -47,9 +47,9 @@
   /** Layers that the request's tokens still fit into. */
   readonly freeLayers: number;
   /** The same for a chain that changes zones on its way. */
-  readonly freeLayersAcross: number;
+  readonly freeLayersCrossZone: number;
   /** Whether another request may begin here: an engine has slots, and may name a limit, for those that it gets as the first of their chain. */
-  readonly mayBegin: boolean;
+  readonly canBeFirst: boolean;
 }
 
 /** Whether a chain may change zones on its way. */
@@ -68,7 +68,7 @@
 type Labels = Map<number, Map<string, Label>>;
 
 /** Gives the cheapest chain that runs all layers, boundary by boundary (dynamic programming); undefined if there is none. */
-export function coverLayers(
+export function findCheapestChain(
   candidates: readonly ChainCandidate[],
   layerCount: number,
   demand: ChainDemand,
@@ -118,7 +118,7 @@
     const isFirst = label.candidate === undefined;
     if (isFirst && firstEndpointId !== undefined && candidate.endpoint.id !== firstEndpointId) return false;
     // A request that is moved has its slot at its first engine already.
-    if (isFirst && firstEndpointId === undefined && !candidate.mayBegin) return false;
+    if (isFirst && firstEndpointId === undefined && !candidate.canBeFirst) return false;
     if (this._reach === "one-zone" && !isFirst && changesZone(label, candidate)) return false;
     return !isUsed(label, candidate);
   }
@@ -144,7 +144,7 @@
   }
 
   private _getFreeLayers(candidate: ChainCandidate): number {
-    return this._reach === "one-zone" ? candidate.freeLayers : candidate.freeLayersAcross;
+    return this._reach === "one-zone" ? candidate.freeLayers : candidate.freeLayersCrossZone;
   }
 
   private _getZoneMs(label: Label, candidate: ChainCandidate): number {
--- a/packages/gateway/src/http/EndpointStatement.ts
+++ b/packages/gateway/src/http/EndpointStatement.ts
@@ -8,7 +8,7 @@
   | { readonly kind: "unreadable"; readonly text: string };
 
 /** When an endpoint states that requests may come back. */
-export type StatedReturn =
+export type StatedRetryAfter =
   | { readonly kind: "none" }
   | { readonly kind: "named"; readonly afterMs: number }
   /** Not a time that can be meant; `text` is what was sent. */
@@ -17,11 +17,11 @@
 /** All that an answer says of its endpoint, whatever it answers. */
 export interface EndpointStatement {
   readonly limit: StatedLimit;
-  readonly comeBack: StatedReturn;
+  readonly retryAfter: StatedRetryAfter;
   /** Whether the endpoint will end soon and takes nothing new. */
-  readonly isLeaving: boolean;
+  readonly isDraining: boolean;
   /** Names, in lower case, of headers that nothing reads; they may state what this version does not know. */
-  readonly unknownNames: readonly string[];
+  readonly unknownHeaderNames: readonly string[];
 }
 
 /** A statement with what is needed to weigh it. */
@@ -33,9 +33,9 @@
 }
 
 /** Says nothing. */
-export const noStatement: EndpointStatement = {
+export const emptyStatement: EndpointStatement = {
   limit: { kind: "none" },
-  comeBack: { kind: "none" },
-  isLeaving: false,
-  unknownNames: [],
+  retryAfter: { kind: "none" },
+  isDraining: false,
+  unknownHeaderNames: [],
 };
--- a/packages/gateway/src/http/HttpCall.ts
+++ b/packages/gateway/src/http/HttpCall.ts
@@ -39,7 +39,7 @@
 }
 
 /** A whole answer. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Buffer;
--- a/packages/gateway/src/http/HttpCaller.ts
+++ b/packages/gateway/src/http/HttpClient.ts
@@ -1,13 +1,13 @@
 /** Calls over HTTP/1.1 to endpoints and to the store, with what is known of a call that failed. */
 import * as http from "node:http";
 import { results } from "@shedtiller/common";
-import type { CallError, HttpAnswer, HttpCall, WholeAnswer } from "./HttpCall.js";
+import type { CallError, HttpAnswer, HttpCall, BufferedAnswer } from "./HttpCall.js";
 import { HttpExchange } from "./HttpExchange.js";
 import { KeptAgent } from "./KeptAgent.js";
 import { readBody } from "./readBody.js";
 
 /** Makes calls over kept or fresh connections. */
-export class HttpCaller {
+export class HttpClient {
   private readonly _kept = new KeptAgent();
   private readonly _fresh = new http.Agent({ keepAlive: false });
 
@@ -25,7 +25,7 @@
     maxBytes: number,
     bodyTimeoutMs: number,
     bodyStallMs = bodyTimeoutMs,
-  ): Promise<results.Result<WholeAnswer, CallError>> {
+  ): Promise<results.Result<BufferedAnswer, CallError>> {
     const head = await this.send(call);
     if (head.err) return head;
     const body = await readBody(head.val, call.address, maxBytes, bodyTimeoutMs, bodyStallMs);
@@ -34,7 +34,7 @@
   }
 
   /** Ends the connections to an address that rest. */
-  dropRested(address: string): void {
+  closeIdleConnections(address: string): void {
     this._kept.dropRested(address);
   }
 
--- a/packages/gateway/src/requests/CallerListener.ts
+++ b/packages/gateway/src/requests/CallerListener.ts
@@ -1,13 +1,19 @@
 /** The callers' HTTP side: reads requests within their limits, checks route and key, and hands them to a forwarder. */
 import * as http from "node:http";
 import { utils } from "@shedtiller/common";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
-import type { DenialProof } from "../configuration/DenialProof.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
+import type { DenialFreshness } from "../configuration/DenialFreshness.js";
 import type { CallerLimits } from "../configuration/gatewayConfiguration.js";
 import type { CallerFields, MessageCodec } from "../http/MessageCodec.js";
 import { startListening, stopListening } from "../http/startListening.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import { admitCaller, isDenial, unprovenDenial, type Admitted, type Refusal } from "./admitCaller.js";
+import {
+  admitCaller,
+  isDenial,
+  staleConfigurationRefusal,
+  type AdmittedRequest,
+  type Refusal,
+} from "./admitCaller.js";
 import { CallerRequest } from "./CallerRequest.js";
 import { sendRefusal } from "./sendRefusal.js";
 
@@ -32,16 +38,16 @@
 export interface CallerListenerStructure {
   readonly host: string;
   readonly port: number;
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly codec: MessageCodec;
   readonly log: DecisionLog;
   /** Whether keys may be taken at their word now. */
   readonly areKeysFresh: () => boolean;
   /** Whether what the configuration does not have may be denied for good. */
-  readonly denials: Pick<DenialProof, "isProven" | "wait">;
+  readonly denialFreshness: Pick<DenialFreshness, "isFresh" | "waitUntilFresh">;
   readonly forward: (request: CallerRequest) => Promise<void>;
   /** How long a request may wait for the first configuration, replaced in tests. */
-  readonly startPatienceMs?: number;
+  readonly startupTimeoutMs?: number;
 }
 
 /** One listener an instance. */
@@ -59,11 +65,11 @@
       },
     );
     this._server.on("clientError", (_error, socket) => socket.destroy());
-    _structure.keeper.onChanged((table) => this._applyLimits(table.configuration.limits));
+    _structure.activeConfiguration.onChanged((table) => this._applyLimits(table.configuration.limits));
   }
 
   /** Requests that have no final answer yet. */
-  get inHand(): number {
+  get inFlight(): number {
     return this._inHand;
   }
 
@@ -82,7 +88,7 @@
    * From now on new requests are refused unless they surely end before the process does.
    * @param endsAtMs - Monotonic time of the end.
    */
-  refuseLasting(endsAtMs: number): void {
+  setStopDeadline(endsAtMs: number): void {
     this._endsAtMs = endsAtMs;
   }
 
@@ -108,7 +114,7 @@
     response.on("error", () => undefined);
     const fields = this._structure.codec.decodeCaller(message.rawHeaders);
     try {
-      await this._structure.keeper.waitUntilKnown(this._getStartPatienceMs(fields));
+      await this._structure.activeConfiguration.waitUntilKnown(this._getStartPatienceMs(fields));
       if (response.destroyed) return;
       const admitted = await this._admitProven(message, fields);
       if (response.destroyed) return;
@@ -124,7 +130,7 @@
   }
 
   private _getStartPatienceMs({ deadlineMs }: CallerFields): number {
-    const patienceMs = this._structure.startPatienceMs ?? longestStartPatienceMs;
+    const patienceMs = this._structure.startupTimeoutMs ?? longestStartPatienceMs;
     return Math.min(patienceMs, (deadlineMs ?? Number.POSITIVE_INFINITY) * startDeadlineShare);
   }
 
@@ -132,17 +138,17 @@
   private async _admitProven(
     message: http.IncomingMessage,
     fields: CallerFields,
-  ): Promise<Admitted | Refusal> {
-    const { denials } = this._structure;
+  ): Promise<AdmittedRequest | Refusal> {
+    const { denialFreshness: denials } = this._structure;
     const admitted = this._admit(message, fields);
-    if (!isDenial(admitted) || denials.isProven()) return admitted;
-    const isProven = await denials.wait(this._getStartPatienceMs(fields));
+    if (!isDenial(admitted) || denials.isFresh()) return admitted;
+    const isProven = await denials.waitUntilFresh(this._getStartPatienceMs(fields));
     const again = this._admit(message, fields);
-    return isDenial(again) && !isProven ? unprovenDenial : again;
+    return isDenial(again) && !isProven ? staleConfigurationRefusal : again;
   }
 
-  private _admit(message: http.IncomingMessage, fields: CallerFields): Admitted | Refusal {
-    const { keeper, areKeysFresh } = this._structure;
+  private _admit(message: http.IncomingMessage, fields: CallerFields): AdmittedRequest | Refusal {
+    const { activeConfiguration: keeper, areKeysFresh } = this._structure;
     const host = (message.headers.host ?? "").replace(/:\d+$/, "");
     const claim = { host, path: message.url ?? "/", apiKey: fields.apiKey };
     const admitted = admitCaller(claim, keeper.table, areKeysFresh);
@@ -156,7 +162,7 @@
     message: http.IncomingMessage,
     response: http.ServerResponse,
     fields: CallerFields,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     body: Buffer,
     arrivedAtMs: number,
   ): Promise<void> {
@@ -193,7 +199,7 @@
     fields: CallerFields,
     refusal: Refusal,
   ): void {
-    const { keeper, codec, log } = this._structure;
+    const { activeConfiguration: keeper, codec, log } = this._structure;
     message.resume();
     sendRefusal(
       response,
@@ -208,7 +214,7 @@
       path: message.url,
       reason: refusal.reason,
       version: keeper.version,
-      proofAgeMs: Math.round(keeper.getProofAgeMs()),
+      proofAgeMs: Math.round(keeper.getFreshnessAgeMs()),
     });
   }
 }
--- a/packages/gateway/src/requests/EventSplitter.ts
+++ b/packages/gateway/src/requests/EventSplitter.ts
@@ -5,7 +5,7 @@
 const idPattern = /^id:[ ]?(.*)$/gm;
 
 /** Whole events, and the id of the last one that has an id. */
-export interface WholeEvents {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastId: string | undefined;
 }
@@ -15,12 +15,12 @@
   private _rest: Buffer = Buffer.alloc(0);
 
   /** Whether bytes of an event that is not whole are held. */
-  get hasRest(): boolean {
+  get hasPartialEvent(): boolean {
     return this._rest.length > 0;
   }
 
   /** Takes bytes; gives the events that are whole now, or undefined. */
-  push(bytes: Buffer): WholeEvents | undefined {
+  push(bytes: Buffer): CompleteEvents | undefined {
     const all = this._rest.length === 0 ? bytes : Buffer.concat([this._rest, bytes]);
     const end = findLastEventEnd(all);
     this._rest = all.subarray(end);
--- a/packages/gateway/src/requests/PermitForecast.ts
+++ b/packages/gateway/src/requests/PermitForecast.ts
@@ -81,7 +81,7 @@
   /** What holds a service up, for the line of a refusal: `address=2/s for 1200 ms`, `address rests for 800 ms`. */
   describe(service: string): string[] {
     const nowMs = this._nowMs();
-    return this._getCandidates(service).flatMap(({ listed, limit, rest }) => {
+    return this._getCandidates(service).flatMap(({ listed, limit, backoff: rest }) => {
       const restMs = rest.getLeftMs(nowMs);
       if (restMs > 0) return [`${listed.address} rests for ${Math.round(restMs)} ms`];
       if (limit?.perSecond === undefined) return [];
@@ -92,7 +92,9 @@
   /** The limits of all endpoints that may begin a request; undefined where one of them takes it now, or there is none. */
   private _getLimits(service: string): number[] | undefined {
     const nowMs = this._nowMs();
-    const first = getFirst(this._getCandidates(service)).filter(({ rest }) => rest.getLeftMs(nowMs) === 0);
+    const first = getFirst(this._getCandidates(service)).filter(
+      ({ backoff: rest }) => rest.getLeftMs(nowMs) === 0,
+    );
     if (first.length === 0 || first.some((endpoint) => endpoint.hasPermit(nowMs))) return undefined;
     return first.map((endpoint) => endpoint.limit?.perSecond ?? returningPerSecond);
   }
@@ -104,17 +106,17 @@
   private _getRestMs(service: string, ahead = 0): number {
     const nowMs = this._nowMs();
     const candidates = this._getCandidates(service);
-    const awake = candidates.filter(({ rest }) => rest.getLeftMs(nowMs) === 0);
+    const awake = candidates.filter(({ backoff: rest }) => rest.getLeftMs(nowMs) === 0);
     if (awake.length === candidates.length || isServable(awake, candidates)) return 0;
     const resting = candidates
       .filter((candidate) => !awake.includes(candidate))
-      .sort((a, b) => a.rest.untilMs - b.rest.untilMs);
+      .sort((a, b) => a.backoff.untilMs - b.backoff.untilMs);
     const back = resting.findIndex((_, index) =>
       isServable([...awake, ...resting.slice(0, index + 1)], candidates),
     );
     if (back < 0) return 0;
     const returns = Math.floor(ahead / requestsPerReturn);
-    return resting[Math.min(back + returns, resting.length - 1)]?.rest.getLeftMs(nowMs) ?? 0;
+    return resting[Math.min(back + returns, resting.length - 1)]?.backoff.getLeftMs(nowMs) ?? 0;
   }
 
   private _getCandidates(service: string): Endpoint[] {
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -1,13 +1,13 @@
 /** The parts that forwarders share, and the abstract class of the variants. */
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { RouteTarget } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointStatements } from "../discovery/EndpointStatements.js";
-import type { EndpointSuspicions } from "../discovery/EndpointSuspicions.js";
-import type { CrashWatch } from "../crashes/CrashWatch.js";
+import type { FailureDetector } from "../discovery/FailureDetector.js";
+import type { CrashDetector } from "../crashes/CrashDetector.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { HttpCall } from "../http/HttpCall.js";
-import type { HttpCaller } from "../http/HttpCaller.js";
+import type { HttpClient } from "../http/HttpClient.js";
 import type { ChainStage, MessageCodec } from "../http/MessageCodec.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { CallerRequest } from "./CallerRequest.js";
@@ -17,31 +17,31 @@
 
 /** What every forwarder works with. */
 export interface ForwardContext {
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
-  readonly caller: HttpCaller;
+  readonly httpClient: HttpClient;
   readonly codec: MessageCodec;
   readonly budgets: RetryBudgets;
   readonly log: DecisionLog;
   readonly availabilityZone: string;
-  readonly suspicions: Pick<EndpointSuspicions, "noteSilent" | "noteNamed" | "noteNotHeld">;
+  readonly suspicions: Pick<FailureDetector, "noteSilent" | "noteNamed" | "noteNotHeld">;
   readonly crashes: Pick<
-    CrashWatch,
+    CrashDetector,
     | "isQuiet"
     | "begin"
     | "end"
     | "noteCompleted"
     | "noteLost"
-    | "getHeldBackMs"
+    | "getQuarantineMs"
     | "waitForTurn"
-    | "getShunned"
+    | "getAvoidedEndpointIds"
     | "getRisk"
   >;
   readonly statements: Pick<EndpointStatements, "noteAnswer">;
   readonly demand: RequestDemand;
   readonly forecast: PermitForecast;
   /** Tells the peers that an endpoint refused for want of room. */
-  readonly tellFull: (endpointId: string) => void;
+  readonly broadcastFull: (endpointId: string) => void;
 }
 
 /** A connection that does not stand after this is given up: round trips are below 2 ms, a lost opening packet costs 1 s. */
@@ -101,7 +101,7 @@
     const { crashes } = this.context;
     if (crashes.isQuiet) return false;
     await crashes.waitForTurn(request);
-    const heldBackMs = crashes.getHeldBackMs(request);
+    const heldBackMs = crashes.getQuarantineMs(request);
     if (heldBackMs === undefined) return false;
     this.context.log.info("request-held-back", {
       requestId: request.id,
--- a/packages/gateway/src/requests/RetryBudgets.ts
+++ b/packages/gateway/src/requests/RetryBudgets.ts
@@ -50,7 +50,7 @@
   }
 
   /** Takes the number of instances that share the slack. Those that left may have used their parts of this window. */
-  setInstances(count: number): void {
+  setInstanceCount(count: number): void {
     const sharers = Math.max(1, count);
     if (sharers >= this._sharers || !this._hasRetried) {
       this._sharers = sharers;
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -70,12 +70,12 @@
 
   /** Looks at all runs from time to time until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const pauses = new utils.PauseWatch(checkIntervalMs, this._nowMs);
+    const pauses = new utils.PauseDetector(checkIntervalMs, this._nowMs);
     await utils.repeat(
       checkIntervalMs,
       signal,
       () => {
-        this.noteOwnPause(pauses.noteTick());
+        this.noteSuspension(pauses.noteTick());
         void this.check();
       },
       (error) => {
@@ -85,8 +85,8 @@
   }
 
   /** Takes note that this instance stood still: what the streams sent meanwhile is not read yet, and none of them was silent so long. */
-  noteOwnPause(pauseMs: number): void {
-    for (const attempt of this._attempts) attempt.lastSignAtMs += pauseMs;
+  noteSuspension(pauseMs: number): void {
+    for (const attempt of this._attempts) attempt.lastActivityAtMs += pauseMs;
   }
 
   /** Looks at all runs once; resolves when what the look led to is done. */
@@ -94,7 +94,7 @@
     const nowMs = this._nowMs();
     const firsts = new Set<string>();
     for (const attempt of this._attempts) {
-      const silenceMs = nowMs - attempt.lastSignAtMs;
+      const silenceMs = nowMs - attempt.lastActivityAtMs;
       if (silenceMs >= giveUpSilenceMs && attempt.request.isIdempotent) attempt.abort.abort();
       else if (silenceMs >= getAllowedSilenceMs(attempt) && attempt.firstStage !== undefined) {
         firsts.add(attempt.firstStage.endpointId);
@@ -140,7 +140,7 @@
     const nowMs = this._nowMs();
     for (const attempt of this._attempts) {
       if (attempt.firstStage?.endpointId !== endpointId || !attempt.request.isIdempotent) continue;
-      if (nowMs - attempt.lastSignAtMs >= laterEventSilenceMs) attempt.abort.abort();
+      if (nowMs - attempt.lastActivityAtMs >= laterEventSilenceMs) attempt.abort.abort();
     }
   }
 
@@ -161,12 +161,12 @@
 
   private async _move(attempt: StreamAttempt, faultyAddress: string): Promise<void> {
     const first = attempt.firstStage;
-    const profile = this._context.keeper.table?.getEngineProfile(attempt.service);
+    const profile = this._context.activeConfiguration.table?.getEngineProfile(attempt.service);
     if (first === undefined || profile === undefined) return;
     if (first.address === faultyAddress) return this._giveUp(attempt, "the first engine stands still");
     const faulty = findNamedEndpoint(this._context.endpoints, attempt.reservation.stages, faultyAddress);
     if (faulty !== undefined) void this._context.crashes.noteLost(attempt, faulty);
-    if (this._context.crashes.getHeldBackMs(attempt.request) !== undefined)
+    if (this._context.crashes.getQuarantineMs(attempt.request) !== undefined)
       return this._giveUp(attempt, "its request is held back");
     // The room that the stream holds now is its own, and must not look taken to it.
     const before = attempt.reservation.stages;
@@ -185,7 +185,7 @@
       attempt.reservation.move(before);
       return this._noteRefused(attempt, moved.val, chain);
     }
-    attempt.lastSignAtMs = this._nowMs();
+    attempt.lastActivityAtMs = this._nowMs();
     attempt.progress.moves += 1;
     this._context.log.info("chain-changed", {
       requestId: attempt.request.id,
@@ -205,7 +205,7 @@
       availabilityZone: this._context.availabilityZone,
       firstEndpointId: first.endpointId,
       firstEnd: first.end,
-      isSpread: true,
+      isRandomized: true,
     });
   }
 
--- a/packages/gateway/src/requests/StreamAttempt.ts
+++ b/packages/gateway/src/requests/StreamAttempt.ts
@@ -3,7 +3,7 @@
 import type { ChainReservation } from "../chains/ChainReservation.js";
 import type { HttpAnswer } from "../http/HttpCall.js";
 import type { ChainStage } from "../http/MessageCodec.js";
-import type { WatchedRun } from "../crashes/CrashWatch.js";
+import type { TrackedRun } from "../crashes/CrashDetector.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { CallerRequest } from "./CallerRequest.js";
 import { EventSplitter } from "./EventSplitter.js";
@@ -13,13 +13,13 @@
 export type StreamEnd = "completed" | "broken" | "caller-left";
 
 /** One run. Its silence is watched from outside. */
-export class StreamAttempt implements WatchedRun {
+export class StreamAttempt implements TrackedRun {
   /** The engine that it was sent to, in the life that it had then. */
   firstEndpoint: Endpoint | undefined;
   /** Monotonic time of the sending, or of the last event. */
-  lastSignAtMs = utils.monotonicMs();
+  lastActivityAtMs = utils.monotonicMs();
   /** Monotonic time of the sending. */
-  sentAtMs = this.lastSignAtMs;
+  sentAtMs = this.lastActivityAtMs;
   /** Ends the run; the stream may go on elsewhere. */
   readonly abort = new AbortController();
   /** From the sending of this run to its first event. */
@@ -57,7 +57,7 @@
   /** Notes that the run is sent now. */
   noteSent(): void {
     this.sentAtMs = utils.monotonicMs();
-    this.lastSignAtMs = this.sentAtMs;
+    this.lastActivityAtMs = this.sentAtMs;
   }
 
   /** Passes the events of an answer on until it ends. */
@@ -75,7 +75,7 @@
     message.on("end", () => {
       void answer
         .isWhole()
-        .then((isWhole) => end(isWhole && !this._splitter.hasRest ? "completed" : "broken"));
+        .then((isWhole) => end(isWhole && !this._splitter.hasPartialEvent ? "completed" : "broken"));
     });
     message.on("error", () => end("broken"));
     message.on("close", () => {
@@ -86,10 +86,10 @@
 
   private _pass(bytes: Buffer, answer: HttpAnswer): void {
     if (this.abort.signal.aborted) return;
-    this.lastSignAtMs = utils.monotonicMs();
+    this.lastActivityAtMs = utils.monotonicMs();
     const whole = this._splitter.push(bytes);
     if (whole === undefined) return;
-    this.firstEventMs ??= this.lastSignAtMs - this.sentAtMs;
+    this.firstEventMs ??= this.lastActivityAtMs - this.sentAtMs;
     this.progress.noteEvents(whole.lastId, this.request.arrivedAtMs);
     if (this.request.write(whole.bytes)) return;
     answer.message.pause();
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -1,9 +1,9 @@
 /** Forwards streamed requests through chains of engines, and goes on elsewhere when a chain fails. */
 import { errors, utils } from "@shedtiller/common";
-import { trialElsewhereMs } from "@shedtiller/crashes";
+import { trialElsewhereRetryAfterMs } from "@shedtiller/crashes";
 import type { ChainAdmission } from "../chains/ChainAdmission.js";
 import { describeChain } from "../chains/describeChain.js";
-import { describeRoom } from "../chains/describeRoom.js";
+import { describeFreeCapacity } from "../chains/describeFreeCapacity.js";
 import { findNamedEndpoint } from "../chains/findNamedEndpoint.js";
 import { expectTokens } from "../chains/expectTokens.js";
 import type { ChainReservation } from "../chains/ChainReservation.js";
@@ -138,12 +138,12 @@
         ...expectTokens(request.fields),
         availabilityZone: this.context.availabilityZone,
         refusedBy: avoided,
-        spares: sparesByRisk[this.context.crashes.getRisk(request)],
+        redundantFirstEngine: sparesByRisk[this.context.crashes.getRisk(request)],
       },
       // A stream that has begun goes first: its caller already waits for the rest.
       priority: request.isHeadSent ? resumedPriority : request.priority,
-      patienceMs: Math.max(0, Math.min(longestQueueMs, request.getRemainingMs())),
-      inTimeUntilMs: this._getInTimeUntilMs(request),
+      maxWaitMs: Math.max(0, Math.min(longestQueueMs, request.getRemainingMs())),
+      latestStartAtMs: this._getInTimeUntilMs(request),
       signal: request.signal,
     });
   }
@@ -152,7 +152,9 @@
   private _getAvoided(request: CallerRequest, refusedBy: ReadonlySet<string>): ReadonlySet<string> {
     const { crashes, endpoints } = this.context;
     if (crashes.isQuiet) return refusedBy;
-    const addresses = crashes.getShunned(request).flatMap((id) => endpoints.get(id)?.listed.address ?? []);
+    const addresses = crashes
+      .getAvoidedEndpointIds(request)
+      .flatMap((id) => endpoints.get(id)?.listed.address ?? []);
     return addresses.length === 0 ? refusedBy : new Set([...refusedBy, ...addresses]);
   }
 
@@ -166,15 +168,15 @@
     const { request, firstStage } = attempt;
     const first = firstStage === undefined ? undefined : this.context.endpoints.get(firstStage.endpointId);
     // It may have waited for room while an equal request crashed engines.
-    if (first === undefined || this.context.crashes.getHeldBackMs(request) !== undefined) {
-      attempt.reservation.permit?.giveBack();
+    if (first === undefined || this.context.crashes.getQuarantineMs(request) !== undefined) {
+      attempt.reservation.permit?.release();
       return "again";
     }
     request.attempts += 1;
     attempt.noteSent();
     attempt.firstEndpoint = first;
     this.context.crashes.begin(attempt);
-    const sent = await this.context.caller.send(
+    const sent = await this.context.httpClient.send(
       this.createCall(request, first, {
         headTimeoutMs: Math.max(1, request.getRemainingMs()),
         isFresh: !request.isIdempotent || request.attempts > 1,
@@ -187,12 +189,12 @@
     if (request.signal.aborted) return "caller-left";
     this._note(attempt, sent.val.code);
     if (sent.val instanceof errors.ConnectionLostError) {
-      first.failures.noteFailed(attempt.sentAtMs, utils.monotonicMs());
+      first.circuitBreaker.noteFailed(attempt.sentAtMs, utils.monotonicMs());
       void this.context.crashes.noteLost(attempt, first);
     }
     if (!(sent.val instanceof errors.NotReachedError)) return "lost";
     request.attempts -= 1;
-    attempt.reservation.permit?.giveBack();
+    attempt.reservation.permit?.release();
     this.context.suspicions.noteSilent(first.id, sent.val.code);
     return "not-run";
   }
@@ -208,7 +210,7 @@
       });
     if (fields.hasNotRun) return this._acceptRefusal(attempt, answer, fields.faultyAddress);
     if (answer.status < failureStatus) attempt.firstEndpoint?.noteAnswered(attempt.sentAtMs);
-    else attempt.firstEndpoint?.failures.noteFailed(attempt.sentAtMs, utils.monotonicMs());
+    else attempt.firstEndpoint?.circuitBreaker.noteFailed(attempt.sentAtMs, utils.monotonicMs());
     if (fields.requestId !== request.fields.requestId || fields.isEncoded) {
       answer.abort();
       this._note(attempt, "answer of another request");
@@ -260,10 +262,10 @@
     const address = faultyAddress ?? attempt.firstStage?.address ?? "";
     attempt.progress.refusedBy.add(address);
     const faulty = findNamedEndpoint(this.context.endpoints, attempt.reservation.stages, address);
-    const waitedMs = nowMs - attempt.lastSignAtMs;
+    const waitedMs = nowMs - attempt.lastActivityAtMs;
     if (faulty !== undefined && waitedMs >= stalledRefusalMs)
       void this.context.suspicions.noteNamed(faulty.id, `refusal ${answer.status}`);
-    else if (faulty?.noteFull(nowMs) === true) this.context.tellFull(faulty.id);
+    else if (faulty?.noteFull(nowMs) === true) this.context.broadcastFull(faulty.id);
     if (faulty !== undefined && answer.status === notHeldStatus)
       void this.context.suspicions.noteNotHeld(faulty.id);
     this._note(attempt, `refusal ${answer.status} for ${address} after ${Math.round(waitedMs)} ms`);
@@ -291,7 +293,7 @@
     if (request.isAnswered) return;
     if (hasRun || request.isHeadSent) return request.refuse(502, "outcome-unknown");
     const retryAfterMs = this._getRetryAfterMs(reason, service);
-    const profile = this.context.keeper.table?.getEngineProfile(service);
+    const profile = this.context.activeConfiguration.table?.getEngineProfile(service);
     const endpoints = this.context.endpoints.getUsable(service);
     this.context.log.warn("stream-refused", {
       requestId: request.id,
@@ -300,7 +302,7 @@
       retryAfterMs: Math.round(retryAfterMs),
       limits:
         reason === "limited" || reason === "resting" ? this.context.forecast.describe(service) : undefined,
-      room: profile === undefined ? undefined : describeRoom(endpoints, profile, utils.monotonicMs()),
+      room: profile === undefined ? undefined : describeFreeCapacity(endpoints, profile, utils.monotonicMs()),
     });
     request.refuse(503, reason, retryAfterMs);
   }
@@ -308,7 +310,7 @@
   /** Whoever was refused by engines while nobody waits for room here may come back at once: other engines have room. */
   private _getRetryAfterMs(reason: StreamRefusal, service: string): number {
     if (reason === "no-endpoint") return noEndpointRetryAfterMs;
-    if (reason === "held-back") return trialElsewhereMs;
+    if (reason === "held-back") return trialElsewhereRetryAfterMs;
     if (reason === "not-run" && this._admission.waiting === 0) return notRunRetryAfterMs;
     return this._admission.getRetryAfterMs(service);
   }
--- a/packages/gateway/src/requests/admitCaller.ts
+++ b/packages/gateway/src/requests/admitCaller.ts
@@ -9,7 +9,7 @@
 const denialStatuses: ReadonlySet<number> = new Set([401, 403, 404]);
 
 /** What a request says of where it goes and whose it is. */
-export interface CallerClaim {
+export interface AdmissionInput {
   /** Host without port. */
   readonly host: string;
   /** Path, with or without query. */
@@ -18,7 +18,7 @@
 }
 
 /** A request that was let in. */
-export interface Admitted {
+export interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
   /** Undefined for requests without a client account. */
@@ -33,14 +33,14 @@
 }
 
 /** For callers who were not let in, on a configuration that may be too old to say so. */
-export const unprovenDenial: Refusal = {
+export const staleConfigurationRefusal: Refusal = {
   status: 503,
   reason: "stale-configuration",
   retryAfterMs: notReadyRetryAfterMs,
 };
 
 /** Whether a request was not let in for good: what it asks for does not exist, or not for this key. */
-export function isDenial(admitted: Admitted | Refusal): boolean {
+export function isDenial(admitted: AdmittedRequest | Refusal): boolean {
   return "reason" in admitted && denialStatuses.has(admitted.status);
 }
 
@@ -50,10 +50,10 @@
  * @param areKeysFresh - Whether keys may be taken at their word now.
  */
 export function admitCaller(
-  claim: CallerClaim,
+  claim: AdmissionInput,
   table: RouteTable | undefined,
   areKeysFresh: () => boolean,
-): Admitted | Refusal {
+): AdmittedRequest | Refusal {
   if (table === undefined)
     return { status: 503, reason: "no-configuration", retryAfterMs: notReadyRetryAfterMs };
   const route = table.getRoute(claim.host, claim.path);
@@ -63,7 +63,7 @@
   const { apiKey } = claim;
   if (apiKey === undefined && route.isAnonymousAllowed) return anonymous;
   if (!areKeysFresh()) {
-    return unprovenDenial;
+    return staleConfigurationRefusal;
   }
   if (apiKey === undefined) return { status: 401, reason: "no-key" };
   const account = table.getAccount(apiKey);
--- a/packages/gateway/src/requests/pickPlainEndpoint.ts
+++ b/packages/gateway/src/requests/pickPlainEndpoint.ts
@@ -10,7 +10,7 @@
 const suspectRequests = 1_000;
 
 /** What is picked for. */
-export interface PlainDemand {
+export interface PlainEndpointQuery {
   readonly service: string;
   readonly tried: ReadonlySet<string>;
   /** Whether the request has a chance to spare for an endpoint that failed last; without one it goes to those that are sound. */
@@ -20,12 +20,12 @@
 /** Picks the endpoint with the fewest requests in hand among those not tried yet that leave a permit; ties go to the smaller id. */
 export function pickPlainEndpoint(
   context: { readonly endpoints: EndpointTable; readonly availabilityZone: string },
-  { service, tried, mayProbe }: PlainDemand,
+  { service, tried, mayProbe }: PlainEndpointQuery,
   nowMs: number,
 ): Endpoint | undefined {
   const isShunned = (endpoint: Endpoint): boolean =>
     endpoint.isSuspect(nowMs) ||
-    endpoint.failures.isOnProbation(nowMs) ||
+    endpoint.circuitBreaker.isBlocked(nowMs) ||
     (!mayProbe && endpoint.isUnproven(nowMs));
   const cost = (endpoint: Endpoint): number =>
     endpoint.getLoad().requests +
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -2,10 +2,10 @@
 import test from "ava";
 import * as fc from "fast-check";
 import { ChainChooser } from "../../chains/ChainChooser.js";
-import type { ChainDemand } from "../../chains/coverLayers.js";
+import type { ChainDemand } from "../../chains/findCheapestChain.js";
 import { getCapacityTokenLayers } from "../../chains/engineModel.js";
 import type { ChainStage } from "../../http/MessageCodec.js";
-import { createEngine, profile } from "../createParts.js";
+import { createEngine, profile } from "../testData.js";
 
 const demand: ChainDemand = { promptTokens: 8, answerTokens: 2, availabilityZone: "east" };
 const chooser = new ChainChooser(() => 1_000);
@@ -115,7 +115,7 @@
     () => 1_000,
     () => numbers.shift() ?? 0.5,
   );
-  const moved = { ...demand, firstEndpointId: "a", firstEnd: 2, isSpread: true };
+  const moved = { ...demand, firstEndpointId: "a", firstEnd: 2, isRandomized: true };
   t.is(describe(spreading.choose(engines, profile, moved)), "a=0-2,c=2-4");
   t.is(describe(spreading.choose(engines, profile, moved)), "a=0-2,b=2-4");
 });
@@ -183,12 +183,12 @@
   const alone = createEngine("a", 0, 4);
   const beside = ["b", "c"].map((id) => createEngine(id, 0, 4, { availabilityZone: "west", kind: "slow" }));
   const choose = (engines: typeof beside, spares: "rather" | "only" | undefined): string | undefined =>
-    describe(chooser.choose(engines, profile, { ...demand, spares }));
+    describe(chooser.choose(engines, profile, { ...demand, redundantFirstEngine: spares }));
   t.is(choose([alone, ...beside], undefined), "a=0-4");
   t.is(choose([alone, ...beside], "only"), "b=0-4");
   t.is(choose([alone, ...beside], "rather"), "b=0-4");
   t.is(choose([alone, ...beside.slice(1)], "rather"), "a=0-4");
   t.is(choose([alone, ...beside.slice(1)], "only"), undefined);
-  beside[0]?.failures.noteFailed(990, 995);
+  beside[0]?.circuitBreaker.noteFailed(990, 995);
   t.is(choose(beside, "only"), undefined, "the other one has just failed, and may be gone");
 });
--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -16,7 +16,14 @@
 
 export type FleetMembership = Pick<
   Membership,
-  "self" | "getDutyCandidates" | "getLinked" | "notifyAll" | "onLinked" | "onNotice" | "onRequest" | "request"
+  | "self"
+  | "getZoneRoleCandidates"
+  | "getLinked"
+  | "notifyAll"
+  | "onLinked"
+  | "onNotice"
+  | "onRequest"
+  | "request"
 >;
 
 /** What an instance of the network is made of. */
@@ -55,7 +62,7 @@
     this._forgetLinks();
     return {
       self,
-      getDutyCandidates: () => {
+      getZoneRoleCandidates: () => {
         const inZone = this._getLinked(self).filter(
           (peer) => peer.availabilityZone === self.availabilityZone,
         );
--- a/packages/gateway/src/tests/peers/PeerNetwork.ts
+++ b/packages/gateway/src/tests/peers/PeerNetwork.ts
@@ -5,7 +5,14 @@
 
 type NetworkMember = Pick<
   Membership,
-  "self" | "getDutyCandidates" | "getLinked" | "notifyAll" | "onLinked" | "onNotice" | "onRequest" | "request"
+  | "self"
+  | "getZoneRoleCandidates"
+  | "getLinked"
+  | "notifyAll"
+  | "onLinked"
+  | "onNotice"
+  | "onRequest"
+  | "request"
 >;
 
 /** The instances of a test, and the links between them. */
@@ -29,7 +36,7 @@
       this._peers.filter((peer) => peer.name !== self.name && !this._gone.has(peer.name));
     return {
       self,
-      getDutyCandidates: () => {
+      getZoneRoleCandidates: () => {
         const inZone = getOthers().filter((peer) => peer.availabilityZone === self.availabilityZone);
         return [...inZone.map((peer) => peer.name), self.name];
       },
--- a/packages/gateway/src/tests/requests/EventSplitterTests.ts
+++ b/packages/gateway/src/tests/requests/EventSplitterTests.ts
@@ -19,7 +19,7 @@
       lastId = whole.lastId ?? lastId;
     }
     const areWhole = passed.every((part) => /(\n\n|\r\n\r\n)$/.test(part));
-    return areWhole && passed.join("") === text && lastId === "3" && !splitter.hasRest;
+    return areWhole && passed.join("") === text && lastId === "3" && !splitter.hasPartialEvent;
   });
   t.notThrows(() => fc.assert(property, { seed: 11, numRuns: 300 }));
 });
@@ -29,5 +29,5 @@
   const whole = splitter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"));
   t.is(whole?.bytes.toString(), "id: 1\ndata: a\n\n");
   t.is(whole?.lastId, "1");
-  t.true(splitter.hasRest);
+  t.true(splitter.hasPartialEvent);
 });
--- a/packages/gateway/src/tests/requests/PermitForecastTests.ts
+++ b/packages/gateway/src/tests/requests/PermitForecastTests.ts
@@ -3,7 +3,7 @@
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { PermitForecast } from "../../requests/PermitForecast.js";
 import { RequestDemand } from "../../requests/RequestDemand.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 
 const service = "records";
 
@@ -21,7 +21,7 @@
   endpoints.setAll(
     new Map(ids.map((id, index) => [id, createListed(id, { service, layers: toSpans(index) })])),
   );
-  for (const [index, restMs] of untilMs.entries()) endpoints.getAll()[index]?.rest.note(restMs, 0);
+  for (const [index, restMs] of untilMs.entries()) endpoints.getAll()[index]?.backoff.extendTo(restMs, 0);
   const demand = new RequestDemand(() => 0);
   const getInstanceCount = (): number => 8;
   return new PermitForecast({ endpoints, demand, getInstanceCount, nowMs: () => 0, random: () => 0.5 });
--- a/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
+++ b/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
@@ -12,7 +12,7 @@
 
 function create(instances: number): RetryBudgets {
   const budgets = new RetryBudgets(options, () => 0);
-  budgets.setInstances(instances);
+  budgets.setInstanceCount(instances);
   return budgets;
 }
 
@@ -34,13 +34,13 @@
 test("a change of the number of instances gives no new budget", (t) => {
   const budgets = create(8);
   drain(budgets);
-  budgets.setInstances(4);
+  budgets.setInstanceCount(4);
   t.is(drain(budgets), 0);
 });
 
 test("an instance of a large fleet can retry its first request", (t) => {
   const budgets = new RetryBudgets({ ...options, slack: 354 }, () => 0);
-  budgets.setInstances(85);
+  budgets.setInstanceCount(85);
   budgets.recordRequest("s");
   t.true(budgets.tryTake("s"));
 });
@@ -52,7 +52,7 @@
     for (let instance = 0; instance < instances; instance++) {
       clock.nowMs = 0;
       const before = new RetryBudgets(options, () => clock.nowMs);
-      before.setInstances(instances);
+      before.setInstanceCount(instances);
       before.recordRequest("s");
       // It saves up all that it may have, and the window begins.
       clock.nowMs = 10 * options.windowMs;
@@ -60,7 +60,7 @@
       clock.nowMs += options.windowMs / 2;
       retries += drain(before);
       const after = new RetryBudgets(options, () => clock.nowMs);
-      after.setInstances(instances);
+      after.setInstanceCount(instances);
       after.recordRequest("s");
       clock.nowMs += options.windowMs / 2;
       retries += drain(after);
@@ -72,7 +72,7 @@
 test("an instance of a large fleet may use its share of a window within a moment, since engines refuse in bursts", (t) => {
   const clock = { nowMs: 0 };
   const budgets = new RetryBudgets({ ...options, slack: 574 }, () => clock.nowMs);
-  budgets.setInstances(195);
+  budgets.setInstanceCount(195);
   // 1.2 requests a second for one window: a share of 0.18 of 12, and half of 574 / 195.
   for (; clock.nowMs < options.windowMs; clock.nowMs += 833) budgets.recordRequest("s");
   t.is(drain(budgets), 3);
@@ -83,9 +83,9 @@
 test("parts of instances that left are shared out only after a window", (t) => {
   const clock = { nowMs: 0 };
   const budgets = new RetryBudgets(options, () => clock.nowMs);
-  budgets.setInstances(8);
+  budgets.setInstanceCount(8);
   t.is(drain(budgets), 12);
-  budgets.setInstances(4);
+  budgets.setInstanceCount(4);
   clock.nowMs += options.windowMs * 0.9;
   t.is(drain(budgets), 0);
   clock.nowMs += options.windowMs;
--- a/packages/gateway/src/tests/requests/crashingRequestTests.ts
+++ b/packages/gateway/src/tests/requests/crashingRequestTests.ts
@@ -1,7 +1,7 @@
 /** Requests that crash plain endpoints: each kind is held back after three crashes. */
 import test from "ava";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
-import { createRoute } from "../createParts.js";
+import { createRoute } from "../testData.js";
 
 const key = { "x-id": "r1", "x-key": "k1" };
 const crashingPath = "/a/crashes";
--- a/packages/gateway/src/tests/requests/denialTests.ts
+++ b/packages/gateway/src/tests/requests/denialTests.ts
@@ -1,8 +1,8 @@
 /** What does not exist is denied only on a proof that nothing newer has been in force for long; callers don't come back from a denial. */
 import test, { type ExecutionContext } from "ava";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
-import { DenialProof, getHeldReadMs } from "../../configuration/DenialProof.js";
-import { createConfiguration, createRoute } from "../createParts.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
+import { DenialFreshness, getLongPollMs } from "../../configuration/DenialFreshness.js";
+import { createConfiguration, createRoute } from "../testData.js";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 
 const deadlineMs = 3_000;
@@ -56,37 +56,37 @@
 test("a proof holds until shortly before the deadline, and not while something newer is known", (t) => {
   let nowMs = 10_000;
   let behindMs = 0;
-  const keeper = new ConfigurationKeeper(() => nowMs);
-  const denials = new DenialProof({
-    keeper,
+  const keeper = new ActiveConfiguration(() => nowMs);
+  const denials = new DenialFreshness({
+    activeConfiguration: keeper,
     getBehindMs: () => behindMs,
     getDeadlineMs: () => deadlineMs,
     nowMs: () => nowMs,
   });
   keeper.accept(createConfiguration(1));
-  t.false(denials.isProven());
-  keeper.confirm(1, nowMs);
-  t.true(denials.isProven());
+  t.false(denials.isFresh());
+  keeper.confirmFreshness(1, nowMs);
+  t.true(denials.isFresh());
   behindMs = 1;
-  t.false(denials.isProven());
+  t.false(denials.isFresh());
   behindMs = 0;
   nowMs += deadlineMs - 1;
-  t.false(denials.isProven());
+  t.false(denials.isFresh());
 });
 
 test("a wait for a proof ends with it, and without one when its time is over", async (t) => {
   let nowMs = 10_000;
-  const keeper = new ConfigurationKeeper(() => nowMs);
-  const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
-  const denials = new DenialProof({ ...structure, nowMs: () => nowMs });
+  const keeper = new ActiveConfiguration(() => nowMs);
+  const structure = { activeConfiguration: keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
+  const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
   keeper.accept(createConfiguration(1));
-  keeper.confirm(1, nowMs);
+  keeper.confirmFreshness(1, nowMs);
   nowMs += deadlineMs;
-  const proven = denials.wait(deadlineMs);
-  keeper.confirm(1, nowMs);
+  const proven = denials.waitUntilFresh(deadlineMs);
+  keeper.confirmFreshness(1, nowMs);
   t.true(await proven);
   nowMs += deadlineMs;
-  const unproven = denials.wait(1);
+  const unproven = denials.waitUntilFresh(1);
   nowMs += 1;
   t.false(await unproven);
 });
@@ -94,13 +94,13 @@
 test("held reads keep proofs young enough for denials", (t) => {
   for (const boundMs of [1_000, 2_000, deadlineMs, 60_000]) {
     let nowMs = 0;
-    const keeper = new ConfigurationKeeper(() => nowMs);
-    const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => boundMs };
-    const denials = new DenialProof({ ...structure, nowMs: () => nowMs });
+    const keeper = new ActiveConfiguration(() => nowMs);
+    const structure = { activeConfiguration: keeper, getBehindMs: () => 0, getDeadlineMs: () => boundMs };
+    const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
     keeper.accept(createConfiguration(1));
-    keeper.confirm(1, 0);
+    keeper.confirmFreshness(1, 0);
     // A proof counts from the sending of a read; the next one comes once that and another read have been held.
-    nowMs = 2 * getHeldReadMs(boundMs);
-    t.true(denials.isProven(), `${boundMs} ms`);
+    nowMs = 2 * getLongPollMs(boundMs);
+    t.true(denials.isFresh(), `${boundMs} ms`);
   }
 });
--- a/packages/pipeline/src/engine/WsEngineConnector.ts
+++ b/packages/pipeline/src/engine/WsEngineConnector.ts
@@ -20,7 +20,10 @@
 
   constructor(
     private readonly _events: Omit<EngineLinkEvents, "onClosed"> & { onLinkLost(endpoint: string): void },
-    private readonly _connectTimeouts = new utils.Patience(initialConnectTimeoutMs, maxConnectTimeoutMs),
+    private readonly _connectTimeouts = new utils.AdaptiveTimeout(
+      initialConnectTimeoutMs,
+      maxConnectTimeoutMs,
+    ),
   ) {
     super();
   }
@@ -41,7 +44,7 @@
 
   private async _open(endpoint: string, address: string): Promise<LinkResult> {
     const startMs = utils.monotonicMs();
-    const timeoutMs = this._connectTimeouts.getMs(address);
+    const timeoutMs = this._connectTimeouts.getTimeoutMs(address);
     const socket = new ws.WebSocket(`ws://${address}${enginePath}`, {
       handshakeTimeout: timeoutMs,
       perMessageDeflate: false,
@@ -61,7 +64,7 @@
       return results.Err(new errors.NotReachedError(address, failure));
     }
     const link = new WsEngineLink(endpoint, socket, {
-      onLeaving: (name) => this._events.onLeaving(name),
+      onDraining: (name) => this._events.onDraining(name),
       onStrayReply: (name) => this._events.onStrayReply(name),
       onClosed: (closed) => this._removeLink(address, closed),
     });
--- a/packages/pipeline/src/engine/WsEngineLink.ts
+++ b/packages/pipeline/src/engine/WsEngineLink.ts
@@ -10,7 +10,7 @@
   /** Called when the connection has been closed or has failed. */
   onClosed(link: WsEngineLink, error: unknown): void;
   /** Called when the engine announces that it is draining. */
-  onLeaving(endpoint: string): void;
+  onDraining(endpoint: string): void;
   /** Called for a reply that matches no pending call, since it is late, a duplicate or from another call. */
   onStrayReply(endpoint: string): void;
 }
@@ -20,7 +20,7 @@
 /** Matches replies to calls by request, attempt, stage and position; other replies are reported as stray and dropped. */
 export class WsEngineLink extends EngineLink {
   private readonly _applies = new Map<string, PendingReply<frames.AppliedFrame>>();
-  private readonly _probes = new Map<string, PendingReply<frames.StandingFrame>>();
+  private readonly _probes = new Map<string, PendingReply<frames.StageStatusFrame>>();
   private readonly _exports = new Map<string, PendingReply<frames.ExportedFrame>>();
   private readonly _imports = new Map<string, PendingReply<frames.ImportedFrame>>();
 
@@ -43,7 +43,7 @@
     return this._call(this._applies, getApplyKey(frame), frame);
   }
 
-  override probe(key: frames.StageKey): Promise<results.Result<frames.StandingFrame, EngineError>> {
+  override probe(key: frames.StageKey): Promise<results.Result<frames.StageStatusFrame, EngineError>> {
     return this._call(this._probes, formatStageKey(key), { kind: "probe", ...frames.pickStageKey(key) });
   }
 
@@ -97,7 +97,7 @@
       case "imported":
         return this._settle(this._imports, formatStageKey(frame), results.Ok(frame));
       case "leaving":
-        return this._events.onLeaving(this.endpoint);
+        return this._events.onDraining(this.endpoint);
     }
   }
 
--- a/packages/pipeline/src/request/BoundaryHistory.ts
+++ b/packages/pipeline/src/request/BoundaryHistory.ts
@@ -13,14 +13,14 @@
   }
 
   /** Reserves bytes; returns false and reserves none if they exceed the limit. */
-  tryTake(sizeBytes: number): boolean {
+  tryReserve(sizeBytes: number): boolean {
     if (this._usedBytes + sizeBytes > this.limitBytes) return false;
     this._usedBytes += sizeBytes;
     return true;
   }
 
   /** Releases bytes that were reserved. */
-  give(sizeBytes: number): void {
+  release(sizeBytes: number): void {
     this._usedBytes -= sizeBytes;
   }
 }
@@ -52,7 +52,7 @@
     this._lastFrom = this._length;
     this._length += count;
     if (!this._isComplete) return;
-    if (!this._budget.tryTake(activations.byteLength)) return this.release();
+    if (!this._budget.tryReserve(activations.byteLength)) return this.release();
     this._sizeBytes += activations.byteLength;
     this._chunks.push(activations);
   }
@@ -69,7 +69,7 @@
 
   /** Drops all activations but those last added, and releases their bytes in the budget. */
   release(): void {
-    this._budget.give(this._sizeBytes);
+    this._budget.release(this._sizeBytes);
     this._sizeBytes = 0;
     this._chunks = [];
     this._isComplete = false;
--- a/packages/pipeline/src/request/CrashGuard.ts
+++ b/packages/pipeline/src/request/CrashQuarantine.ts
@@ -8,22 +8,22 @@
 }
 
 /** Decides which requests are quarantined. Requests are identified by a digest, since a retry has another request id. */
-export abstract class CrashGuard {
+export abstract class CrashQuarantine {
   /** Returns how long a request is still quarantined; undefined if it may run. */
-  abstract getHeldBackMs(digest: string): number | undefined;
+  abstract getQuarantineMs(digest: string): number | undefined;
   /** Records that an engine closed its connection before a run had a token; resolves once it is known whether it crashed. */
   abstract noteLost(digest: string, engine: LostEngine): Promise<void>;
   /** Records that a run has produced its first token, and so has not crashed its engines. */
-  abstract noteOutlived(digest: string): void;
+  abstract noteSurvived(digest: string): void;
 }
 
 /** Quarantines no requests. */
-export class NoCrashGuard extends CrashGuard {
-  override getHeldBackMs(): undefined {
+export class NoCrashQuarantine extends CrashQuarantine {
+  override getQuarantineMs(): undefined {
     return undefined;
   }
   override noteLost(): Promise<void> {
     return Promise.resolve();
   }
-  override noteOutlived(): void {}
+  override noteSurvived(): void {}
 }
--- a/packages/pipeline/src/request/PipelineRequest.ts
+++ b/packages/pipeline/src/request/PipelineRequest.ts
@@ -1,5 +1,5 @@
 /** Requests to a pipeline, their answers and their errors. */
-import { errors, type Ran } from "@shedtiller/common";
+import { errors, type ExecutionStatus } from "@shedtiller/common";
 
 /** Lets a request continue on another version if no chain of its own is left. */
 export interface VersionChoice {
@@ -39,7 +39,7 @@
 
 /** Error of a request without a complete answer, with whether the request has run. */
 export abstract class PipelineError extends errors.ShedtillerError {
-  abstract readonly ran: Ran;
+  abstract readonly ran: ExecutionStatus;
 }
 
 /** No chain of live endpoints covers all layers of the model. */
@@ -48,18 +48,18 @@
 
   constructor(
     readonly model: string,
-    readonly ran: Ran,
+    readonly ran: ExecutionStatus,
   ) {
     super(`No live endpoints cover all layers of the model ${model}.`);
   }
 }
 
 /** The request is quarantined, since equal requests have crashed several engines. */
-export class RequestHeldBackError extends PipelineError {
+export class RequestQuarantinedError extends PipelineError {
   readonly code = "held_back";
 
   constructor(
-    readonly ran: Ran,
+    readonly ran: ExecutionStatus,
     readonly retryAfterMs: number,
   ) {
     super("The request is quarantined: equal requests have crashed the engines that started to run them.");
@@ -70,7 +70,7 @@
 export class RequestDeadlineError extends PipelineError {
   readonly code = "deadline_passed";
 
-  constructor(readonly ran: Ran) {
+  constructor(readonly ran: ExecutionStatus) {
     super("The request's deadline passed before its answer was complete.");
   }
 }
@@ -79,7 +79,7 @@
 export class RequestCancelledError extends PipelineError {
   readonly code = "cancelled";
 
-  constructor(readonly ran: Ran) {
+  constructor(readonly ran: ExecutionStatus) {
     super("The request was cancelled before its answer was complete.");
   }
 }
--- a/packages/pipeline/src/request/Stage.ts
+++ b/packages/pipeline/src/request/Stage.ts
@@ -1,7 +1,7 @@
 /** Stages of a running request. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { EngineCandidate } from "@shedtiller/routing";
-import type { AppliedFrame, ApplyFrame, StageKey, StandingFrame } from "../engine/engineFrames.js";
+import type { AppliedFrame, ApplyFrame, StageKey, StageStatusFrame } from "../engine/engineFrames.js";
 import type { EngineError, EngineLink } from "../engine/EngineLink.js";
 import type { PipelineContext } from "./PipelineContext.js";
 
@@ -18,7 +18,7 @@
 }
 
 /** The engine answers, but has lost the stream's KV cache or expects another position. */
-export class StageForgottenError extends errors.ShedtillerError {
+export class StageStateLostError extends errors.ShedtillerError {
   readonly code = "stage_forgotten";
 
   constructor(readonly endpoint: string) {
@@ -26,7 +26,7 @@
   }
 }
 
-export type StageError = EngineError | StageSilentError | StageForgottenError;
+export type StageError = EngineError | StageSilentError | StageStateLostError;
 type Applied = results.Result<AppliedFrame, StageError>;
 
 const waitGrowthFactor = 2;
@@ -98,7 +98,7 @@
     if (status.ok) this._context.getDetector(this.endpoint).recordProbe(utils.monotonicMs() - startMs);
   }
 
-  private async _probe(link: EngineLink): Promise<results.Result<StandingFrame, EngineError> | undefined> {
+  private async _probe(link: EngineLink): Promise<results.Result<StageStatusFrame, EngineError> | undefined> {
     const detector = this._context.getDetector(this.endpoint);
     const startMs = utils.monotonicMs();
     const answer = link.probe(this.key);
@@ -112,11 +112,11 @@
   }
 
   /** Returns the outcome if its reply was lost, an error if the KV cache was lost, or undefined while the stage is busy. */
-  private _resolveStatus(status: StandingFrame, frame: ApplyFrame): Applied | undefined {
+  private _resolveStatus(status: StageStatusFrame, frame: ApplyFrame): Applied | undefined {
     const end = frame.position + frame.count;
     if (status.position === end && status.last?.position === frame.position) return results.Ok(status.last);
     if (status.isBusy) return undefined;
-    return results.Err(new StageForgottenError(this.endpoint));
+    return results.Err(new StageStateLostError(this.endpoint));
   }
 
   private _getExpectedMs(count: number): number {
--- a/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
+++ b/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
@@ -21,8 +21,8 @@
 
 function createConnector(): WsEngineConnector {
   const ignore = (): void => undefined;
-  const events = { onLeaving: ignore, onStrayReply: ignore, onLinkLost: ignore };
-  return new WsEngineConnector(events, new utils.Patience(firstWaitMs, longestWaitMs));
+  const events = { onDraining: ignore, onStrayReply: ignore, onLinkLost: ignore };
+  return new WsEngineConnector(events, new utils.AdaptiveTimeout(firstWaitMs, longestWaitMs));
 }
 
 test("one late handshake is no evidence that an engine is gone, a second one with a longer timeout is", async (t) => {
