--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -17,7 +17,7 @@
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
 import { ZoneStateExchange } from "./feeds/ZoneStateExchange.js";
-import { getZoneSource } from "./feeds/zoneFeedMessages.js";
+import { getZoneSource } from "./feeds/zoneStateMessages.js";
 import { AccountDirectory } from "./http/authenticate.js";
 import { addCallerRoutes } from "./http/callerRoutes.js";
 import { CompletionHandler } from "./http/CompletionHandler.js";
@@ -189,12 +189,12 @@
   }
 
   private _startTasks(signal: AbortSignal): void {
-    const logParts = [
+    const followerIds = [
       serviceIdentifiers.configurationFollower,
       serviceIdentifiers.claimFollower,
       serviceIdentifiers.leaseFollower,
     ];
-    const followers = logParts.map((part) => this._container.get<platform.LogFollower>(part));
+    const followers = followerIds.map((id) => this._container.get<platform.LogFollower>(id));
     const list = new InstanceListPoller(this._container.get(platform.InstanceList), (page) =>
       this._applyInstanceList(page),
     );
@@ -259,7 +259,7 @@
       tokenHash: p.get<InstanceSecrets>(serviceIdentifiers.secrets).operatorTokenHash,
       configuration: this.configuration,
       planner: p.get(Planner),
-      desk: p.get(PlanService),
+      planService: p.get(PlanService),
       status: p.get(StatusGatherer),
       timelines: p.get(TimelineGatherer),
       timeline: this.timeline,
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -207,8 +207,8 @@
   container
     .bind(VersionsInUse)
     .toDynamicValue((c) => {
-      const fold = c.get(intent.ConfigurationProjection);
-      return new VersionsInUse(c.get(routing.EndpointDirectory), () => fold.getObjects("pipeline"));
+      const configuration = c.get(intent.ConfigurationProjection);
+      return new VersionsInUse(c.get(routing.EndpointDirectory), () => configuration.getObjects("pipeline"));
     })
     .inSingletonScope();
   container
@@ -227,10 +227,10 @@
     .bind(AccountDirectory)
     .toDynamicValue((c) => new AccountDirectory(c.get(intent.ConfigurationProjection)))
     .inSingletonScope();
-  container.bind(ZoneStateExchange).toDynamicValue(createZoneFeed).inSingletonScope();
+  container.bind(ZoneStateExchange).toDynamicValue(createZoneStateExchange).inSingletonScope();
 }
 
-function createZoneFeed(c: Context): ZoneStateExchange {
+function createZoneStateExchange(c: Context): ZoneStateExchange {
   const metrics = c.get(InstanceMetrics);
   return new ZoneStateExchange({
     membership: c.get(membership.Membership),
@@ -314,11 +314,11 @@
   container
     .bind(VersionRetirement)
     .toDynamicValue((c) => {
-      const fold = c.get(intent.ConfigurationProjection);
+      const configuration = c.get(intent.ConfigurationProjection);
       return new VersionRetirement({
         membership: c.get(membership.Membership),
         versions: c.get(VersionsInUse),
-        getPipeline: (model) => fold.getObject("pipeline", model),
+        getPipeline: (model) => configuration.getObject("pipeline", model),
       });
     })
     .inSingletonScope();
--- a/packages/entry/src/crashes/PeerCrashQuarantine.ts
+++ b/packages/entry/src/crashes/PeerCrashQuarantine.ts
@@ -39,9 +39,9 @@
     const { membership, warn } = _structure;
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
     this.ledger = new CrashLedger(this._nowMs);
-    this.ledger.onQuarantineChanged((digest, hold) =>
+    this.ledger.onQuarantineChanged((digest, quarantine) =>
       warn(
-        `Request ${digest} is ${hold === undefined ? "released from quarantine" : `quarantined for ${Math.round(hold.leftMs)} ms`}.`,
+        `Request ${digest} is ${quarantine === undefined ? "released from quarantine" : `quarantined for ${Math.round(quarantine.leftMs)} ms`}.`,
       ),
     );
     this._exchange = new CrashReportBroadcast({
--- a/packages/entry/src/feeds/ZoneStateExchange.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -16,11 +16,17 @@
 import got, { TimeoutError } from "got";
 import type { PipelineDemands } from "./PipelineDemands.js";
 import type { VersionsInUse } from "./VersionsInUse.js";
-import { digestSchema, getZoneSource, reportsSchema, type Digest, type Reports } from "./zoneFeedMessages.js";
+import {
+  digestSchema,
+  getZoneSource,
+  reportsSchema,
+  type Digest,
+  type Reports,
+} from "./zoneStateMessages.js";
 
 const reportsTopic = "reports";
 const digestTopic = "digest";
-const leavingTopic = "endpoint-leaving";
+const drainingTopic = "endpoint-leaving";
 /**
  * The timeout of a report request grows with each late reply, up to the maximum. A long timeout does no harm, since reports
  * are fetched concurrently and a hung engine delays no other.
@@ -67,10 +73,10 @@
     membership.onNotice(reportsTopic, (body, from) => this._handleReports(body, from.name));
     membership.onNotice(digestTopic, (body) => this._handleDigest(body));
     membership.onRequest(digestTopic, (body) => this._createDigest(body));
-    membership.onNotice(leavingTopic, (body) => {
+    membership.onNotice(drainingTopic, (body) => {
       if (typeof body === "string") directory.markDraining(body);
     });
-    directory.onDraining((entry) => membership.notifyAll(leavingTopic, entry.name));
+    directory.onDraining((entry) => membership.notifyAll(drainingTopic, entry.name));
   }
 
   /** Runs both exchanges until `signal` aborts. */
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -28,7 +28,7 @@
   readonly tokenHash: intent.AccountKey;
   readonly configuration: intent.ConfigurationProjection;
   readonly planner: Planner;
-  readonly desk: PlanService;
+  readonly planService: PlanService;
   readonly status: StatusGatherer;
   readonly timelines: TimelineGatherer;
   readonly timeline: Timeline;
@@ -78,9 +78,9 @@
   response: http.ServerResponse,
 ): void {
   const objects = Object.fromEntries(
-    [...configuration.getStoredObjects()].map(([key, held]) => [
+    [...configuration.getStoredObjects()].map(([key, stored]) => [
       key,
-      { ...held, value: withoutSecrets(held.value) },
+      { ...stored, value: withoutSecrets(stored.value) },
     ]),
   );
   sendJson(response, okStatus, {
@@ -123,29 +123,29 @@
   if (submitted.err)
     throw new ApiError(badRequestStatus, "invalid_request_error", "invalid_intent", submitted.val.message);
   const plan = structure.planner.createPlan(submitted.val);
-  structure.desk.addPlan(plan);
+  structure.planService.addPlan(plan);
   sendJson(response, createdStatus, { plan, text: intent.renderPlan(plan) });
 }
 
 async function sendPlan(
-  { desk, configuration }: OperatorStructure,
+  { planService, configuration }: OperatorStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
   const planId = String(request.params.plan);
   const outcome = configuration.getOutcome(planId);
-  const plan = await desk.requirePlan(planId);
+  const plan = await planService.requirePlan(planId);
   if (plan.err && outcome === undefined) throw toOperatorError(plan.val);
   const known = plan.ok ? { plan: plan.val, text: intent.renderPlan(plan.val) } : {};
   sendJson(response, okStatus, { ...known, outcome });
 }
 
 async function confirmPlan(
-  { desk }: OperatorStructure,
+  { planService }: OperatorStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
-  const confirmed = await desk.confirm(String(request.params.plan));
+  const confirmed = await planService.confirm(String(request.params.plan));
   if (confirmed.err) throw toOperatorError(confirmed.val);
   sendJson(response, confirmed.val.outcome.isAccepted ? okStatus : conflictStatus, confirmed.val);
 }
--- a/packages/entry/src/logs/createLogs.ts
+++ b/packages/entry/src/logs/createLogs.ts
@@ -16,7 +16,7 @@
 /** Logs of one instance. */
 export interface Logs {
   /** Returns the log of a component. */
-  forComponent(part: LogComponent): ComponentLog;
+  forComponent(component: LogComponent): ComponentLog;
   /** Sets the level of all components. */
   setLevel(level: string): void;
   readonly level: string;
@@ -41,7 +41,7 @@
     transports: [new winston.transports.Console({ stderrLevels: ["error", "warn", "info", "debug"] })],
   });
   return {
-    forComponent: (part) => createPartLog(logger, part),
+    forComponent: (component) => createComponentLog(logger, component),
     setLevel: (level) => {
       logger.level = level;
     },
@@ -51,8 +51,9 @@
   };
 }
 
-function createPartLog(logger: winston.Logger, part: LogComponent): ComponentLog {
-  const write = (level: string) => (sentence: string) => void logger.log({ level, message: sentence, part });
+function createComponentLog(logger: winston.Logger, component: LogComponent): ComponentLog {
+  const write = (level: string) => (sentence: string) =>
+    void logger.log({ level, message: sentence, part: component });
   return { info: write("info"), warn: write("warn"), error: write("error"), debug: write("debug") };
 }
 
--- a/packages/entry/src/operators/PlanService.ts
+++ b/packages/entry/src/operators/PlanService.ts
@@ -80,16 +80,16 @@
     const own = this._plans.get(planId);
     if (own !== undefined) return results.Ok(own);
     const { membership } = this._structure;
-    const silent: string[] = [];
+    const unresponsive: string[] = [];
     const replies = membership.getMembers().map(async ({ name }) => {
       const reply = await membership.request(name, planTopic, planId, requestTimeoutMs);
       // An instance that times out may have the plan; one that can't be reached at all is not counted.
-      if (reply.err && reply.val.code === "deadline_passed") silent.push(name);
+      if (reply.err && reply.val.code === "deadline_passed") unresponsive.push(name);
       return planSchema.parse(reply.ok ? reply.val : undefined);
     });
     const found = await Promise.any(replies).catch(() => undefined);
     if (found !== undefined) return results.Ok(found);
-    if (silent.length > 0) return results.Err(new PlanUnansweredError(planId, silent));
+    if (unresponsive.length > 0) return results.Err(new PlanUnansweredError(planId, unresponsive));
     return results.Err(new PlanNotFoundError(planId));
   }
 
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -60,17 +60,17 @@
 
   /** Returns this instance's status. */
   getOwn(): InstanceStatus {
-    const { membership, configuration: fold } = this._sources;
+    const { membership, configuration } = this._sources;
     return {
       ...membership.self,
-      offset: fold.offset,
+      offset: configuration.offset,
       offsetSinceMs: this._offsetSinceMs,
       logAgeMs: this._sources.getLogAgeMs(),
       isReady: this._sources.isReady(),
       isDraining: this._sources.isDraining(),
       activeRequests: this._sources.getActiveRequests(),
       cutOffSinceMs: membership.getCutOffSinceMs(),
-      unknownRecords: fold.unknownRecords.length,
+      unknownRecords: configuration.unknownRecords.length,
     };
   }
 
--- a/packages/entry/src/orders/OrderReconciler.ts
+++ b/packages/entry/src/orders/OrderReconciler.ts
@@ -6,7 +6,7 @@
 import type { EndpointDirectory, EndpointEntry } from "@shedtiller/routing";
 import type { Timeline } from "@shedtiller/timeline";
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
-import { getZoneSource } from "../feeds/zoneFeedMessages.js";
+import { getZoneSource } from "../feeds/zoneStateMessages.js";
 import type { VersionRetirement } from "./VersionRetirement.js";
 import type { ComponentLog } from "../logs/createLogs.js";
 import { getCompleteVersions } from "./servedVersions.js";
@@ -65,7 +65,7 @@
   }
 
   private async _tick(): Promise<void> {
-    const { membership, holder, configuration: fold, directory } = this._structure;
+    const { membership, holder, configuration, directory } = this._structure;
     const due = this._findEnginesToOrder();
     this._removeSettled();
     if (due.length === 0) return;
@@ -76,9 +76,10 @@
     this._recordToken(holder.getToken());
     // If no engine can be spared, the placement can be reached only through a gap without a complete chain. While engines
     // are loading, waiting may avoid the gap.
-    const isGapNeeded = !this._isLoading() && due.every((entry) => !hasChainWithout(fold, directory, entry));
+    const isGapNeeded =
+      !this._isLoading() && due.every((entry) => !hasChainWithout(configuration, directory, entry));
     for (const entry of due) {
-      const desired = getDesiredLayers(fold, entry.name);
+      const desired = getDesiredLayers(configuration, entry.name);
       if (desired === undefined) continue;
       const blocker =
         this._getBlocker(entry, isGapNeeded) ?? (await this._requestRetirement(entry, isGapNeeded));
@@ -91,12 +92,12 @@
 
   /** Removes the draining times and blockers of engines that have loaded their layers or are gone. */
   private _removeSettled(): void {
-    const { directory, configuration: fold } = this._structure;
+    const { directory, configuration } = this._structure;
     for (const records of [this._drainingSinceMs, this._blockers]) {
       for (const name of records.keys()) {
         const entry = directory.getEntry(name);
         const isSettled =
-          entry?.report !== undefined && hasDesiredLayers(entry, getDesiredLayers(fold, name));
+          entry?.report !== undefined && hasDesiredLayers(entry, getDesiredLayers(configuration, name));
         if (entry === undefined || isSettled) records.delete(name);
       }
     }
@@ -131,9 +132,9 @@
 
   /** Returns the version whose last complete chain an engine is part of; undefined if another chain is complete. */
   private _getLastChain(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
-    const { configuration: fold, directory } = this._structure;
+    const { configuration, directory } = this._structure;
     const { report } = entry;
-    const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
+    const pipeline = report === undefined ? undefined : configuration.getObject("pipeline", report.model);
     if (report?.layers === undefined || pipeline === undefined) return undefined;
     if (getCompleteVersions(directory, pipeline, entry).includes(report.version)) return undefined;
     return { pipeline, version: report.version };
@@ -174,11 +175,14 @@
 
   /** Returns the engines of this zone that are live and have not loaded the layers of the placement. */
   private _findEnginesToOrder(): EndpointEntry[] {
-    const { directory, membership, configuration: fold } = this._structure;
+    const { directory, membership, configuration } = this._structure;
     const zone = membership.self.availabilityZone;
     return directory.getEntries().filter((entry) => {
       if (entry.availabilityZone !== zone || entry.isDraining || entry.isUnreachable) return false;
-      return entry.report?.state === "live" && !hasDesiredLayers(entry, getDesiredLayers(fold, entry.name));
+      return (
+        entry.report?.state === "live" &&
+        !hasDesiredLayers(entry, getDesiredLayers(configuration, entry.name))
+      );
     });
   }
 
@@ -241,8 +245,11 @@
 }
 
 /** Returns the layers that the configuration assigns to an engine; undefined if it assigns none. */
-export function getDesiredLayers(fold: ConfigurationProjection, endpoint: string): DesiredLayers | undefined {
-  for (const pipeline of fold.getObjects("pipeline")) {
+export function getDesiredLayers(
+  configuration: ConfigurationProjection,
+  endpoint: string,
+): DesiredLayers | undefined {
+  for (const pipeline of configuration.getObjects("pipeline")) {
     const layers = pipeline.placement?.[endpoint];
     if (layers !== undefined) return toDesiredLayers(pipeline, layers);
   }
@@ -262,18 +269,21 @@
 
 /** Returns whether the model that an engine serves now keeps a complete chain of some version without that engine. */
 function hasChainWithout(
-  fold: ConfigurationProjection,
+  configuration: ConfigurationProjection,
   directory: EndpointDirectory,
   entry: EndpointEntry,
 ): boolean {
   const { report } = entry;
-  const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
+  const pipeline = report === undefined ? undefined : configuration.getObject("pipeline", report.model);
   if (report?.layers === undefined || pipeline === undefined) return true;
   return getCompleteVersions(directory, pipeline, entry).length > 0;
 }
 
 /** Marks the engines that are to load other layers, so that new requests avoid them. */
-export function markRetiringEngines(fold: ConfigurationProjection, directory: EndpointDirectory): void {
+export function markRetiringEngines(
+  configuration: ConfigurationProjection,
+  directory: EndpointDirectory,
+): void {
   for (const entry of directory.getEntries())
-    entry.isRetiring = !hasDesiredLayers(entry, getDesiredLayers(fold, entry.name));
+    entry.isRetiring = !hasDesiredLayers(entry, getDesiredLayers(configuration, entry.name));
 }
