--- a/packages/entry/src/configuration/ConfigurationSync.ts
+++ b/packages/entry/src/configuration/ConfigurationSync.ts
@@ -35,7 +35,10 @@
   readonly logRetentionMs: number;
 }
 
-/** Fetches newer configurations from peers, serves them to peers, and writes snapshots before records age out of the log. */
+/**
+ * Keeps the configuration at the highest offset of the log and all peers: fetches newer records from peers, serves records
+ * to peers, and writes snapshots before records age out of the log.
+ */
 export class ConfigurationSync {
   private readonly _pendingPeers = new Set<string>();
   private readonly _answeredPeers = new Set<string>();
--- a/packages/entry/src/feeds/VersionsInUse.ts
+++ b/packages/entry/src/feeds/VersionsInUse.ts
@@ -87,7 +87,10 @@
     };
   }
 
-  /** Returns the versions in use at this instance, for pipelines whose engines have loaded more than one version. */
+  /**
+   * Returns the versions in use at this instance. Pipelines whose engines have loaded a single version are left out, since
+   * that version is not about to be replaced.
+   */
   getOwn(): VersionUse[] {
     const changing = this._getPipelines().filter(
       (pipeline) => this._directory.getVersions(pipeline.name).length > 1,
--- a/packages/entry/src/http/HttpListener.ts
+++ b/packages/entry/src/http/HttpListener.ts
@@ -7,6 +7,7 @@
 import * as restify from "restify";
 import { ApiError, sendError } from "./apiErrors.js";
 
+/** Handles one request; an error that it throws becomes the response. */
 export type Handler = (request: restify.Request, response: http.ServerResponse) => Promise<void> | void;
 
 /** Settings and dependencies of {@link HttpListener}. */
--- a/packages/entry/src/http/StoredAnswer.ts
+++ b/packages/entry/src/http/StoredAnswer.ts
@@ -2,6 +2,7 @@
 import type { ServiceAnswer } from "@shedtiller/claims";
 import * as zod from "zod";
 
+/** Schema of stored answers, by the kind of the call. */
 export const storedAnswerSchema = zod.discriminatedUnion("kind", [
   zod.object({
     kind: zod.literal("model"),
--- a/packages/entry/src/http/apiErrors.ts
+++ b/packages/entry/src/http/apiErrors.ts
@@ -2,6 +2,7 @@
 import type * as http from "node:http";
 import { errors, type ExecutionStatus } from "@shedtiller/common";
 
+/** Types of OpenAI's error object. */
 export type ApiErrorType =
   | "invalid_request_error"
   | "authentication_error"
@@ -25,6 +26,7 @@
   }
 }
 
+/** Header with whether the request has run. */
 export const ranHeader = "shedtiller-ran";
 /** Header with the id of the request in logs and in the time line. */
 export const requestIdHeader = "shedtiller-request-id";
--- a/packages/entry/src/http/completionSchemas.ts
+++ b/packages/entry/src/http/completionSchemas.ts
@@ -12,6 +12,7 @@
 
 const textPart = zod.object({ type: zod.literal("text"), text: zod.string() });
 
+/** Body of a chat completion. */
 export const chatBodySchema = zod.looseObject({
   ...common,
   max_completion_tokens: zod.number().int().positive().max(maxAnswerTokens).optional(),
@@ -22,6 +23,7 @@
     .min(1),
 });
 
+/** Body of a text completion. */
 export const textBodySchema = zod.looseObject({ ...common, prompt: zod.string().min(1) });
 
 export type ChatBody = zod.infer<typeof chatBodySchema>;
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -9,6 +9,7 @@
 /** The timeout grows up to this, since a busy instance answers late without being gone. */
 const maxTimeoutMs = 8_000;
 
+/** Status of one instance. */
 export const instanceStatusSchema = zod.object({
   name: zod.string(),
   availabilityZone: zod.string(),
--- a/packages/pipeline/src/engine/engineFrames.ts
+++ b/packages/pipeline/src/engine/engineFrames.ts
@@ -23,9 +23,13 @@
   remainingMs: zod.number(),
 });
 
+/** Notice that a stage is no longer needed, so that the engine stops its work and frees its KV cache. */
 export const releaseFrameSchema = zod.object({ kind: zod.literal("release"), ...stageKeyShape });
+/** Request for the status of a stage. */
 export const probeFrameSchema = zod.object({ kind: zod.literal("probe"), ...stageKeyShape });
+/** Request for the KV cache of a stage. */
 export const exportFrameSchema = zod.object({ kind: zod.literal("export"), ...stageKeyShape });
+/** KV cache of positions [0, position) with which a new attempt of a stage starts. */
 export const importFrameSchema = zod.object({
   kind: zod.literal("import"),
   ...stageKeyShape,
@@ -34,6 +38,7 @@
   cache: bytes,
 });
 
+/** Frames that an instance sends to an engine. */
 export const toEngineSchema = zod.discriminatedUnion("kind", [
   applyFrameSchema,
   releaseFrameSchema,
@@ -65,6 +70,7 @@
   last: appliedFrameSchema.optional(),
 });
 
+/** Reasons of an engine for not running a call. */
 export const refusalReasons = ["not-loaded", "wrong-position", "unknown-stream", "full", "expired"] as const;
 
 /** Reply to a call that the engine did not run, with the reason. */
@@ -75,12 +81,14 @@
   reason: zod.enum(refusalReasons),
 });
 
+/** Reply to an `export`, with the KV cache of positions [0, position). */
 export const exportedFrameSchema = zod.object({
   kind: zod.literal("exported"),
   ...stageKeyShape,
   position: wholeNumber,
   cache: bytes,
 });
+/** Reply to an `import`. */
 export const importedFrameSchema = zod.object({
   kind: zod.literal("imported"),
   ...stageKeyShape,
@@ -89,6 +97,7 @@
 /** Notice that the engine is draining and accepts no new streams. */
 export const drainingFrameSchema = zod.object({ kind: zod.literal("leaving") });
 
+/** Frames that an engine sends to an instance. */
 export const fromEngineSchema = zod.discriminatedUnion("kind", [
   appliedFrameSchema,
   stageStatusFrameSchema,
--- a/packages/pipeline/src/request/Stage.ts
+++ b/packages/pipeline/src/request/Stage.ts
@@ -26,6 +26,7 @@
   }
 }
 
+/** Error of a call to a stage, after which the stage is replaced. */
 export type StageError = EngineError | StageSilentError | StageStateLostError;
 type Applied = results.Result<AppliedFrame, StageError>;
 
