--- a/packages/entry/src/feeds/ZoneStateExchange.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -63,7 +63,7 @@
   private _round = 0;
   private readonly _fetching = new Set<string>();
   private readonly _reportTimeouts = new utils.AdaptiveTimeout(initialReportTimeoutMs, maxReportTimeoutMs);
-  private _digestRound = 0;
+  private _digestFetches = 0;
   private _demandsSentAtMs = 0;
   private readonly _fixedHashes = new Map<string, number>();
   private readonly _lastFixedParts = new Map<string, string>();
@@ -267,10 +267,10 @@
     const { membership } = this._structure;
     const contact = membership.getLinked().find((member) => member.availabilityZone === zone);
     if (contact === undefined) return;
-    // The digest has the full reports if they have changed, and in every tenth round for instances that joined meanwhile.
-    this._digestRound += 1;
+    // The digest has the full reports if they have changed, and in every tenth fetch for instances that joined meanwhile.
+    this._digestFetches += 1;
     const known =
-      this._digestRound % roundsPerFullReport === 0 ? null : (this._fixedHashes.get(zone) ?? null);
+      this._digestFetches % roundsPerFullReport === 0 ? null : (this._fixedHashes.get(zone) ?? null);
     const digest = await membership.request(contact.name, digestTopic, known, digestTimeoutMs);
     if (digest.err) return;
     this._handleDigest(digest.val);
