--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -1,4 +1,4 @@
-/** One entry instance: starts its parts, serves, drains. */
+/** Lifecycle of one entry instance. */
 import { EventEmitter } from "node:events";
 import * as fs from "node:fs";
 import * as admission from "@shedtiller/admission";
@@ -13,11 +13,11 @@
 import * as timeline from "@shedtiller/timeline";
 import type * as inversify from "inversify";
 import { ConfigurationSync } from "./configuration/ConfigurationSync.js";
-import { ListFeed } from "./feeds/ListFeed.js";
+import { InstanceListPoller } from "./feeds/InstanceListPoller.js";
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
 import { ZoneStateExchange } from "./feeds/ZoneStateExchange.js";
-import { getZoneSource } from "./feeds/zoneFeedMessages.js";
+import { getZoneSource } from "./feeds/zoneStateMessages.js";
 import { AccountDirectory } from "./http/authenticate.js";
 import { addCallerRoutes } from "./http/callerRoutes.js";
 import { CompletionHandler } from "./http/CompletionHandler.js";
@@ -39,17 +39,17 @@
 import { Tokenizer } from "./text/Tokenizer.js";
 
 const readyPollMs = 10;
-const retiringTickMs = 250;
-/** Without the log, an instance waits this long for peers before it takes what it has for the newest. */
-const peerGraceMs = 2_000;
+const retiringUpdateIntervalMs = 250;
+/** While the log is unavailable, an instance waits this long for peers before it regards its configuration as the newest. */
+const peerWaitMs = 2_000;
 
-/** What a drain came to. */
+/** Result of a drain. */
 export interface DrainReport {
-  /** Ids of requests that were cut short, after a hurry. */
+  /** Ids of the requests that were aborted while the instance drained. */
   readonly abortedRequestIds: readonly string[];
 }
 
-/** The daemon's core, embeddable. Made by `composeEntry`. */
+/** Starts, drains and stops an entry instance. Can be embedded in another process; created by `composeEntry`. */
 export class EntryInstance {
   readonly settings: InstanceSettings;
   readonly timeline: timeline.Timeline;
@@ -61,115 +61,119 @@
   private readonly _log: ComponentLog;
   private readonly _shutdown: AbortController;
   private readonly _inFlight: InFlightRequests;
-  private readonly _callers: HttpListener;
-  private readonly _operators: HttpListener;
+  private readonly _callerListener: HttpListener;
+  private readonly _operatorListener: HttpListener;
   private _isDraining = false;
   private _startedAtMs = 0;
   private _wasReady = false;
-  private _cut: string[] = [];
+  private _abortedRequestIds: string[] = [];
   private _tasks: Promise<unknown>[] = [];
 
-  constructor(private readonly _parts: Pick<inversify.ResolutionContext, "get">) {
-    this.settings = _parts.get<InstanceSettings>(serviceIdentifiers.settings);
-    this.timeline = _parts.get(timeline.Timeline);
-    this.configuration = _parts.get(intent.ConfigurationProjection);
-    this.membership = _parts.get(membership.Membership);
-    this.directory = _parts.get(routing.EndpointDirectory);
-    this.pipeline = _parts.get(pipeline.PipelineContext);
-    this.metrics = _parts.get(InstanceMetrics);
-    this._log = _parts.get<Logs>(serviceIdentifiers.logs).forComponent("entry");
-    this._shutdown = _parts.get<AbortController>(serviceIdentifiers.shutdown);
-    this._inFlight = _parts.get(InFlightRequests);
-    this._callers = this._createListener("callers", this.settings.instance.callerAddress);
-    this._operators = this._createListener("operators", this.settings.instance.operatorAddress);
+  constructor(private readonly _container: Pick<inversify.ResolutionContext, "get">) {
+    this.settings = _container.get<InstanceSettings>(serviceIdentifiers.settings);
+    this.timeline = _container.get(timeline.Timeline);
+    this.configuration = _container.get(intent.ConfigurationProjection);
+    this.membership = _container.get(membership.Membership);
+    this.directory = _container.get(routing.EndpointDirectory);
+    this.pipeline = _container.get(pipeline.PipelineContext);
+    this.metrics = _container.get(InstanceMetrics);
+    this._log = _container.get<Logs>(serviceIdentifiers.logs).forComponent("entry");
+    this._shutdown = _container.get<AbortController>(serviceIdentifiers.shutdown);
+    this._inFlight = _container.get(InFlightRequests);
+    this._callerListener = this._createListener("callers", this.settings.instance.callerAddress);
+    this._operatorListener = this._createListener("operators", this.settings.instance.operatorAddress);
   }
 
+  /** Name of the instance. */
   get name(): string {
     return this.settings.instance.name;
   }
 
+  /** Port of the callers' listener. */
   get callerPort(): number {
-    return this._callers.port;
+    return this._callerListener.port;
   }
 
+  /** Port of the operators' listener. */
   get operatorPort(): number {
-    return this._operators.port;
+    return this._operatorListener.port;
   }
 
+  /** Whether the instance drains, or has drained. */
   get isDraining(): boolean {
     return this._isDraining;
   }
 
   /**
-   * Whether it may serve: it holds a configuration, and none that it can reach holds a newer one. Once it was ready it
-   * stays so, cut off or not, since a configuration never goes back.
+   * Whether the instance may serve: it has a configuration, and neither the log nor any reachable peer has a newer one. An
+   * instance stays ready even if it is partitioned later, since its configuration never goes back to an older one.
    */
   get isReady(): boolean {
     if (!this._wasReady) this._wasReady = this._checkReady();
     return this._wasReady;
   }
 
-  /** Listens, and begins all tasks. */
+  /** Opens all listeners and starts the background tasks. */
   async start(): Promise<void> {
     this._startedAtMs = utils.monotonicMs();
-    // Every waiting task listens to the one signal.
+    // All waiting tasks listen to the same signal, more than Node allows without a warning.
     EventEmitter.setMaxListeners(0, this._shutdown.signal);
     this._addRoutes();
     this._addMetricSources();
     await this.membership.listen();
-    await this._callers.listen();
-    await this._operators.listen();
-    this.configuration.onChanged(() => this._noteConfiguration());
+    await this._callerListener.listen();
+    await this._operatorListener.listen();
+    this.configuration.onChanged(() => this._recordConfiguration());
     this._startTasks(this._shutdown.signal);
     const ports = `callers on port ${this.callerPort}, operators on port ${this.operatorPort}, peers on port ${this.membership.port}`;
     this._log.info(`Listening for ${ports}.`);
   }
 
-  /** Resolves once the instance may serve. */
+  /** Resolves once the instance is ready or has been stopped. */
   async waitUntilReady(): Promise<void> {
     while (!this.isReady && !this._shutdown.signal.aborted) await utils.sleep(readyPollMs);
   }
 
-  /** Planned stop: takes nothing new, lets every request under way complete, tells the peers, ends. */
+  /** Stops gracefully: rejects new requests, notifies the peers, lets all requests in flight complete, then stops. */
   async drain(): Promise<DrainReport> {
     if (!this._isDraining) {
       this._isDraining = true;
-      this.timeline.add("drain-begun", { detail: `${this._inFlight.size} requests under way` });
-      this._log.info(`Draining with ${this._inFlight.size} requests under way.`);
+      this.timeline.add("drain-begun", { detail: `${this._inFlight.size} requests in flight` });
+      this._log.info(`Draining with ${this._inFlight.size} requests in flight.`);
       this.membership.leave();
     }
     await this._inFlight.waitForIdle();
     this.timeline.add("drain-ended");
-    await this._end();
+    await this._stop();
     this._log.info("Drained.");
-    return { abortedRequestIds: this._cut };
+    return { abortedRequestIds: this._abortedRequestIds };
   }
 
-  /** Cuts short what a drain still waits for. */
+  /** Aborts the requests in flight, so that a drain completes early. */
   abortInFlightRequests(): void {
-    this._cut = this._inFlight.abortAll();
-    for (const requestId of this._cut) this._log.warn(`Cut the request ${requestId} short.`);
+    this._abortedRequestIds = this._inFlight.abortAll();
+    for (const requestId of this._abortedRequestIds) this._log.warn(`Cut the request ${requestId} short.`);
   }
 
-  /** Vanishes at once, as a killed process does. */
+  /** Stops at once, as a killed process does. */
   async kill(): Promise<void> {
     this._inFlight.abortAll();
-    await this._end();
+    await this._stop();
   }
 
-  /** Reads the certificate files again; new connections use them. */
+  /** Reloads the certificate files for new connections. */
   reloadCertificates(): void {
     const tls = this._readTls();
     if (tls === undefined) return;
-    this._callers.setCertificate(tls.certificate, tls.key);
-    this._operators.setCertificate(tls.certificate, tls.key);
-    this._log.info("Read the certificates again.");
+    this._callerListener.setCertificate(tls.certificate, tls.key);
+    this._operatorListener.setCertificate(tls.certificate, tls.key);
+    this._log.info("Reloaded the certificates.");
   }
 
-  private async _end(): Promise<void> {
+  private async _stop(): Promise<void> {
     this._shutdown.abort();
-    this._callers.destroy();
-    this._operators.destroy();
+    this._callerListener.destroy();
+    this._operatorListener.destroy();
     this.membership.close();
     const { connector } = this.pipeline;
     if (connector instanceof pipeline.WsEngineConnector) connector.close();
@@ -177,37 +181,41 @@
   }
 
   private _checkReady(): boolean {
-    const follower = this._parts.get<platform.LogFollower>(serviceIdentifiers.configurationFollower);
+    const follower = this._container.get<platform.LogFollower>(serviceIdentifiers.configurationFollower);
     if (this.configuration.offset < 0 || this.configuration.hasHistoryGap) return false;
     if (follower.isCaughtUp) return true;
-    const hasWaited = utils.monotonicMs() - this._startedAtMs > peerGraceMs;
-    return hasWaited && this._parts.get(ConfigurationSync).hasAskedPeers;
+    const hasWaited = utils.monotonicMs() - this._startedAtMs > peerWaitMs;
+    return hasWaited && this._container.get(ConfigurationSync).hasAnswerOfEveryPeer;
   }
 
   private _startTasks(signal: AbortSignal): void {
-    const logParts = [
+    const followerIds = [
       serviceIdentifiers.configurationFollower,
       serviceIdentifiers.claimFollower,
       serviceIdentifiers.leaseFollower,
     ];
-    const followers = logParts.map((part) => this._parts.get<platform.LogFollower>(part));
-    const list = new ListFeed(this._parts.get(platform.InstanceList), (page) => this._takeList(page));
+    const followers = followerIds.map((id) => this._container.get<platform.LogFollower>(id));
+    const list = new InstanceListPoller(this._container.get(platform.InstanceList), (page) =>
+      this._applyInstanceList(page),
+    );
     const retire = (): void => markRetiringEngines(this.configuration, this.directory);
     this._tasks = [
       ...followers.map((follower) => follower.run(signal)),
       list.run(signal),
       this.membership.run(signal),
-      this._parts.get(ConfigurationSync).run(signal),
-      this._parts.get(ZoneStateExchange).run(signal),
-      this._parts.get(ModelQueues).run(signal),
-      this._parts.get(OrderReconciler).run(signal),
-      utils.repeat(retiringTickMs, signal, retire, (error) => this._log.error(errors.describeError(error))),
+      this._container.get(ConfigurationSync).run(signal),
+      this._container.get(ZoneStateExchange).run(signal),
+      this._container.get(ModelQueues).run(signal),
+      this._container.get(OrderReconciler).run(signal),
+      utils.repeat(retiringUpdateIntervalMs, signal, retire, (error) =>
+        this._log.error(errors.describeError(error)),
+      ),
     ];
     for (const task of this._tasks)
       task.catch((error: unknown) => this._log.error(errors.describeError(error)));
   }
 
-  private _takeList(page: readonly platform.ListedInstance[]): void {
+  private _applyInstanceList(page: readonly platform.ListedInstance[]): void {
     this.directory.setListed(page);
     this.membership.setListed(page);
     const own = this.settings.instance.availabilityZone;
@@ -215,20 +223,20 @@
     const sources = new Set(entries.filter((e) => e.availabilityZone === own).map((e) => e.name));
     for (const entry of entries)
       if (entry.availabilityZone !== own) sources.add(getZoneSource(entry.availabilityZone));
-    this._parts.get(admission.AccountLimits).retainSources(sources);
-    this._parts.get(PipelineDemands).retainSources(sources);
-    this._parts.get(VersionsInUse).retainSources(sources);
+    this._container.get(admission.AccountLimits).retainSources(sources);
+    this._container.get(PipelineDemands).retainSources(sources);
+    this._container.get(VersionsInUse).retainSources(sources);
   }
 
-  private _noteConfiguration(): void {
+  private _recordConfiguration(): void {
     this.timeline.add("configuration-in-force", { detail: `offset ${this.configuration.offset}` });
   }
 
   private _addRoutes(): void {
-    const p = this._parts;
+    const p = this._container;
     const shared = {
       settings: this.settings,
-      fold: this.configuration,
+      configuration: this.configuration,
       accounts: p.get(AccountDirectory),
       once: p.get(claims.AtMostOnce) as claims.AtMostOnce<StoredAnswer>,
       timeline: this.timeline,
@@ -246,12 +254,12 @@
     const services = new ServiceHandler({ ...shared, caller: p.get(claims.ServiceCaller) });
     const isReady = (): boolean => this.isReady;
     const isDraining = (): boolean => this._isDraining;
-    addCallerRoutes(this._callers, { ...shared, completions, services, isReady, isDraining });
-    addOperatorRoutes(this._operators, {
+    addCallerRoutes(this._callerListener, { ...shared, completions, services, isReady, isDraining });
+    addOperatorRoutes(this._operatorListener, {
       tokenHash: p.get<InstanceSecrets>(serviceIdentifiers.secrets).operatorTokenHash,
-      fold: this.configuration,
+      configuration: this.configuration,
       planner: p.get(Planner),
-      desk: p.get(PlanService),
+      planService: p.get(PlanService),
       status: p.get(StatusGatherer),
       timelines: p.get(TimelineGatherer),
       timeline: this.timeline,
@@ -261,20 +269,20 @@
   }
 
   private _addMetricSources(): void {
-    const queues = this._parts.get(ModelQueues);
+    const queues = this._container.get(ModelQueues);
     this.metrics.addSources({
       membership: this.membership,
       pipeline: this.pipeline,
       getConfigurationOffset: () => this.configuration.offset,
       getActive: () => this._inFlight.size,
       getWaiting: () => queues.waiting,
-      getClaimKeys: () => this._parts.get(claims.ClaimProjection).size,
+      getClaimKeys: () => this._container.get(claims.ClaimProjection).size,
     });
   }
 
   private _createListener(name: string, address: string): HttpListener {
     const onFault = (error: unknown): void =>
-      this._log.error(`Internal fault: ${errors.describeError(error)}`);
+      this._log.error(`Internal error: ${errors.describeError(error)}`);
     return new HttpListener({ name, address, limits: this.settings.limits, tls: this._readTls(), onFault });
   }
 
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -1,4 +1,4 @@
-/** Composition of an entry instance. Embedders may rebind any part before `EntryInstance` is asked for. */
+/** Composition of an entry instance. Embedders may rebind any service before they request `EntryInstance`. */
 import "reflect-metadata";
 import * as admission from "@shedtiller/admission";
 import * as claims from "@shedtiller/claims";
@@ -36,17 +36,17 @@
 import type { InstanceSecrets } from "./secrets.js";
 import { Tokenizer, WordTokenizer } from "./text/Tokenizer.js";
 
-/** What may differ beside the settings. */
+/** Options of an instance that are not part of its settings. */
 export interface ComposeOptions {
   readonly logs?: Partial<LogOptions>;
-  /** Seed of the instance's random choices; by default one from its name and the time. */
+  /** Seed of the instance's random choices; by default a hash of its name and the time. */
   readonly seed?: number;
   readonly silence?: pipeline.SilenceOptions;
 }
 
 const leaseDurationMs = 8_000;
 
-/** Binds every part of an instance. */
+/** Creates a container with bindings for all services of an instance. */
 export function composeEntry(
   settings: InstanceSettings,
   secrets: InstanceSecrets,
@@ -124,7 +124,7 @@
     .bind(ConfigurationSync)
     .toDynamicValue((c) => {
       return new ConfigurationSync({
-        fold: c.get(intent.ConfigurationProjection),
+        configuration: c.get(intent.ConfigurationProjection),
         membership: c.get(membership.Membership),
         log: c.get(platform.LogService),
         logRetentionMs: settings.platform.logRetentionMs,
@@ -207,8 +207,8 @@
   container
     .bind(VersionsInUse)
     .toDynamicValue((c) => {
-      const fold = c.get(intent.ConfigurationProjection);
-      return new VersionsInUse(c.get(routing.EndpointDirectory), () => fold.getObjects("pipeline"));
+      const configuration = c.get(intent.ConfigurationProjection);
+      return new VersionsInUse(c.get(routing.EndpointDirectory), () => configuration.getObjects("pipeline"));
     })
     .inSingletonScope();
   container
@@ -227,10 +227,10 @@
     .bind(AccountDirectory)
     .toDynamicValue((c) => new AccountDirectory(c.get(intent.ConfigurationProjection)))
     .inSingletonScope();
-  container.bind(ZoneStateExchange).toDynamicValue(createZoneFeed).inSingletonScope();
+  container.bind(ZoneStateExchange).toDynamicValue(createZoneStateExchange).inSingletonScope();
 }
 
-function createZoneFeed(c: Context): ZoneStateExchange {
+function createZoneStateExchange(c: Context): ZoneStateExchange {
   const metrics = c.get(InstanceMetrics);
   return new ZoneStateExchange({
     membership: c.get(membership.Membership),
@@ -314,11 +314,11 @@
   container
     .bind(VersionRetirement)
     .toDynamicValue((c) => {
-      const fold = c.get(intent.ConfigurationProjection);
+      const configuration = c.get(intent.ConfigurationProjection);
       return new VersionRetirement({
         membership: c.get(membership.Membership),
         versions: c.get(VersionsInUse),
-        getPipeline: (model) => fold.getObject("pipeline", model),
+        getPipeline: (model) => configuration.getObject("pipeline", model),
       });
     })
     .inSingletonScope();
--- a/packages/entry/src/crashes/PeerCrashQuarantine.ts
+++ b/packages/entry/src/crashes/PeerCrashQuarantine.ts
@@ -1,4 +1,4 @@
-/** Holds back requests that crash engines, at all instances; what counts is decided by the ledger. */
+/** Quarantine of requests that crash engines, shared with all instances. The crash ledger evaluates the evidence. */
 import { utils } from "@shedtiller/common";
 import {
   CrashReportBroadcast,
@@ -12,9 +12,13 @@
 import { CrashQuarantine, type LostEngine } from "@shedtiller/pipeline";
 
 const probeTimeoutMs = 300;
-/** Two words of one engine within this are of one crash: engines are listed under one name through all their lives. */
-const oneCrashMs = 2_000;
-/** What the guard works with. */
+/**
+ * Losses of the same engine within this time count as one crash. The engine's name doesn't tell two crashes apart, since an
+ * engine is listed under the same name in all its lives.
+ */
+const crashWindowMs = 2_000;
+
+/** Dependencies of {@link PeerCrashQuarantine}. */
 export interface PeerCrashQuarantineStructure {
   readonly membership: CrashReportBroadcastStructure["membership"];
   readonly getInstanceNames: () => readonly string[];
@@ -24,7 +28,7 @@
   readonly nowMs?: () => number;
 }
 
-/** One guard an instance. */
+/** Quarantine of one instance, which exchanges its crash reports with its peers. */
 export class PeerCrashQuarantine extends CrashQuarantine {
   readonly ledger: CrashLedger;
   private readonly _exchange: CrashReportBroadcast;
@@ -35,14 +39,15 @@
     const { membership, warn } = _structure;
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
     this.ledger = new CrashLedger(this._nowMs);
-    this.ledger.onQuarantineChanged((digest, hold) =>
+    this.ledger.onQuarantineChanged((digest, quarantine) =>
       warn(
-        `Request ${digest} is ${hold === undefined ? "let go" : `held back for ${Math.round(hold.leftMs)} ms`}.`,
+        `Request ${digest} is ${quarantine === undefined ? "released from quarantine" : `quarantined for ${Math.round(quarantine.leftMs)} ms`}.`,
       ),
     );
     this._exchange = new CrashReportBroadcast({
       membership,
-      onInvalid: (topic, from) => warn(`A message of ${from.name} on ${topic} is not in its form.`),
+      onInvalid: (topic, from) =>
+        warn(`Ignored a message from ${from.name} on ${topic} that does not match its schema.`),
       take: (told) => this.ledger.mergeReports(told),
       tellAll: () => this.ledger.getAllReports(),
     });
@@ -53,17 +58,20 @@
     const standing = this.ledger.getStanding(digest);
     if (standing === "held") return this.ledger.getQuarantineLeftMs(digest);
     if (standing !== "due-for-trial") return undefined;
-    if (!this._isOurTurn(digest)) return trialElsewhereRetryAfterMs;
+    if (!this._mayRunTrial(digest)) return trialElsewhereRetryAfterMs;
     const trial = this.ledger.noteTrial({ digest, ageMs: 0 });
     if (trial !== undefined) this._exchange.broadcast({ ...noCrashReports, trials: [trial] });
     return undefined;
   }
 
-  /** An engine on a live machine that refuses connections has crashed; one that takes them has only ended one. */
+  /**
+   * Records a crash of the lost engine if it refuses connections while its machine is live. An engine that accepts them has
+   * only closed its connection.
+   */
   override async noteLost(digest: string, { name, address }: LostEngine): Promise<void> {
     if ((await this._structure.probe(address, probeTimeoutMs)) !== "refused") return;
     const atMs = this._nowMs();
-    const crash = this.ledger.noteCrash(this._getCrashName(name), atMs, new Map([[digest, 1]]));
+    const crash = this.ledger.noteCrash(this._getCrashId(name), atMs, new Map([[digest, 1]]));
     if (crash === undefined) return;
     this._structure.warn(`The engine ${name} crashed at the beginning of request ${digest}.`);
     this._exchange.broadcast({ ...noCrashReports, crashes: [crash] });
@@ -75,14 +83,14 @@
     if (cleared !== undefined) this._exchange.broadcast({ ...noCrashReports, clearings: [cleared] });
   }
 
-  private _isOurTurn(digest: string): boolean {
+  private _mayRunTrial(digest: string): boolean {
     const { membership, getInstanceNames } = this._structure;
     return this.ledger.mayTry(digest, getTrialRank(digest, membership.self.name, getInstanceNames()));
   }
 
-  /** The crash of this engine that is known from a moment ago, or a new one. */
-  private _getCrashName(engine: string): string {
-    const span = Math.floor(utils.wallMs() / oneCrashMs);
+  /** Returns the id of the crash of this engine in the previous window if there was one, else that of the current window. */
+  private _getCrashId(engine: string): string {
+    const span = Math.floor(utils.wallMs() / crashWindowMs);
     const before = `${engine}@${span - 1}`;
     return this.ledger.hasCrash(before) ? before : `${engine}@${span}`;
   }
--- a/packages/entry/src/createAtMostOnce.ts
+++ b/packages/entry/src/createAtMostOnce.ts
@@ -1,4 +1,4 @@
-/** The instance's "at most once": its claims, and the answers that others ask it for. */
+/** Creation of the at-most-once execution of one instance. */
 import * as claims from "@shedtiller/claims";
 import * as membership from "@shedtiller/membership";
 import * as timeline from "@shedtiller/timeline";
@@ -8,7 +8,10 @@
 
 const claimsTopic = "claims";
 
-/** Creates it, and answers the others' questions by it. */
+/**
+ * Creates the at-most-once execution of an instance. It requests answers from the instances that hold a key's claim, and
+ * replies to such requests with the answers of this instance.
+ */
 export function createAtMostOnce(
   c: inversify.ResolutionContext,
   settings: InstanceSettings,
--- a/packages/entry/src/feeds/ListFeed.ts
+++ b/packages/entry/src/feeds/InstanceListPoller.ts
@@ -1,36 +1,37 @@
-/** Follows the platform's instance list. While it can't be had, what was last listed stands. */
+/** Polling of the platform's instance list. */
 import { utils } from "@shedtiller/common";
 import type { InstanceList, ListedInstance } from "@shedtiller/logservice";
 
-const intervalMs = 500;
+const pollIntervalMs = 500;
 
-/** Hands each page on. */
-export class ListFeed {
-  /** Wall time since when the list has not answered; undefined while it does. */
-  silentSinceMs: number | undefined;
+/** Polls the instance list and passes each page on. While the list is unavailable, the last page stays in force. */
+export class InstanceListPoller {
+  /** Wall time of the first of the failed requests since the last page; undefined if the last request succeeded. */
+  unavailableSinceMs: number | undefined;
 
   constructor(
     private readonly _list: InstanceList,
     private readonly _onPage: (instances: readonly ListedInstance[]) => void,
   ) {}
 
-  /** Runs until `signal` aborts. */
+  /** Polls until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
-      intervalMs,
+      pollIntervalMs,
       signal,
       () => this.refresh(),
       () => undefined,
     );
   }
 
+  /** Fetches the list once. */
   async refresh(): Promise<void> {
     const page = await this._list.getInstances();
     if (page.err) {
-      this.silentSinceMs ??= utils.wallMs();
+      this.unavailableSinceMs ??= utils.wallMs();
       return;
     }
-    this.silentSinceMs = undefined;
+    this.unavailableSinceMs = undefined;
     this._onPage(page.val);
   }
 }
--- a/packages/entry/src/feeds/ZoneStateExchange.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -1,6 +1,7 @@
 /**
- * What instances tell each other of endpoints and demands. Within a zone the steward of an endpoint reads its report
- * and tells the others; across zones one instance a zone fetches a digest of another zone and passes it on.
+ * Exchange of engine reports and demands between instances. Within a zone the owner of an engine polls its report and
+ * broadcasts it to the other instances; across zones one instance per zone fetches the digest of another zone and
+ * broadcasts it within its own.
  */
 import { errors, utils } from "@shedtiller/common";
 import type { AccountLimits } from "@shedtiller/admission";
@@ -15,29 +16,39 @@
 import got, { TimeoutError } from "got";
 import type { PipelineDemands } from "./PipelineDemands.js";
 import type { VersionsInUse } from "./VersionsInUse.js";
-import { digestSchema, getZoneSource, reportsSchema, type Digest, type Reports } from "./zoneFeedMessages.js";
+import {
+  digestSchema,
+  getZoneSource,
+  reportsSchema,
+  type Digest,
+  type Reports,
+} from "./zoneStateMessages.js";
 
 const reportsTopic = "reports";
 const digestTopic = "digest";
-const leavingTopic = "endpoint-leaving";
-/** A hung engine holds up nothing, so that a slow one may be waited for longer each time. */
-const reportTimeoutMs = 400;
-const longestReportTimeoutMs = 6_400;
-const reportFloorMs = 200;
-const digestFloorMs = 500;
+const drainingTopic = "endpoint-leaving";
+/**
+ * The timeout of a report request grows with each late reply, up to the maximum. A long timeout does no harm, since reports
+ * are fetched concurrently and a hung engine delays no other.
+ */
+const initialReportTimeoutMs = 400;
+const maxReportTimeoutMs = 6_400;
+const minReportIntervalMs = 200;
+const minDigestIntervalMs = 500;
+/** Control traffic that one instance may send per second, by kind of message. */
 const reportBytesPerSecond = 1_200;
 const digestBytesPerSecond = 800;
 const demandBytes = 25;
 const demandBytesPerSecond = 600;
 const loadBytes = 14;
-/** A whole report, spread over the rounds between two of them. */
-const fixedShareBytes = 26;
+/** Size of a full report, divided by the rounds between two full reports. */
+const amortizedFixedBytes = 26;
 const digestTimeoutMs = 1_000;
-const fullEveryRounds = 10;
-/** A report that is older than this many rounds is fetched by each instance itself. */
-const staleRounds = 5;
+const roundsPerFullReport = 10;
+/** Each instance polls an engine itself once its report is older than this many rounds. */
+const maxReportAgeRounds = 5;
 
-/** What the feed works on. */
+/** Dependencies of {@link ZoneStateExchange}. */
 export interface ZoneStateExchangeStructure {
   readonly membership: Membership;
   readonly directory: EndpointDirectory;
@@ -47,28 +58,28 @@
   readonly onCpu: (duty: string, tookMs: number) => void;
 }
 
-/** Sends and takes reports, digests and demands. */
+/** Sends and receives engine reports, zone digests, demands and the versions in use. */
 export class ZoneStateExchange {
   private _round = 0;
   private readonly _fetching = new Set<string>();
-  private readonly _patience = new utils.AdaptiveTimeout(reportTimeoutMs, longestReportTimeoutMs);
-  private _digestRound = 0;
-  private _demandsToldAtMs = 0;
-  private readonly _knownFixed = new Map<string, number>();
-  private readonly _lastFull = new Map<string, string>();
+  private readonly _reportTimeouts = new utils.AdaptiveTimeout(initialReportTimeoutMs, maxReportTimeoutMs);
+  private _digestFetches = 0;
+  private _demandsSentAtMs = 0;
+  private readonly _fixedHashes = new Map<string, number>();
+  private readonly _lastFixedParts = new Map<string, string>();
 
   constructor(private readonly _structure: ZoneStateExchangeStructure) {
     const { membership, directory } = _structure;
-    membership.onNotice(reportsTopic, (body, from) => this._takeReports(body, from.name));
-    membership.onNotice(digestTopic, (body) => this._takeDigest(body));
+    membership.onNotice(reportsTopic, (body, from) => this._handleReports(body, from.name));
+    membership.onNotice(digestTopic, (body) => this._handleDigest(body));
     membership.onRequest(digestTopic, (body) => this._createDigest(body));
-    membership.onNotice(leavingTopic, (body) => {
+    membership.onNotice(drainingTopic, (body) => {
       if (typeof body === "string") directory.markDraining(body);
     });
-    directory.onDraining((entry) => membership.notifyAll(leavingTopic, entry.name));
+    directory.onDraining((entry) => membership.notifyAll(drainingTopic, entry.name));
   }
 
-  /** Runs until `signal` aborts. */
+  /** Runs both exchanges until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this._runReports(signal), this._runDigests(signal)]);
   }
@@ -77,9 +88,9 @@
     while (!signal.aborted) {
       const startMs = utils.monotonicMs();
       const intervalMs = this._getReportIntervalMs();
-      // Not waited for: an endpoint that hangs must not hold up the reports of the others.
-      for (const entry of this._getOwnEndpoints(intervalMs)) void this._fetchOnce(entry);
-      this._tellZone();
+      // The fetches are not awaited: an engine that hangs must not delay the reports of the others.
+      for (const entry of this._getEnginesToPoll(intervalMs)) void this._fetchOnce(entry);
+      this._broadcastReports();
       await utils
         .sleep(Math.max(0, startMs + intervalMs - utils.monotonicMs()), signal)
         .catch(() => undefined);
@@ -89,18 +100,18 @@
   private _getReportIntervalMs(): number {
     const { membership } = this._structure;
     const receivers = membership.getZoneRoleCandidates().length - 1;
-    const owned = this._getStewarded().length;
+    const owned = this._getOwnedEngines().length;
     return getBudgetIntervalMs({
-      messageBytes: 60 + owned * (loadBytes + fixedShareBytes),
+      messageBytes: 60 + owned * (loadBytes + amortizedFixedBytes),
       receivers,
       bytesPerSecond: reportBytesPerSecond,
-      floorMs: reportFloorMs,
+      floorMs: minReportIntervalMs,
     });
   }
 
-  /** Endpoints that this instance reads: those it is steward of, and those whose steward has gone silent. */
-  private _getOwnEndpoints(intervalMs: number): EndpointEntry[] {
-    const staleMs = Math.max(utils.msPerSecond, intervalMs * staleRounds);
+  /** Returns the engines to poll: those that this instance owns, and those that are unreachable or lack a recent report. */
+  private _getEnginesToPoll(intervalMs: number): EndpointEntry[] {
+    const staleMs = Math.max(utils.msPerSecond, intervalMs * maxReportAgeRounds);
     const nowMs = utils.monotonicMs();
     const zone = this._structure.membership.self.availabilityZone;
     return this._structure.directory.getEntries().filter((entry) => {
@@ -112,7 +123,8 @@
     });
   }
 
-  private _getStewarded(): EndpointEntry[] {
+  /** Returns the engines of this zone whose reports this instance broadcasts. */
+  private _getOwnedEngines(): EndpointEntry[] {
     const { membership, directory } = this._structure;
     const zone = membership.self.availabilityZone;
     return directory
@@ -137,23 +149,23 @@
       const body: unknown = await got
         .get(`http://${entry.address}/v1/state`, {
           retry: { limit: 0 },
-          timeout: { request: this._patience.getTimeoutMs(entry.address) },
+          timeout: { request: this._reportTimeouts.getTimeoutMs(entry.address) },
         })
         .json();
-      this._patience.noteAnswer(entry.address, utils.monotonicMs() - startMs);
+      this._reportTimeouts.noteAnswer(entry.address, utils.monotonicMs() - startMs);
       const report = engineReportSchema.safeParse(body);
       if (report.success && report.data.name === entry.name) directory.setReport(report.data, true);
       else directory.markUnreachable(entry.name);
     } catch (error) {
-      // One report that is late shows as well that this instance itself gets little of its core.
-      const isEvidence = !(error instanceof TimeoutError) || this._patience.noteTimeout(entry.address);
+      // A single late report is no evidence against the engine: this instance itself may be short of CPU time.
+      const isEvidence = !(error instanceof TimeoutError) || this._reportTimeouts.noteTimeout(entry.address);
       const failure = classifyHttpError(entry.address, error);
       if (isEvidence && errors.hasCode(failure, "not_reached", "connection_lost"))
         directory.markUnreachable(entry.name);
     }
   }
 
-  private _tellZone(): void {
+  private _broadcastReports(): void {
     const startMs = utils.monotonicMs();
     const { membership, limits, demands, versions } = this._structure;
     this._round += 1;
@@ -166,41 +178,44 @@
       pipelines: demands.getOwn(),
       versions: versions.getOwn(),
     };
-    for (const entry of this._getStewarded()) this._addReport(body, entry);
+    for (const entry of this._getOwnedEngines()) this._addReport(body, entry);
     const zone = membership.self.availabilityZone;
     membership.notifyAll(reportsTopic, body, (member) => member.availabilityZone === zone);
     this._structure.onCpu("reports", utils.monotonicMs() - startMs);
   }
 
-  /** Demands are many bytes; they have a share of their own. */
+  /** Returns whether to send the demands in this round. They are large, and have a traffic budget of their own. */
   private _areDemandsDue(demandCount: number): boolean {
     const { membership } = this._structure;
     const intervalMs = getBudgetIntervalMs({
       messageBytes: demandCount * demandBytes,
       receivers: membership.getZoneRoleCandidates().length - 1,
       bytesPerSecond: demandBytesPerSecond,
-      floorMs: reportFloorMs,
+      floorMs: minReportIntervalMs,
     });
     const nowMs = utils.monotonicMs();
-    if (nowMs - this._demandsToldAtMs < intervalMs) return false;
-    this._demandsToldAtMs = nowMs;
+    if (nowMs - this._demandsSentAtMs < intervalMs) return false;
+    this._demandsSentAtMs = nowMs;
     return true;
   }
 
-  /** Whole reports go out when anything but the load changed, and now and then; else the load alone. */
+  /**
+   * Adds an engine's report to a message: the full report if anything but the load has changed, and in every tenth round;
+   * otherwise only the load.
+   */
   private _addReport(body: Reports, entry: EndpointEntry): void {
     const report = entry.report;
     if (report === undefined || entry.isUnreachable) return;
     const fixedPart = toFixedPart(report);
-    if (this._lastFull.get(entry.name) === fixedPart && this._round % fullEveryRounds !== 0) {
+    if (this._lastFixedParts.get(entry.name) === fixedPart && this._round % roundsPerFullReport !== 0) {
       body.loads.push([entry.name, report.activeStreams]);
       return;
     }
-    this._lastFull.set(entry.name, fixedPart);
+    this._lastFixedParts.set(entry.name, fixedPart);
     body.full.push(report);
   }
 
-  private _takeReports(body: unknown, from: string): void {
+  private _handleReports(body: unknown, from: string): void {
     const startMs = utils.monotonicMs();
     const reports = reportsSchema.safeParse(body);
     if (!reports.success) return;
@@ -222,7 +237,7 @@
 
   private async _runDigests(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await Promise.all(this._getOtherZones().map((zone) => this._fetchDigest(zone)));
+      await Promise.all(this._getZonesToFetch().map((zone) => this._fetchDigest(zone)));
       await utils.sleep(this._getDigestIntervalMs(), signal).catch(() => undefined);
     }
   }
@@ -232,15 +247,16 @@
     const zones = new Set(directory.getEntries().map((entry) => entry.availabilityZone)).size;
     const zoneEndpoints = directory.getEntries().length / Math.max(1, zones);
     return getBudgetIntervalMs({
-      messageBytes: (100 + zoneEndpoints * (loadBytes + fixedShareBytes)) * this._getOtherZones().length,
+      messageBytes:
+        (100 + zoneEndpoints * (loadBytes + amortizedFixedBytes)) * this._getZonesToFetch().length,
       receivers: membership.getZoneRoleCandidates().length - 1,
       bytesPerSecond: digestBytesPerSecond,
-      floorMs: digestFloorMs,
+      floorMs: minDigestIntervalMs,
     });
   }
 
-  /** Zones whose digest is ours to fetch. */
-  private _getOtherZones(): string[] {
+  /** Returns the linked zones whose digest this instance has to fetch. */
+  private _getZonesToFetch(): string[] {
     const { membership } = this._structure;
     const zones = new Set(membership.getLinked().map((member) => member.availabilityZone));
     zones.delete(membership.self.availabilityZone);
@@ -251,17 +267,21 @@
     const { membership } = this._structure;
     const contact = membership.getLinked().find((member) => member.availabilityZone === zone);
     if (contact === undefined) return;
-    // The fixed parts come when they have changed, and now and then for those who joined meanwhile.
-    this._digestRound += 1;
-    const known = this._digestRound % fullEveryRounds === 0 ? null : (this._knownFixed.get(zone) ?? null);
+    // The digest has the full reports if they have changed, and in every tenth fetch for instances that joined meanwhile.
+    this._digestFetches += 1;
+    const known =
+      this._digestFetches % roundsPerFullReport === 0 ? null : (this._fixedHashes.get(zone) ?? null);
     const digest = await membership.request(contact.name, digestTopic, known, digestTimeoutMs);
     if (digest.err) return;
-    this._takeDigest(digest.val);
+    this._handleDigest(digest.val);
     const own = membership.self.availabilityZone;
     membership.notifyAll(digestTopic, digest.val, (member) => member.availabilityZone === own);
   }
 
-  /** This zone's digest. `known` is the hash of the fixed parts that the asking instance has. */
+  /**
+   * Creates this zone's digest.
+   * @param known - Hash of the reports without their loads, as the requesting instance has them.
+   */
   private _createDigest(known: unknown): Digest {
     const { membership, directory, limits, demands, versions } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -294,7 +314,7 @@
     );
   }
 
-  /** Instances of this zone that are linked, this one left out. */
+  /** Returns the names of the linked instances of this zone, without this instance. */
   private _getLinkedNames(): string[] {
     const { membership } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -302,12 +322,12 @@
     return linked.map((member) => member.name);
   }
 
-  private _takeDigest(body: unknown): void {
+  private _handleDigest(body: unknown): void {
     const startMs = utils.monotonicMs();
     const digest = digestSchema.safeParse(body);
     if (!digest.success) return;
     const { availabilityZone, instanceCount, accounts, pipelines, fixedHash, full } = digest.data;
-    if (full.length > 0) this._knownFixed.set(availabilityZone, fixedHash);
+    if (full.length > 0) this._fixedHashes.set(availabilityZone, fixedHash);
     this._applyReports(digest.data);
     this._structure.limits.setDemands(getZoneSource(availabilityZone), accounts ?? [], instanceCount);
     this._structure.demands.setOther(getZoneSource(availabilityZone), pipelines, instanceCount);
@@ -316,7 +336,7 @@
   }
 }
 
-/** Everything in a report but the load. */
+/** Returns a report without its load, as text for comparison. */
 function toFixedPart(report: EngineReport): string {
   return JSON.stringify({ ...report, activeStreams: 0 });
 }
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -1,4 +1,4 @@
-/** Model requests: from the caller's body to the answer. */
+/** Handling of model requests, from the caller's body to the answer. */
 import { digestRequest } from "@shedtiller/crashes";
 import { errors, results, utils } from "@shedtiller/common";
 import {
@@ -29,7 +29,7 @@
 import { ApiError, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
 import { chatBodySchema, getChatPrompt, getMaxTokens, textBodySchema } from "./completionSchemas.js";
-import * as guard from "./requestGuard.js";
+import * as callerRequest from "./callerRequest.js";
 import type { StoredAnswer } from "./StoredAnswer.js";
 
 const badRequestStatus = 400;
@@ -37,10 +37,10 @@
 const forbiddenStatus = 403;
 const lowestRank = 9;
 
-/** What the handler works with. */
+/** Dependencies of {@link CompletionHandler}. */
 export interface CompletionStructure {
   readonly settings: InstanceSettings;
-  readonly fold: intent.ConfigurationProjection;
+  readonly configuration: intent.ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly limits: AccountLimits;
   readonly queues: ModelQueues;
@@ -69,50 +69,51 @@
   readonly signal: AbortSignal;
 }
 
-/** The version that a request runs with. */
-interface HeldVersion extends VersionChoice {
+/** Version on which a request runs, and its switch to another one. */
+interface RequestVersion extends VersionChoice {
   readonly first: string;
-  /** Notes the end of the request. */
-  leave(): void;
+  /** Ends the request's use of its current version. */
+  release(): void;
 }
 
 type Answered = results.Result<PipelineAnswer, PipelineError | AdmissionRefusedError>;
 
-/** Handles `/v1/chat/completions` and `/v1/completions`. */
+/** Handles `/v1/chat/completions` and `/v1/completions`: parsing, admission, at-most-once execution and the answer. */
 export class CompletionHandler {
   constructor(private readonly _structure: CompletionStructure) {}
 
+  /** Handles one request and writes its answer. */
   async handle(request: restify.Request, response: http.ServerResponse, form: CompletionForm): Promise<void> {
     const { inFlight, metrics } = this._structure;
     const controller = new AbortController();
     const completion = this._parse(request, form, controller.signal);
-    // A keyed request goes on when its caller goes away: the caller's next try finds the answer.
-    if (completion.key === undefined) guard.abortWithCaller(response, controller);
+    // A request with an idempotency key continues after its caller disconnects, so that a retry finds the answer.
+    if (completion.key === undefined) callerRequest.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, completion.requestId);
-    const leave = inFlight.add(completion.requestId, controller);
+    const removeRequest = inFlight.add(completion.requestId, controller);
     try {
       const outcome = await this._answer(completion, response);
       metrics.requests.inc({ kind: "model", outcome });
     } finally {
-      leave();
+      removeRequest();
     }
   }
 
   private _parse(request: restify.Request, form: CompletionForm, signal: AbortSignal): Completion {
     const account = requireAccount(request, this._structure.accounts);
     const schema = form === "chat" ? chatBodySchema : textBodySchema;
-    const checked = schema.safeParse(guard.parseJson(request.body));
+    const checked = schema.safeParse(callerRequest.parseJson(request.body));
     if (!checked.success) {
       const fault = errors.fromSchemaIssues("body", checked.error.issues);
       throw new ApiError(badRequestStatus, "invalid_request_error", "invalid_body", fault.message);
     }
     const body = checked.data;
     const pipeline = this._requirePipeline(body.model, account);
-    const priority = this._structure.fold.getObject("class", account.priorityClass);
+    const priority = this._structure.configuration.getObject("class", account.priorityClass);
     const prompt =
       "messages" in body ? getChatPrompt(chatBodySchema.parse(body)) : textBodySchema.parse(body).prompt;
     const isRepeatable = request.header("shedtiller-repeatable") !== "no";
-    const key = guard.getIdempotencyKey(request);
+    const key = callerRequest.getIdempotencyKey(request);
     return {
       requestId: utils.newId(),
       account,
@@ -121,7 +122,7 @@
       floorShare: priority?.floorShare ?? 0,
       promptTokens: this._structure.tokenizer.encode(prompt),
       maxTokens: getMaxTokens(body),
-      deadlineMs: guard.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs),
+      deadlineMs: callerRequest.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs),
       key: isRepeatable ? undefined : key,
       isStream: body.stream,
       form,
@@ -130,13 +131,13 @@
   }
 
   private _requirePipeline(model: string, account: intent.AccountObject): intent.PipelineObject {
-    const pipeline = this._structure.fold.getObject("pipeline", model);
+    const pipeline = this._structure.configuration.getObject("pipeline", model);
     if (pipeline === undefined) {
       throw new ApiError(
         notFoundStatus,
         "not_found_error",
         "model_not_found",
-        `The model ${model} is not known.`,
+        `The model ${model} does not exist.`,
       );
     }
     const mayUse = pipeline.clientAccounts.length === 0 || pipeline.clientAccounts.includes(account.name);
@@ -149,7 +150,7 @@
     );
   }
 
-  /** Answers, and tells the outcome for the metrics. */
+  /** Runs a request and writes its answer; returns the outcome for the metrics. */
   private async _answer(completion: Completion, response: http.ServerResponse): Promise<string> {
     const { requestId, form, isStream, pipeline, promptTokens } = completion;
     const writer = new AnswerWriter({
@@ -184,21 +185,21 @@
     key: string,
     writer: AnswerWriter,
   ): Promise<results.Result<PipelineAnswer, errors.ShedtillerError & { ran: "no" | "unknown" }>> {
-    let isOurs = false;
+    let hasRunHere = false;
     const outcome = await this._structure.once.run(key, {
       requestId: completion.requestId,
       deadlineMs: completion.deadlineMs,
       signal: completion.signal,
       run: async () => {
-        isOurs = true;
+        hasRunHere = true;
         const answer = await this._run(completion, writer);
         return answer.ok ? results.Ok({ kind: "model" as const, ...answer.val }) : answer;
       },
     });
     if (outcome.err) return outcome;
     if (outcome.val.kind !== "model") return results.Err(new KeyReusedError());
-    // The answer of an earlier call with this key is written whole.
-    if (!isOurs)
+    // The answer to an earlier call with this key has not been streamed to this caller yet.
+    if (!hasRunHere)
       for (const token of outcome.val.tokens) writer.addToken(this._structure.tokenizer.decode(token));
     return results.Ok(outcome.val);
   }
@@ -236,9 +237,9 @@
     const { pipeline: context, tokenizer } = this._structure;
     // The version may have changed while the request waited.
     const pipeline =
-      this._structure.fold.getObject("pipeline", completion.pipeline.name) ?? completion.pipeline;
-    const versions = await this._beginVersion(pipeline, completion);
-    const meter = this._createMeter(completion.rank, arrivedAtMs);
+      this._structure.configuration.getObject("pipeline", completion.pipeline.name) ?? completion.pipeline;
+    const versions = await this._acquireVersion(pipeline, completion);
+    const meter = this._createTokenTimer(completion.rank, arrivedAtMs);
     const run = new PipelineRun(
       context,
       {
@@ -268,32 +269,35 @@
         writer.addToken(tokenizer.decode(token));
       });
     } finally {
-      versions.leave();
+      versions.release();
       queue.release();
       account.release(answered === 0 ? 0 : completion.promptTokens.length + answered);
     }
   }
 
-  /** Begins on the version that is served now, and goes over to another where the request may and must. */
-  private async _beginVersion(pipeline: intent.PipelineObject, completion: Completion): Promise<HeldVersion> {
-    const { versions, fold } = this._structure;
-    const begun = await versions.begin(pipeline, completion);
-    let { leave } = begun;
+  /** Starts the request on the version that is served now, and lets it switch to another one if that version is replaced. */
+  private async _acquireVersion(
+    pipeline: intent.PipelineObject,
+    completion: Completion,
+  ): Promise<RequestVersion> {
+    const { versions, configuration } = this._structure;
+    const begun = await versions.acquire(pipeline, completion);
+    let { release } = begun;
     return {
       first: begun.version,
-      leave: () => leave(),
-      isReplaced: (version) => fold.getObject("pipeline", pipeline.name)?.version !== version,
+      release: () => release(),
+      isReplaced: (version) => configuration.getObject("pipeline", pipeline.name)?.version !== version,
       changeVersion: () => {
-        const served = versions.getServed(fold.getObject("pipeline", pipeline.name) ?? pipeline);
-        leave();
-        leave = versions.enter(pipeline.name, served);
+        const served = versions.getServed(configuration.getObject("pipeline", pipeline.name) ?? pipeline);
+        release();
+        release = versions.addRequest(pipeline.name, served);
         return served;
       },
     };
   }
 
-  /** Notes the time to the first token, then the time between tokens. */
-  private _createMeter(rank: number, arrivedAtMs: number): () => void {
+  /** Returns a function that records the time to the first token, and at each further call the time since the last token. */
+  private _createTokenTimer(rank: number, arrivedAtMs: number): () => void {
     const { metrics } = this._structure;
     const label = { rank: String(rank) };
     let lastMs = arrivedAtMs;
@@ -308,7 +312,7 @@
   }
 }
 
-/** An idempotency key that belongs to a call of another kind. */
+/** The idempotency key was used for a call to a service before. */
 class KeyReusedError extends errors.ShedtillerError {
   readonly code = "outcome_unknown";
   readonly ran = "unknown" as const;
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -1,4 +1,4 @@
-/** Who calls: client accounts by their keys, operators by their token. */
+/** Authentication of client accounts by their API keys, and of operators by their token. */
 import * as intent from "@shedtiller/intent";
 import type * as restify from "restify";
 import { ApiError } from "./apiErrors.js";
@@ -6,7 +6,7 @@
 const unauthorizedStatus = 401;
 const accountPrefix = "account/";
 
-/** The account that a request's key belongs to, or a 401. */
+/** Returns the client account that a request's key belongs to; throws a 401 error if the key is missing or invalid. */
 export function requireAccount(request: restify.Request, accounts: AccountDirectory): intent.AccountObject {
   const key = intent.parseAccountKey(getBearer(request) ?? "");
   const found = key === undefined ? undefined : accounts.find(key.keyId);
@@ -21,7 +21,7 @@
   return found.account;
 }
 
-/** Passes only with the operators' token. */
+/** Throws a 401 error unless the request has the operators' token. */
 export function requireOperator(request: restify.Request, stored: intent.AccountKey): void {
   const key = intent.parseAccountKey(getBearer(request) ?? "");
   if (key?.keyId === stored.keyId && intent.isMatchingSecret(stored, key.secret)) return;
@@ -42,15 +42,16 @@
   readonly stored: intent.AccountKey;
 }
 
-/** Accounts by the public part of their keys, kept up with the configuration object by object. */
+/** Index of client accounts by the ids of their keys, updated with each changed account of the configuration. */
 export class AccountDirectory {
   private readonly _byKeyId = new Map<string, FoundAccount>();
   private readonly _keyIds = new Map<string, readonly string[]>();
 
-  constructor(private readonly _fold: intent.ConfigurationProjection) {
-    _fold.onChanged((changedKeys) => this._update(changedKeys));
+  constructor(private readonly _configuration: intent.ConfigurationProjection) {
+    _configuration.onChanged((changedKeys) => this._update(changedKeys));
   }
 
+  /** Returns the client account and the stored hash of a key. */
   find(keyId: string): FoundAccount | undefined {
     return this._byKeyId.get(keyId);
   }
@@ -58,14 +59,14 @@
   private _update(changedKeys: readonly string[] | undefined): void {
     const keys = changedKeys ?? [
       ...this._keyIds.keys(),
-      ...this._fold.getObjects("account").map(intent.getObjectKey),
+      ...this._configuration.getObjects("account").map(intent.getObjectKey),
     ];
     for (const key of new Set(keys)) if (key.startsWith(accountPrefix)) this._updateOne(key);
   }
 
   private _updateOne(key: string): void {
     for (const keyId of this._keyIds.get(key) ?? []) this._byKeyId.delete(keyId);
-    const account = this._fold.getObject("account", key.slice(accountPrefix.length));
+    const account = this._configuration.getObject("account", key.slice(accountPrefix.length));
     if (account === undefined) {
       this._keyIds.delete(key);
       return;
--- a/packages/entry/src/http/callerRoutes.ts
+++ b/packages/entry/src/http/callerRoutes.ts
@@ -1,4 +1,4 @@
-/** The callers' interface. Its paths and fields are stated in docs/INTERFACES.md. */
+/** Routes of the callers' interface. Its paths and fields are specified in docs/INTERFACES.md. */
 import type { ConfigurationProjection } from "@shedtiller/intent";
 import { ApiError, sendJson } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
@@ -8,11 +8,11 @@
 
 const okStatus = 200;
 const unavailableStatus = 503;
-const comeBackMs = 1_000;
+const retryAfterMs = 1_000;
 
-/** What the routes work with. */
+/** Dependencies of the callers' routes. */
 export interface CallerStructure {
-  readonly fold: ConfigurationProjection;
+  readonly configuration: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly completions: CompletionHandler;
   readonly services: ServiceHandler;
@@ -38,7 +38,7 @@
   );
   listener.get("/v1/models", (request, response) => {
     const account = requireAccount(request, structure.accounts);
-    const open = structure.fold
+    const open = structure.configuration
       .getObjects("pipeline")
       .filter(
         (pipeline) => pipeline.clientAccounts.length === 0 || pipeline.clientAccounts.includes(account.name),
@@ -65,16 +65,16 @@
   });
 }
 
-/** While the instance drains, or knows no configuration yet, it takes nothing: true, and nothing ran. */
+/** Throws an error that tells the caller that nothing ran, while the instance drains or has no configuration yet. */
 function requireOpen(structure: CallerStructure): void {
   if (structure.isDraining()) {
     throw new ApiError(
       unavailableStatus,
       "overloaded_error",
       "draining",
-      "The instance is being stopped.",
+      "The instance is draining.",
       "no",
-      comeBackMs,
+      retryAfterMs,
     );
   }
   if (!structure.isReady()) {
@@ -84,7 +84,7 @@
       "not_ready",
       "The instance has no configuration yet.",
       "no",
-      comeBackMs,
+      retryAfterMs,
     );
   }
 }
--- a/packages/entry/src/http/completionSchemas.ts
+++ b/packages/entry/src/http/completionSchemas.ts
@@ -1,20 +1,21 @@
-/** Bodies of the callers' interface. Unknown fields are let through, as OpenAI's clients send many. */
+/** Bodies of model requests. Unknown fields are accepted, since OpenAI's clients send many. */
 import * as zod from "zod";
 
-const mostTokens = 32_768;
-const defaultTokens = 64;
+const maxAnswerTokens = 32_768;
+const defaultAnswerTokens = 64;
 
 const common = {
   model: zod.string().min(1),
   stream: zod.boolean().default(false),
-  max_tokens: zod.number().int().positive().max(mostTokens).optional(),
+  max_tokens: zod.number().int().positive().max(maxAnswerTokens).optional(),
 };
 
 const textPart = zod.object({ type: zod.literal("text"), text: zod.string() });
 
+/** Body of a chat completion. */
 export const chatBodySchema = zod.looseObject({
   ...common,
-  max_completion_tokens: zod.number().int().positive().max(mostTokens).optional(),
+  max_completion_tokens: zod.number().int().positive().max(maxAnswerTokens).optional(),
   messages: zod
     .array(
       zod.looseObject({ role: zod.string().min(1), content: zod.union([zod.string(), zod.array(textPart)]) }),
@@ -22,12 +23,13 @@
     .min(1),
 });
 
+/** Body of a text completion. */
 export const textBodySchema = zod.looseObject({ ...common, prompt: zod.string().min(1) });
 
 export type ChatBody = zod.infer<typeof chatBodySchema>;
 export type TextBody = zod.infer<typeof textBodySchema>;
 
-/** The prompt that a chat stands for. */
+/** Returns the messages of a chat as one prompt. */
 export function getChatPrompt(body: ChatBody): string {
   return body.messages.map((message) => `${message.role}: ${getText(message.content)}`).join("\n");
 }
@@ -36,10 +38,10 @@
   return typeof content === "string" ? content : content.map((part) => part.text).join("");
 }
 
-/** Longest answer that a body asks for. */
+/** Returns the maximum length of the answer that a body requests. */
 export function getMaxTokens(body: {
   max_tokens?: number | undefined;
   max_completion_tokens?: number | undefined;
 }): number {
-  return body.max_completion_tokens ?? body.max_tokens ?? defaultTokens;
+  return body.max_completion_tokens ?? body.max_tokens ?? defaultAnswerTokens;
 }
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -1,4 +1,4 @@
-/** The operators' interface. Its paths and fields are stated in docs/INTERFACES.md. */
+/** Routes of the operators' interface. Its paths and fields are specified in docs/INTERFACES.md. */
 import type { errors } from "@shedtiller/common";
 import * as intent from "@shedtiller/intent";
 import type { Timeline } from "@shedtiller/timeline";
@@ -14,7 +14,7 @@
 import { ApiError, sendJson } from "./apiErrors.js";
 import { requireOperator } from "./authenticate.js";
 import type { HttpListener } from "./HttpListener.js";
-import { parseJson } from "./requestGuard.js";
+import { parseJson } from "./callerRequest.js";
 
 const okStatus = 200;
 const createdStatus = 201;
@@ -23,12 +23,12 @@
 
 const logLevelSchema = zod.strictObject({ level: zod.enum(["error", "warn", "info", "debug"]) });
 
-/** What the routes work with. */
+/** Dependencies of the operators' routes. */
 export interface OperatorStructure {
   readonly tokenHash: intent.AccountKey;
-  readonly fold: intent.ConfigurationProjection;
+  readonly configuration: intent.ConfigurationProjection;
   readonly planner: Planner;
-  readonly desk: PlanService;
+  readonly planService: PlanService;
   readonly status: StatusGatherer;
   readonly timelines: TimelineGatherer;
   readonly timeline: Timeline;
@@ -73,17 +73,24 @@
 }
 
 function sendConfiguration(
-  { fold }: OperatorStructure,
+  { configuration }: OperatorStructure,
   _request: restify.Request,
   response: http.ServerResponse,
 ): void {
   const objects = Object.fromEntries(
-    [...fold.getStoredObjects()].map(([key, held]) => [key, { ...held, value: withoutSecrets(held.value) }]),
+    [...configuration.getStoredObjects()].map(([key, stored]) => [
+      key,
+      { ...stored, value: withoutSecrets(stored.value) },
+    ]),
   );
-  sendJson(response, okStatus, { offset: fold.offset, objects, unknownRecords: fold.unknownRecords });
+  sendJson(response, okStatus, {
+    offset: configuration.offset,
+    objects,
+    unknownRecords: configuration.unknownRecords,
+  });
 }
 
-/** Hashes of keys are nobody's business but the check's. */
+/** Removes the salts and hashes of keys, which only authentication needs. */
 function withoutSecrets(value: intent.ConfigurationObject): object {
   if (value.kind !== "account") return value;
   return { ...value, keys: value.keys.map((key) => ({ keyId: key.keyId })) };
@@ -112,33 +119,33 @@
   request: restify.Request,
   response: http.ServerResponse,
 ): void {
-  const stated = intent.checkIntent(parseJson(request.body), "intent");
-  if (stated.err)
-    throw new ApiError(badRequestStatus, "invalid_request_error", "invalid_intent", stated.val.message);
-  const plan = structure.planner.createPlan(stated.val);
-  structure.desk.addPlan(plan);
+  const submitted = intent.checkIntent(parseJson(request.body), "intent");
+  if (submitted.err)
+    throw new ApiError(badRequestStatus, "invalid_request_error", "invalid_intent", submitted.val.message);
+  const plan = structure.planner.createPlan(submitted.val);
+  structure.planService.addPlan(plan);
   sendJson(response, createdStatus, { plan, text: intent.renderPlan(plan) });
 }
 
 async function sendPlan(
-  { desk, fold }: OperatorStructure,
+  { planService, configuration }: OperatorStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
   const planId = String(request.params.plan);
-  const outcome = fold.getOutcome(planId);
-  const plan = await desk.requirePlan(planId);
+  const outcome = configuration.getOutcome(planId);
+  const plan = await planService.requirePlan(planId);
   if (plan.err && outcome === undefined) throw toOperatorError(plan.val);
   const known = plan.ok ? { plan: plan.val, text: intent.renderPlan(plan.val) } : {};
   sendJson(response, okStatus, { ...known, outcome });
 }
 
 async function confirmPlan(
-  { desk }: OperatorStructure,
+  { planService }: OperatorStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
-  const confirmed = await desk.confirm(String(request.params.plan));
+  const confirmed = await planService.confirm(String(request.params.plan));
   if (confirmed.err) throw toOperatorError(confirmed.val);
   sendJson(response, confirmed.val.outcome.isAccepted ? okStatus : conflictStatus, confirmed.val);
 }
@@ -148,15 +155,15 @@
   request: restify.Request,
   response: http.ServerResponse,
 ): void {
-  const asked = logLevelSchema.safeParse(parseJson(request.body));
-  if (!asked.success)
+  const parsed = logLevelSchema.safeParse(parseJson(request.body));
+  if (!parsed.success)
     throw new ApiError(
       badRequestStatus,
       "invalid_request_error",
       "invalid_body",
       "level must be error, warn, info or debug.",
     );
-  logs.setLevel(asked.data.level);
+  logs.setLevel(parsed.data.level);
   sendJson(response, okStatus, { level: logs.level });
 }
 
--- a/packages/entry/src/logs/createLogs.ts
+++ b/packages/entry/src/logs/createLogs.ts
@@ -1,11 +1,11 @@
-/** Logs: short sentences with a fixed prefix for each part, as text or JSON, with a level that changes at run time. */
+/** Logs of an instance, as text or JSON, with a level that can be changed at run time. */
 import * as winston from "winston";
 
-/** Parts that log, by their prefix. */
+/** Components that write logs. */
 export type LogComponent =
   "entry" | "callers" | "operators" | "peers" | "configuration" | "orders" | "platform";
 
-/** What a part writes with. */
+/** Log of one component. */
 export interface ComponentLog {
   info(sentence: string): void;
   warn(sentence: string): void;
@@ -13,10 +13,11 @@
   debug(sentence: string): void;
 }
 
-/** The logs of one instance. */
+/** Logs of one instance. */
 export interface Logs {
-  forComponent(part: LogComponent): ComponentLog;
-  /** Changes the level for all parts from now on. */
+  /** Returns the log of a component. */
+  forComponent(component: LogComponent): ComponentLog;
+  /** Sets the level of all components. */
   setLevel(level: string): void;
   readonly level: string;
 }
@@ -26,11 +27,11 @@
   readonly instance: string;
   readonly level: string;
   readonly format: "text" | "json";
-  /** Writes nothing at all, for embedding and tests. */
+  /** Whether nothing is written, for embedding and tests. */
   readonly isSilent?: boolean;
 }
 
-/** Makes the logs of an instance; they go to the standard error. */
+/** Creates the logs of an instance, which are written to standard error. */
 export function createLogs(options: LogOptions): Logs {
   const logger = winston.createLogger({
     level: options.level,
@@ -40,7 +41,7 @@
     transports: [new winston.transports.Console({ stderrLevels: ["error", "warn", "info", "debug"] })],
   });
   return {
-    forComponent: (part) => createPartLog(logger, part),
+    forComponent: (component) => createComponentLog(logger, component),
     setLevel: (level) => {
       logger.level = level;
     },
@@ -50,8 +51,9 @@
   };
 }
 
-function createPartLog(logger: winston.Logger, part: LogComponent): ComponentLog {
-  const write = (level: string) => (sentence: string) => void logger.log({ level, message: sentence, part });
+function createComponentLog(logger: winston.Logger, component: LogComponent): ComponentLog {
+  const write = (level: string) => (sentence: string) =>
+    void logger.log({ level, message: sentence, part: component });
   return { info: write("info"), warn: write("warn"), error: write("error"), debug: write("debug") };
 }
 
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -1,29 +1,33 @@
-/** Makes plans from intents: what changes, where layers go, what that does to capacity. */
+/** Planning: from an intent to its changes, the placement of layers and the capacity that results. */
 import { utils } from "@shedtiller/common";
 import * as intent from "@shedtiller/intent";
 import * as placement from "@shedtiller/placement";
 import type { EndpointDirectory, EngineReport } from "@shedtiller/routing";
 
-/** Assumed rate of the weight store for the estimate, where nothing better is known. */
-const layersPerSecond = 200;
-const noLayers = "nothing";
-/** An engine that the plan does not need gets no order, and serves nothing once another version is in force. */
-const leftAsIs = "not needed, left as it is";
+/** Assumed rate at which the weight store delivers layers, for the estimate of the loading time. */
+const assumedLoadLayersPerSecond = 200;
+const noLayersText = "nothing";
+/**
+ * Placement text of an engine that the plan does not need. The engine gets no order, and serves nothing once another
+ * version is in force.
+ */
+const unchangedText = "not needed, left as it is";
 
-/** Makes plans against the configuration in force and the engines that are known. */
+/** Creates plans against the configuration in force and the reports of the engines. */
 export class Planner {
   constructor(
-    private readonly _fold: intent.ConfigurationProjection,
+    private readonly _configuration: intent.ConfigurationProjection,
     private readonly _directory: EndpointDirectory,
     private readonly _instance: string,
   ) {}
 
-  createPlan(stated: intent.Intent): intent.Plan {
+  /** Creates the plan of an intent. */
+  createPlan(submitted: intent.Intent): intent.Plan {
     const draft: intent.Plan = {
       planId: `plan.${this._instance}.${utils.newId()}`,
-      operator: stated.operator,
+      operator: submitted.operator,
       madeBy: this._instance,
-      baseOffset: this._fold.offset,
+      baseOffset: this._configuration.offset,
       changes: [],
       placement: [],
       capacity: [],
@@ -31,9 +35,9 @@
       loadMs: 0,
       warnings: [],
     };
-    const taken = this._getTakenEngines(stated);
-    for (const object of stated.objects) this._addObject(draft, object, taken);
-    for (const key of stated.removals) this._addRemoval(draft, key);
+    const taken = this._getTakenEngines(submitted);
+    for (const object of submitted.objects) this._addObject(draft, object, taken);
+    for (const key of submitted.removals) this._addRemoval(draft, key);
     this._addAccounts(draft);
     return draft;
   }
@@ -42,42 +46,43 @@
     const key = intent.getObjectKey(object);
     const value = object.kind === "pipeline" ? this._place(draft, object, taken) : object;
     if (object.kind === "account") this._checkAccount(draft, object);
-    draft.changes.push({ key, baseOffset: this._fold.getBaseOffset(key), value });
+    draft.changes.push({ key, baseOffset: this._configuration.getBaseOffset(key), value });
   }
 
   private _addRemoval(draft: intent.Plan, key: string): void {
-    const baseOffset = this._fold.getBaseOffset(key);
-    if (!this._fold.getStoredObjects().has(key)) draft.warnings.push(`${key} is not there to be removed.`);
+    const baseOffset = this._configuration.getBaseOffset(key);
+    if (!this._configuration.getStoredObjects().has(key))
+      draft.warnings.push(`${key} does not exist and can't be removed.`);
     draft.changes.push({ key, baseOffset, value: null });
     const [kind, name = ""] = key.split("/");
-    const pipeline = kind === "pipeline" ? this._fold.getObject("pipeline", name) : undefined;
+    const pipeline = kind === "pipeline" ? this._configuration.getObject("pipeline", name) : undefined;
     if (pipeline === undefined) return;
     for (const report of this._getReports()) {
-      if (report.model === name) this._addPlacementLine(draft, report, undefined, noLayers);
+      if (report.model === name) this._addPlacementLine(draft, report, undefined, noLayersText);
     }
   }
 
   private _checkAccount(draft: intent.Plan, account: intent.AccountObject): void {
     const isStated = draft.changes.some((change) => change.key === `class/${account.priorityClass}`);
-    if (isStated || this._fold.getObject("class", account.priorityClass) !== undefined) return;
+    if (isStated || this._configuration.getObject("class", account.priorityClass) !== undefined) return;
     draft.warnings.push(
-      `The class ${account.priorityClass} of the account ${account.name} is not known (yet).`,
+      `The class ${account.priorityClass} of the account ${account.name} does not exist (yet).`,
     );
   }
 
-  /** Engines that pipelines which this intent does not touch hold or are to hold. */
-  private _getTakenEngines(stated: intent.Intent): Set<string> {
-    const stating = new Set([...stated.objects.map(intent.getObjectKey), ...stated.removals]);
+  /** Returns the engines that have loaded, or are to load, layers of pipelines that the intent leaves unchanged. */
+  private _getTakenEngines(submitted: intent.Intent): Set<string> {
+    const submittedKeys = new Set([...submitted.objects.map(intent.getObjectKey), ...submitted.removals]);
     const taken = new Set<string>();
-    for (const pipeline of this._fold.getObjects("pipeline")) {
-      if (stating.has(intent.getObjectKey(pipeline))) continue;
+    for (const pipeline of this._configuration.getObjects("pipeline")) {
+      if (submittedKeys.has(intent.getObjectKey(pipeline))) continue;
       for (const name of Object.keys(pipeline.placement ?? {})) taken.add(name);
       for (const report of this._getReports()) if (report.model === pipeline.name) taken.add(report.name);
     }
     return taken;
   }
 
-  /** Decides which engines hold which layers, taking no more of them than the asked capacity needs. */
+  /** Assigns layers to engines, using no more engines than the requested capacity needs. */
   private _place(
     draft: intent.Plan,
     pipeline: intent.PipelineObject,
@@ -92,7 +97,8 @@
       const range = ranges.get(report.name);
       const isHeld = report.model === pipeline.name && report.layers !== undefined;
       if (range === undefined && !isHeld) continue;
-      const after = range === undefined ? leftAsIs : describeRange(pipeline.name, pipeline.version, range);
+      const after =
+        range === undefined ? unchangedText : describeRange(pipeline.name, pipeline.version, range);
       this._addPlacementLine(draft, report, range, after);
     }
     this._addCapacity(draft, pipeline, engines, ranges);
@@ -108,7 +114,7 @@
     after: string,
   ): void {
     const before =
-      report.layers === undefined ? noLayers : describeRange(report.model, report.version, report.layers);
+      report.layers === undefined ? noLayersText : describeRange(report.model, report.version, report.layers);
     const availabilityZone = this._directory.getEntry(report.name)?.availabilityZone ?? "unknown";
     draft.placement.push({
       endpoint: report.name,
@@ -118,8 +124,8 @@
       after,
     });
     if (before === after || range === undefined) return;
-    draft.loadMs += ((range[1] - range[0]) / layersPerSecond) * utils.msPerSecond;
-    if (before !== noLayers) draft.warnings.push(`${report.name} unloads ${before}.`);
+    draft.loadMs += ((range[1] - range[0]) / assumedLoadLayersPerSecond) * utils.msPerSecond;
+    if (before !== noLayersText) draft.warnings.push(`${report.name} unloads ${before}.`);
   }
 
   private _addCapacity(
@@ -132,33 +138,36 @@
     const reports = this._getReports().filter(
       (report) => report.model === pipeline.name && report.layers !== undefined,
     );
-    const held = new Map(reports.map((report) => [report.name, report.layers as placement.LayerRange]));
-    const heldEngines = reports.map((report) => this._toPlacementEngine(report));
+    const loadedLayers = new Map(
+      reports.map((report) => [report.name, report.layers as placement.LayerRange]),
+    );
+    const loadedEngines = reports.map((report) => this._toPlacementEngine(report));
     const after = placement.getThroughput(engines, ranges, layerCount);
-    const before = placement.getThroughput(heldEngines, held, layerCount);
+    const before = placement.getThroughput(loadedEngines, loadedLayers, layerCount);
     if (after < before) {
       draft.warnings.push(
         `The capacity of ${pipeline.name} falls from ${before.toFixed(0)} to ${after.toFixed(0)} tokens/s.`,
       );
     }
-    this._warnOfZones(draft, pipeline, engines, ranges);
+    this._warnAboutZones(draft, pipeline, engines, ranges);
     draft.capacity.push({
       pipeline: pipeline.name,
       beforeTokensPerSecond: before,
       afterTokensPerSecond: after,
       boundTokensPerSecond: placement.getHardwareBound(engines, layerCount),
     });
-    if (after <= 0) draft.warnings.push(`No free engines hold all ${layerCount} layers of ${pipeline.name}.`);
+    if (after <= 0)
+      draft.warnings.push(`The free engines can't hold all ${layerCount} layers of ${pipeline.name}.`);
     else if (after < pipeline.tokensPerSecond) {
-      const asked = pipeline.tokensPerSecond.toFixed(0);
+      const requested = pipeline.tokensPerSecond.toFixed(0);
       draft.warnings.push(
-        `${pipeline.name} gets ${after.toFixed(0)} tokens/s of the ${asked} that are asked for.`,
+        `${pipeline.name} gets ${after.toFixed(0)} tokens/s of the ${requested} that are requested.`,
       );
     }
   }
 
-  /** Warns of availability zones whose own engines do not make a whole chain. */
-  private _warnOfZones(
+  /** Warns about availability zones whose own engines don't make up a complete chain. */
+  private _warnAboutZones(
     draft: intent.Plan,
     pipeline: intent.PipelineObject,
     engines: readonly placement.PlacementEngine[],
@@ -180,12 +189,13 @@
       if (value?.kind === "account") affected.add(value.name);
       const [kind, name] = key.split("/");
       if (kind === "class")
-        for (const a of this._fold.getObjects("account")) if (a.priorityClass === name) affected.add(a.name);
+        for (const a of this._configuration.getObjects("account"))
+          if (a.priorityClass === name) affected.add(a.name);
       if (value?.kind !== "pipeline") continue;
       const accounts =
         value.clientAccounts.length > 0
           ? value.clientAccounts
-          : this._fold.getObjects("account").map((a) => a.name);
+          : this._configuration.getObjects("account").map((a) => a.name);
       for (const account of accounts) affected.add(account);
     }
     draft.affectedAccounts = [...affected].sort();
@@ -208,13 +218,16 @@
   }
 }
 
-/** Slots ÷ step time of one layer; an engine that holds nothing reports the step time of one layer. */
+/** Returns slots ÷ step time of one layer. An engine that has loaded no layers reports the step time of one layer. */
 export function getLayersPerSecond(report: EngineReport): number {
-  const held = report.layers === undefined ? 1 : report.layers[1] - report.layers[0];
-  return (report.slots * held * utils.msPerSecond) / report.stepMs;
+  const loadedCount = report.layers === undefined ? 1 : report.layers[1] - report.layers[0];
+  return (report.slots * loadedCount * utils.msPerSecond) / report.stepMs;
 }
 
-/** All free engines for an open-ended wish; else the fastest until the asked capacity is reached with some to spare. */
+/**
+ * Chooses engines for a pipeline: all free ones if it requests no certain capacity; otherwise first those that serve the
+ * model already, then the others, each from the fastest on, until the capacity is exceeded by 15 % and all layers fit.
+ */
 function chooseEngines(free: readonly EngineReport[], pipeline: intent.PipelineObject): EngineReport[] {
   if (pipeline.tokensPerSecond <= 0) return [...free];
   const spare = 1.15;
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -1,22 +1,23 @@
-/** What all instances say of themselves, gathered by the one that is asked. */
+/** Status of all instances, gathered by the instance that receives the operator's request. */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationProjection } from "@shedtiller/intent";
 import type { Member, Membership } from "@shedtiller/membership";
 import * as zod from "zod";
 
 const statusTopic = "status";
-const firstTimeoutMs = 1_000;
-/** One that is busy answers late, and is not gone. */
-const longestTimeoutMs = 8_000;
+const initialTimeoutMs = 1_000;
+/** The timeout grows up to this, since a busy instance answers late without being gone. */
+const maxTimeoutMs = 8_000;
 
+/** Status of one instance. */
 export const instanceStatusSchema = zod.object({
   name: zod.string(),
   availabilityZone: zod.string(),
-  /** Offset of the configuration in force there. */
+  /** Offset of the configuration in force at the instance. */
   offset: zod.number().int(),
   /** Wall time since when that offset is in force. */
   offsetSinceMs: zod.number(),
-  /** How long ago the log last answered; absent if it never did. */
+  /** Time since the log service last answered; absent if it never did. */
   logAgeMs: zod.number().optional(),
   isReady: zod.boolean(),
   isDraining: zod.boolean(),
@@ -28,15 +29,15 @@
 
 export type InstanceStatus = zod.infer<typeof instanceStatusSchema>;
 
-/** The status of the fleet as one instance sees it. */
+/** Status of all instances as one instance sees it. */
 export interface FleetStatus {
   readonly askedInstance: string;
   readonly instances: readonly InstanceStatus[];
-  /** Listed instances that gave no answer, with the wall time since when they are not reached. */
+  /** Listed instances that did not answer, with the wall time since when they have not been reached. */
   readonly unreached: readonly { name: string; availabilityZone: string; sinceMs: number | undefined }[];
 }
 
-/** Where an instance's own status comes from. */
+/** Sources of an instance's own status. */
 export interface StatusSources {
   readonly membership: Membership;
   readonly configuration: ConfigurationProjection;
@@ -46,10 +47,10 @@
   readonly getActiveRequests: () => number;
 }
 
-/** Answers for this instance and asks the others. */
+/** Serves this instance's status to its peers, and gathers theirs. */
 export class StatusGatherer {
   private _offsetSinceMs = utils.wallMs();
-  private readonly _patience = new utils.AdaptiveTimeout(firstTimeoutMs, longestTimeoutMs);
+  private readonly _timeouts = new utils.AdaptiveTimeout(initialTimeoutMs, maxTimeoutMs);
 
   constructor(private readonly _sources: StatusSources) {
     _sources.membership.onRequest(statusTopic, () => this.getOwn());
@@ -58,25 +59,27 @@
     });
   }
 
+  /** Returns this instance's status. */
   getOwn(): InstanceStatus {
-    const { membership, configuration: fold } = this._sources;
+    const { membership, configuration } = this._sources;
     return {
       ...membership.self,
-      offset: fold.offset,
+      offset: configuration.offset,
       offsetSinceMs: this._offsetSinceMs,
       logAgeMs: this._sources.getLogAgeMs(),
       isReady: this._sources.isReady(),
       isDraining: this._sources.isDraining(),
       activeRequests: this._sources.getActiveRequests(),
       cutOffSinceMs: membership.getCutOffSinceMs(),
-      unknownRecords: fold.unknownRecords.length,
+      unknownRecords: configuration.unknownRecords.length,
     };
   }
 
+  /** Requests the status of all instances. */
   async gather(): Promise<FleetStatus> {
     const { membership } = this._sources;
     const members = membership.getMembers();
-    const answers = await Promise.all(members.map((member) => this._ask(member)));
+    const answers = await Promise.all(members.map((member) => this._requestStatus(member)));
     const unreached = members
       .filter((_member, index) => answers[index] === undefined)
       .map((m) => ({ name: m.name, availabilityZone: m.availabilityZone, sinceMs: m.lostSinceMs }));
@@ -85,17 +88,17 @@
     return { askedInstance: membership.self.name, instances, unreached };
   }
 
-  private async _ask(member: Member): Promise<InstanceStatus | undefined> {
+  private async _requestStatus(member: Member): Promise<InstanceStatus | undefined> {
     const { name } = member;
-    const askedAtMs = utils.monotonicMs();
+    const requestedAtMs = utils.monotonicMs();
     const reply = await this._sources.membership.request(
       name,
       statusTopic,
       null,
-      this._patience.getTimeoutMs(name),
+      this._timeouts.getTimeoutMs(name),
     );
-    if (reply.ok) this._patience.noteAnswer(name, utils.monotonicMs() - askedAtMs);
-    else if (reply.val.code === "deadline_passed") this._patience.noteTimeout(name);
+    if (reply.ok) this._timeouts.noteAnswer(name, utils.monotonicMs() - requestedAtMs);
+    else if (reply.val.code === "deadline_passed") this._timeouts.noteTimeout(name);
     const status = reply.ok ? instanceStatusSchema.safeParse(reply.val) : undefined;
     return status?.success === true ? status.data : undefined;
   }
--- a/packages/entry/src/orders/OrderReconciler.ts
+++ b/packages/entry/src/orders/OrderReconciler.ts
@@ -1,4 +1,4 @@
-/** Brings engines to the placement in force: one instance a zone, under a lease, a few engines at a time. */
+/** Reconciliation of the engines with the placement in force, by one instance per zone, which holds the zone's lease. */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationProjection, PipelineObject } from "@shedtiller/intent";
 import { sendOrder, type LeaseHolder, type Order } from "@shedtiller/lease";
@@ -6,26 +6,29 @@
 import type { EndpointDirectory, EndpointEntry } from "@shedtiller/routing";
 import type { Timeline } from "@shedtiller/timeline";
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
-import { getZoneSource } from "../feeds/zoneFeedMessages.js";
+import { getZoneSource } from "../feeds/zoneStateMessages.js";
 import type { VersionRetirement } from "./VersionRetirement.js";
 import type { ComponentLog } from "../logs/createLogs.js";
-import { getWholeVersions } from "./servedVersions.js";
+import { getCompleteVersions } from "./servedVersions.js";
 
 const tickMs = 250;
-/** Life of an order, after which engines that check it drop it. Shorter than the unusable part of a lease. */
+/**
+ * Time after which engines that check orders drop an order. It is shorter than the final part of a lease, in which its
+ * holder may no longer act.
+ */
 export const orderValidityMs = 2_000;
 const drainTimeoutMs = 30_000;
-/** An engine that has not reported for this long after an order counts as loading no more. */
-const longestOrderMs = 30_000;
+/** An engine counts as loading until it reports, but for no longer than this after its order. */
+const maxLoadMs = 30_000;
 
-/** What an engine is to hold, by the configuration in force. */
+/** Layers of a version that an engine is to load, by the configuration in force. */
 export interface DesiredLayers {
   readonly model: string;
   readonly version: string;
   readonly layers: [number, number];
 }
 
-/** What the keeper works on. */
+/** Dependencies of {@link OrderReconciler}. */
 export interface OrderReconcilerStructure {
   readonly configuration: ConfigurationProjection;
   readonly directory: EndpointDirectory;
@@ -37,20 +40,20 @@
   readonly log: ComponentLog;
 }
 
-/** Sends orders while it holds its zone's lease. */
+/** Reconciler that orders engines of its zone, one at a time, to load the layers of the placement in force. */
 export class OrderReconciler {
   private readonly _drainingSinceMs = new Map<string, number>();
-  /** Engines that don't check orders get none before an older lease's orders have died out. */
-  private _quietUntilMs = 0;
+  /** Monotonic time until which orders of an older lease may arrive. Engines that don't check orders get none before. */
+  private _olderOrdersExpireAtMs = 0;
   private _lastToken: number | undefined;
-  /** When each engine was last ordered. */
+  /** Monotonic time of the last order to each engine. */
   private readonly _orderedAtMs = new Map<string, number>();
-  /** Why each engine that is to hold something else has got no order yet, as it was last logged. */
-  private readonly _holds = new Map<string, string>();
+  /** Reason, as last logged, why an engine that is to load other layers has got no order yet. */
+  private readonly _blockers = new Map<string, string>();
 
   constructor(private readonly _structure: OrderReconcilerStructure) {}
 
-  /** Runs until `signal` aborts, then gives the lease back. */
+  /** Reconciles until `signal` aborts, then releases the lease. */
   async run(signal: AbortSignal): Promise<void> {
     await utils.repeat(
       tickMs,
@@ -62,43 +65,49 @@
   }
 
   private async _tick(): Promise<void> {
-    const { membership, holder, configuration: fold, directory } = this._structure;
-    const due = this._findDue();
-    this._forgetSettled();
+    const { membership, holder, configuration, directory } = this._structure;
+    const due = this._findEnginesToOrder();
+    this._removeSettled();
     if (due.length === 0) return;
-    if (!membership.ownsZoneRole("orders")) return this._noteHolds(due, "another instance gives the orders");
-    if (!(await holder.acquireOrRenew())) return this._noteHolds(due, "the lease is not ours");
-    this._noteToken(holder.getToken());
-    // Where no engine can be spared, there is no way to the wanted placement but through a gap; but engines that load may soon make one.
-    const isGapNeeded = !this._isLoading() && due.every((entry) => !keepsChain(fold, directory, entry));
+    if (!membership.ownsZoneRole("orders"))
+      return this._logBlockers(due, "another instance sends the orders");
+    if (!(await holder.acquireOrRenew()))
+      return this._logBlockers(due, "this instance does not hold the lease");
+    this._recordToken(holder.getToken());
+    // If no engine can be spared, the placement can be reached only through a gap without a complete chain. While engines
+    // are loading, waiting may avoid the gap.
+    const isGapNeeded =
+      !this._isLoading() && due.every((entry) => !hasChainWithout(configuration, directory, entry));
     for (const entry of due) {
-      const wanted = getDesiredLayers(fold, entry.name);
-      if (wanted === undefined) continue;
-      const hold = this._getHold(entry, isGapNeeded) ?? (await this._askToRetire(entry, isGapNeeded));
-      this._noteHolds([entry], hold);
-      if (hold !== undefined) continue;
-      await this._order(entry, wanted);
+      const desired = getDesiredLayers(configuration, entry.name);
+      if (desired === undefined) continue;
+      const blocker =
+        this._getBlocker(entry, isGapNeeded) ?? (await this._requestRetirement(entry, isGapNeeded));
+      this._logBlockers([entry], blocker);
+      if (blocker !== undefined) continue;
+      await this._sendOrder(entry, desired);
       return;
     }
   }
 
-  /** Forgets what was noted of engines that hold what they are to hold: the next order to them is another matter. */
-  private _forgetSettled(): void {
-    const { directory, configuration: fold } = this._structure;
-    for (const noted of [this._drainingSinceMs, this._holds]) {
-      for (const name of noted.keys()) {
+  /** Removes the draining times and blockers of engines that have loaded their layers or are gone. */
+  private _removeSettled(): void {
+    const { directory, configuration } = this._structure;
+    for (const records of [this._drainingSinceMs, this._blockers]) {
+      for (const name of records.keys()) {
         const entry = directory.getEntry(name);
-        const isSettled = entry?.report !== undefined && isAsWanted(entry, getDesiredLayers(fold, name));
-        if (entry === undefined || isSettled) noted.delete(name);
+        const isSettled =
+          entry?.report !== undefined && hasDesiredLayers(entry, getDesiredLayers(configuration, name));
+        if (entry === undefined || isSettled) records.delete(name);
       }
     }
   }
 
-  /** Whether engines of our zone load what they were ordered to hold. */
+  /** Returns whether engines of this zone are loading layers that they were ordered to load. */
   private _isLoading(): boolean {
     const { directory, membership } = this._structure;
     const zone = membership.self.availabilityZone;
-    const earliestMs = utils.monotonicMs() - longestOrderMs;
+    const earliestMs = utils.monotonicMs() - maxLoadMs;
     return directory.getEntries().some((entry) => {
       if (entry.availabilityZone !== zone || entry.isDraining || entry.isUnreachable) return false;
       if (entry.report !== undefined) return entry.report.state === "loading";
@@ -107,41 +116,49 @@
   }
 
   /**
-   * Why the chain that an engine is part of must not be broken up yet, by what was told: it is the only whole one, or the last one of a
-   * version that some instance still uses.
+   * Returns why the chain that an engine is part of must not be broken up yet, by the reports received: it is the only
+   * complete chain, or the last one of a version that some instance still uses.
    */
-  private _getChainHold(entry: EndpointEntry): string | undefined {
+  private _getChainBlocker(entry: EndpointEntry): string | undefined {
     const { directory, versions } = this._structure;
-    const held = this._getLastHeld(entry);
-    if (held === undefined) return undefined;
-    const { pipeline, version } = held;
-    if (getWholeVersions(directory, pipeline, entry).length === 0) return "no chain is whole without it";
+    const lastChain = this._getLastChain(entry);
+    if (lastChain === undefined) return undefined;
+    const { pipeline, version } = lastChain;
+    if (getCompleteVersions(directory, pipeline, entry).length === 0)
+      return "no chain is complete without it";
     const users = versions.getUsers(pipeline, version, this._getSources());
     return users.length === 0 ? undefined : `version ${version} may be in use at ${users.join(", ")}`;
   }
 
-  /** The version of which an engine is part of the last whole chain; undefined where there is another. */
-  private _getLastHeld(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
-    const { configuration: fold, directory } = this._structure;
+  /** Returns the version whose last complete chain an engine is part of; undefined if another chain is complete. */
+  private _getLastChain(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
+    const { configuration, directory } = this._structure;
     const { report } = entry;
-    const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
+    const pipeline = report === undefined ? undefined : configuration.getObject("pipeline", report.model);
     if (report?.layers === undefined || pipeline === undefined) return undefined;
-    if (getWholeVersions(directory, pipeline, entry).includes(report.version)) return undefined;
+    if (getCompleteVersions(directory, pipeline, entry).includes(report.version)) return undefined;
     return { pipeline, version: report.version };
   }
 
-  /** Asks all instances to begin nothing on a version whose last chain is about to be broken up. */
-  private async _askToRetire(entry: EndpointEntry, isGapNeeded: boolean): Promise<string | undefined> {
-    const held = this._getLastHeld(entry);
-    if (held === undefined) return undefined;
-    const hold = await this._structure.retirement.getHold(held.pipeline, held.version, isGapNeeded);
-    if (hold === undefined || !isGapNeeded) return hold;
-    // Through a gap nobody can be served meanwhile whoever is waited for, so that the streams have a drain's time, and no more.
-    this._noteDraining(entry);
-    return this._hasDrained(entry) ? undefined : hold;
+  /**
+   * Requests all instances to start nothing on a version whose last chain is about to be broken up. Returns the reason why
+   * the chain must stay for now, or undefined.
+   */
+  private async _requestRetirement(entry: EndpointEntry, isGapNeeded: boolean): Promise<string | undefined> {
+    const lastChain = this._getLastChain(entry);
+    if (lastChain === undefined) return undefined;
+    const blocker = await this._structure.retirement.getBlocker(
+      lastChain.pipeline,
+      lastChain.version,
+      isGapNeeded,
+    );
+    if (blocker === undefined || !isGapNeeded) return blocker;
+    // During a gap no new requests can be served, so the streams in flight get the drain timeout and no more.
+    this._recordDraining(entry);
+    return this._hasDrained(entry) ? undefined : blocker;
   }
 
-  /** Who tells what it uses: the linked instances of the zone, and the other zones. */
+  /** Returns the sources of reports on versions in use: the linked instances of this zone, and the other linked zones. */
   private _getSources(): Set<string> {
     const { membership } = this._structure;
     const zone = membership.self.availabilityZone;
@@ -150,39 +167,42 @@
     return new Set(membership.getLinked().map(getSource));
   }
 
-  private _noteToken(token: number | undefined): void {
+  private _recordToken(token: number | undefined): void {
     if (token === undefined || token === this._lastToken) return;
-    if (this._lastToken === undefined) this._quietUntilMs = utils.monotonicMs() + orderValidityMs;
+    if (this._lastToken === undefined) this._olderOrdersExpireAtMs = utils.monotonicMs() + orderValidityMs;
     this._lastToken = token;
   }
 
-  /** Engines of our zone that do not hold what they are to hold. */
-  private _findDue(): EndpointEntry[] {
-    const { directory, membership, configuration: fold } = this._structure;
+  /** Returns the engines of this zone that are live and have not loaded the layers of the placement. */
+  private _findEnginesToOrder(): EndpointEntry[] {
+    const { directory, membership, configuration } = this._structure;
     const zone = membership.self.availabilityZone;
     return directory.getEntries().filter((entry) => {
       if (entry.availabilityZone !== zone || entry.isDraining || entry.isUnreachable) return false;
-      return entry.report?.state === "live" && !isAsWanted(entry, getDesiredLayers(fold, entry.name));
+      return (
+        entry.report?.state === "live" &&
+        !hasDesiredLayers(entry, getDesiredLayers(configuration, entry.name))
+      );
     });
   }
 
   /**
-   * Why an engine must not be changed yet, or undefined. It may be once no stream runs there, or after a while; and only if the model that
-   * it serves now keeps a whole chain without it, or it holds nothing that is in use.
+   * Returns why an engine must not get its order yet, or undefined. It gets it once it has no streams or its drain has
+   * timed out, and only if the model that it serves now keeps a complete chain without it or its version is not in use.
    */
-  private _getHold(entry: EndpointEntry, isGapNeeded: boolean): string | undefined {
+  private _getBlocker(entry: EndpointEntry, isGapNeeded: boolean): string | undefined {
     const { report } = entry;
     if (report === undefined) return "it has not reported";
-    const isChecked = report.checksOrders || utils.monotonicMs() >= this._quietUntilMs;
-    if (!isChecked) return "orders of an older lease may still be on their way";
-    const chainHold = isGapNeeded ? undefined : this._getChainHold(entry);
+    const isChecked = report.checksOrders || utils.monotonicMs() >= this._olderOrdersExpireAtMs;
+    if (!isChecked) return "orders of an older lease may still be in flight";
+    const chainHold = isGapNeeded ? undefined : this._getChainBlocker(entry);
     if (chainHold !== undefined) return chainHold;
     if (report.layers === undefined || report.activeStreams === 0) return undefined;
-    this._noteDraining(entry);
-    return this._hasDrained(entry) ? undefined : "streams run there";
+    this._recordDraining(entry);
+    return this._hasDrained(entry) ? undefined : "it has streams in flight";
   }
 
-  private _noteDraining({ name }: EndpointEntry): void {
+  private _recordDraining({ name }: EndpointEntry): void {
     if (!this._drainingSinceMs.has(name)) this._drainingSinceMs.set(name, utils.monotonicMs());
   }
 
@@ -191,25 +211,25 @@
     return sinceMs !== undefined && utils.monotonicMs() - sinceMs > drainTimeoutMs;
   }
 
-  /** Logs why engines get no order where that has changed. */
-  private _noteHolds(entries: readonly EndpointEntry[], hold: string | undefined): void {
+  /** Logs why engines get no order yet, if the reason has changed. */
+  private _logBlockers(entries: readonly EndpointEntry[], blocker: string | undefined): void {
     for (const { name } of entries) {
-      if (this._holds.get(name) === hold) continue;
-      if (hold === undefined) this._holds.delete(name);
-      else this._holds.set(name, hold);
-      if (hold !== undefined) this._structure.log.info(`${name} is not ordered yet: ${hold}.`);
+      if (this._blockers.get(name) === blocker) continue;
+      if (blocker === undefined) this._blockers.delete(name);
+      else this._blockers.set(name, blocker);
+      if (blocker !== undefined) this._structure.log.info(`${name} is not ordered yet: ${blocker}.`);
     }
   }
 
-  private async _order(entry: EndpointEntry, wanted: DesiredLayers): Promise<void> {
+  private async _sendOrder(entry: EndpointEntry, desired: DesiredLayers): Promise<void> {
     const { holder, timeline, log } = this._structure;
-    // Asked again just before the order goes out: this process may have stood still since the last time.
+    // The lease is checked again just before the order is sent, since this process may have been suspended meanwhile.
     const fencingToken = holder.getToken();
     if (fencingToken === undefined) return;
-    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderValidityMs, ...wanted };
+    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderValidityMs, ...desired };
     timeline.add("order-sent", {
       subject: entry.name,
-      detail: `${wanted.model}@${wanted.version} [${wanted.layers.join(",")})`,
+      detail: `${desired.model}@${desired.version} [${desired.layers.join(",")})`,
     });
     this._orderedAtMs.set(entry.name, utils.monotonicMs());
     const sent = await sendOrder(entry.name, entry.address, order);
@@ -217,47 +237,53 @@
     if (sent.err) log.warn(sent.val.message);
     else
       log.info(
-        `Ordered ${entry.name} to hold ${wanted.model}@${wanted.version} [${wanted.layers.join(",")}).`,
+        `Ordered ${entry.name} to load ${desired.model}@${desired.version} [${desired.layers.join(",")}).`,
       );
-    // What became of it shows in the engine's next report; only then is it ordered again or counted as done.
+    // The engine's next report shows the outcome; until then the engine is neither ordered again nor counted as done.
     entry.report = undefined;
   }
 }
 
-/** What the configuration wants an engine to hold; undefined where it says nothing of it. */
-export function getDesiredLayers(fold: ConfigurationProjection, endpoint: string): DesiredLayers | undefined {
-  for (const pipeline of fold.getObjects("pipeline")) {
+/** Returns the layers that the configuration assigns to an engine; undefined if it assigns none. */
+export function getDesiredLayers(
+  configuration: ConfigurationProjection,
+  endpoint: string,
+): DesiredLayers | undefined {
+  for (const pipeline of configuration.getObjects("pipeline")) {
     const layers = pipeline.placement?.[endpoint];
-    if (layers !== undefined) return toHolding(pipeline, layers);
+    if (layers !== undefined) return toDesiredLayers(pipeline, layers);
   }
   return undefined;
 }
 
-function toHolding(pipeline: PipelineObject, layers: [number, number]): DesiredLayers {
+function toDesiredLayers(pipeline: PipelineObject, layers: [number, number]): DesiredLayers {
   return { model: pipeline.name, version: pipeline.version, layers };
 }
 
-function isAsWanted(entry: EndpointEntry, wanted: DesiredLayers | undefined): boolean {
+function hasDesiredLayers(entry: EndpointEntry, desired: DesiredLayers | undefined): boolean {
   const report = entry.report;
-  if (wanted === undefined || report === undefined) return true;
-  const isSameModel = report.model === wanted.model && report.version === wanted.version;
-  return isSameModel && report.layers?.[0] === wanted.layers[0] && report.layers[1] === wanted.layers[1];
+  if (desired === undefined || report === undefined) return true;
+  const isSameModel = report.model === desired.model && report.version === desired.version;
+  return isSameModel && report.layers?.[0] === desired.layers[0] && report.layers[1] === desired.layers[1];
 }
 
-/** Whether the model that an engine serves now keeps a whole chain, of some version, without that engine. */
-function keepsChain(
-  fold: ConfigurationProjection,
+/** Returns whether the model that an engine serves now keeps a complete chain of some version without that engine. */
+function hasChainWithout(
+  configuration: ConfigurationProjection,
   directory: EndpointDirectory,
   entry: EndpointEntry,
 ): boolean {
   const { report } = entry;
-  const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
+  const pipeline = report === undefined ? undefined : configuration.getObject("pipeline", report.model);
   if (report?.layers === undefined || pipeline === undefined) return true;
-  return getWholeVersions(directory, pipeline, entry).length > 0;
+  return getCompleteVersions(directory, pipeline, entry).length > 0;
 }
 
-/** Marks the engines that are to hold something else. */
-export function markRetiringEngines(fold: ConfigurationProjection, directory: EndpointDirectory): void {
+/** Marks the engines that are to load other layers, so that new requests avoid them. */
+export function markRetiringEngines(
+  configuration: ConfigurationProjection,
+  directory: EndpointDirectory,
+): void {
   for (const entry of directory.getEntries())
-    entry.isRetiring = !isAsWanted(entry, getDesiredLayers(fold, entry.name));
+    entry.isRetiring = !hasDesiredLayers(entry, getDesiredLayers(configuration, entry.name));
 }
--- a/packages/pipeline/src/engine/WsEngineConnector.ts
+++ b/packages/pipeline/src/engine/WsEngineConnector.ts
@@ -1,4 +1,4 @@
-/** Keeps one WebSocket link for each engine in use. */
+/** Pool of WebSocket links to engines. */
 import { errors, results, utils } from "@shedtiller/common";
 import * as ws from "ws";
 import { EngineConnector, type EngineLink, type LinkError } from "./EngineLink.js";
@@ -6,13 +6,13 @@
 
 /** Path of an engine's work listener. */
 export const enginePath = "/v1/stages";
-const connectTimeoutMs = 1_000;
-const longestConnectTimeoutMs = 8_000;
-const largestFrameBytes = 64 * 1024 * 1024;
+const initialConnectTimeoutMs = 1_000;
+const maxConnectTimeoutMs = 8_000;
+const maxFrameBytes = 64 * 1024 * 1024;
 
 type LinkResult = results.Result<EngineLink, LinkError>;
 
-/** Opens links when they are first needed, and again after they were lost. */
+/** Maintains one link per engine. Links are opened when first needed, and reopened when needed after a loss. */
 export class WsEngineConnector extends EngineConnector {
   private readonly _links = new Map<string, WsEngineLink>();
   private readonly _opening = new Map<string, Promise<LinkResult>>();
@@ -20,7 +20,10 @@
 
   constructor(
     private readonly _events: Omit<EngineLinkEvents, "onClosed"> & { onLinkLost(endpoint: string): void },
-    private readonly _patience = new utils.AdaptiveTimeout(connectTimeoutMs, longestConnectTimeoutMs),
+    private readonly _connectTimeouts = new utils.AdaptiveTimeout(
+      initialConnectTimeoutMs,
+      maxConnectTimeoutMs,
+    ),
   ) {
     super();
   }
@@ -33,7 +36,7 @@
     return opening;
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   close(): void {
     this._isClosed = true;
     for (const link of this._links.values()) link.close();
@@ -41,40 +44,42 @@
 
   private async _open(endpoint: string, address: string): Promise<LinkResult> {
     const startMs = utils.monotonicMs();
-    const timeoutMs = this._patience.getTimeoutMs(address);
+    const timeoutMs = this._connectTimeouts.getTimeoutMs(address);
     const socket = new ws.WebSocket(`ws://${address}${enginePath}`, {
       handshakeTimeout: timeoutMs,
       perMessageDeflate: false,
-      maxPayload: largestFrameBytes,
+      maxPayload: maxFrameBytes,
     });
     const failure = await waitForOpen(socket);
     this._opening.delete(address);
     const tookMs = utils.monotonicMs() - startMs;
-    if (failure === undefined) this._patience.noteAnswer(address, tookMs);
-    const isSlow = failure !== undefined && tookMs >= timeoutMs && !this._patience.noteTimeout(address);
+    if (failure === undefined) this._connectTimeouts.noteAnswer(address, tookMs);
+    const isSlow =
+      failure !== undefined && tookMs >= timeoutMs && !this._connectTimeouts.noteTimeout(address);
     if (failure !== undefined || this._isClosed) {
       socket.terminate();
-      // One handshake that is late may be this instance's own lack of time; the next one gets twice as long.
+      // A single late handshake is no evidence against the engine: this instance may be short of CPU time. The next
+      // handshake has twice the timeout.
       if (isSlow) return results.Err(new errors.DeadlineError(`A connection to ${endpoint}`, timeoutMs));
       return results.Err(new errors.NotReachedError(address, failure));
     }
     const link = new WsEngineLink(endpoint, socket, {
       onDraining: (name) => this._events.onDraining(name),
       onStrayReply: (name) => this._events.onStrayReply(name),
-      onClosed: (closed) => this._drop(address, closed),
+      onClosed: (closed) => this._removeLink(address, closed),
     });
     this._links.set(address, link);
     return results.Ok(link);
   }
 
-  private _drop(address: string, link: WsEngineLink): void {
+  private _removeLink(address: string, link: WsEngineLink): void {
     if (this._links.get(address) !== link) return;
     this._links.delete(address);
     if (!this._isClosed) this._events.onLinkLost(link.endpoint);
   }
 }
 
-/** Resolves with undefined once the socket is open, else with what went wrong. */
+/** Resolves with undefined once the socket is open, or with the error of opening it. */
 function waitForOpen(socket: ws.WebSocket): Promise<Error | undefined> {
   return new Promise((resolve) => {
     socket.once("open", () => {
