--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -1,4 +1,4 @@
-/** Gives requests chains with room; those that find none wait, the most urgent first, and first those that can still be in time. */
+/** Admission control for streamed requests: reserves chains with free capacity, and queues the requests that find none. */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
@@ -8,44 +8,48 @@
 import { ChainReservation } from "./ChainReservation.js";
 import type { ChainDemand } from "./coverLayers.js";
 
-/** Room may also come free at peers, which tell of it; this is how often waiting requests look again. */
-const lookAgainMs = 50;
+/** Capacity also becomes free when streams of peers end, which this instance learns from the load that they report. */
+const pollIntervalMs = 50;
 
-/** Requests that fit nowhere are passed over in one look, up to this many; each costs a search. */
-const mostMisses = 3;
-/** The rate at which chains come free is smoothed over about this many. */
-const smoothedReleases = 16;
-/** Before any chain has come free: a stream lives for about a second, and an instance has some ten. */
+/** Number of waiting requests that may find no chain in one pass over the queue; each of them costs a search. */
+const maxMisses = 3;
+/** Weight of past releases in the moving average of the time between two released chains. */
+const releaseSmoothing = 16;
+/** Interval before any chain has been released: a stream takes about a second, and an instance has about ten. */
 const initialReleaseIntervalMs = 100;
-/** Longest time to come back that a refusal names; callers heed it up to a third of what they have left. */
+/** Maximum Retry-After time. Callers respect a time of up to one third of their remaining deadline. */
 const longestRetryAfterMs = 4_000;
 const shortestRetryAfterMs = 500;
 
-/** Who waits for a chain. */
+/** A request for a reserved chain. */
 export interface ChainApplicant {
   readonly service: string;
   readonly demand: ChainDemand;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly patienceMs: number;
-  /** Monotonic time until which a chain still lets the answer be in time; infinite where it is late or begun already. */
+  /** Latest monotonic time of a start that meets the target latency; infinite if the stream has begun. */
   readonly inTimeUntilMs: number;
   readonly signal: AbortSignal;
 }
 
 interface Waiter {
-  readonly applicant: ChainApplicant;
+  readonly acquisition: ChainApplicant;
   readonly done: utils.Deferred<ChainReservation | undefined>;
-  /** Monotonic time at which its patience ends. */
-  readonly giveUpAtMs: number;
-  readonly giveUp: () => void;
+  /** Monotonic time at which the maximum wait ends. */
+  readonly timeoutAtMs: number;
+  readonly cancel: () => void;
 }
 
-/** Queues by priority, then by arrival. */
+/**
+ * Reserves chains for requests. Requests that find none wait in order of priority, among equals those that can still meet their target
+ * latency first, then in order of arrival. A request is rejected as soon as its turn is expected after its maximum wait.
+ */
 export class ChainAdmission {
+  /** In order of arrival. */
   private readonly _waiters: Waiter[] = [];
-  /** Runs while somebody waits. */
-  private _lookAgainTimer: NodeJS.Timeout | undefined;
+  /** Set while requests wait. */
+  private _pollTimer: NodeJS.Timeout | undefined;
   private _lastReleaseAtMs = utils.monotonicMs();
   private _releaseIntervalMs = initialReleaseIntervalMs;
 
@@ -54,84 +58,87 @@
     private readonly _endpoints: EndpointTable,
     private readonly _chooser: ChainChooser,
     private readonly _demand: RequestDemand,
-    private readonly _forecast: Pick<PermitForecast, "isHeldUp" | "getWaitMs" | "getRetryAfterMs">,
+    private readonly _forecast: Pick<PermitForecast, "isBlocked" | "getWaitMs" | "getRetryAfterMs">,
   ) {
     _demand.addQueue((service) => this._getWaiting(service));
     _demand.onPermits((service) => {
-      if (this._getWaiting(service) > 0) this._lookAgain();
+      if (this._getWaiting(service) > 0) this._serveWaiters();
     });
   }
 
-  /** Requests that wait now. */
+  /** Number of waiting requests. */
   get waiting(): number {
     return this._waiters.length;
   }
 
-  /** Reserves a chain, waiting for room; undefined once the patience is over or the caller has left. */
-  async acquire(applicant: ChainApplicant): Promise<ChainReservation | undefined> {
-    if (!this.hasEndpoints(applicant.service)) return undefined;
-    const ahead = this._countAhead(applicant);
-    const reservation = ahead === 0 ? this._tryReserve(applicant) : undefined;
+  /** Reserves a chain, waiting for capacity; returns undefined after the maximum wait or if the caller has disconnected. */
+  async acquire(acquisition: ChainApplicant): Promise<ChainReservation | undefined> {
+    if (!this.hasEndpoints(acquisition.service)) return undefined;
+    const ahead = this._countAhead(acquisition);
+    const reservation = ahead === 0 ? this._tryReserve(acquisition) : undefined;
     if (reservation !== undefined) return reservation;
-    // An engine that another one stands in for comes with a load of layers, which takes seconds.
-    if (applicant.demand.spares === "only") return undefined;
-    // A refusal at once lets the caller come back in time; one after a wait in vain does not.
-    if (this._getWaitMs(applicant.service, ahead) > applicant.patienceMs) return undefined;
-    return this._wait(applicant);
+    // A second engine with the first layers appears only after a load of layers, which takes seconds, so waiting is useless.
+    if (acquisition.demand.spares === "only") return undefined;
+    // An immediate rejection leaves the caller time for a retry; a rejection after a useless wait does not.
+    if (this._getWaitMs(acquisition.service, ahead) > acquisition.patienceMs) return undefined;
+    return this._wait(acquisition);
   }
 
-  /** Whether any endpoint of the service may get new work; a list that was never read tells nothing. */
+  /** Whether an endpoint of the service accepts new work; true while the list of endpoints has never been read. */
   hasEndpoints(service: string): boolean {
     return !this._endpoints.isKnown || this._endpoints.getUsable(service).length > 0;
   }
 
-  /** When a refused request should come back. */
+  /** Returns when a rejected caller should retry. */
   getRetryAfterMs(service: string): number {
-    if (this._forecast.isHeldUp(service))
+    if (this._forecast.isBlocked(service))
       return this._forecast.getRetryAfterMs(service, this._getWaiting(service));
     const waitMs = this._waiters.length * this._releaseIntervalMs;
     return Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, waitMs));
   }
 
-  /** Notes that a chain came free, and looks for those that wait. */
+  /** Records that a chain was released, and serves waiting requests. */
   noteReleased(): void {
     const nowMs = utils.monotonicMs();
     const intervalMs = nowMs - this._lastReleaseAtMs;
     this._lastReleaseAtMs = nowMs;
-    this._releaseIntervalMs += (intervalMs - this._releaseIntervalMs) / smoothedReleases;
-    this._lookAgain();
+    this._releaseIntervalMs += (intervalMs - this._releaseIntervalMs) / releaseSmoothing;
+    this._serveWaiters();
   }
 
-  /** Until a request may begin: a chain has to come free, and its first engine to have a permit. */
+  /** Returns the expected wait: a chain must be released, and its first engine must have a permit. */
   private _getWaitMs(service: string, ahead: number): number {
     return Math.max((ahead + 1) * this._releaseIntervalMs, this._forecast.getWaitMs(service, ahead));
   }
 
   private _getWaiting(service: string): number {
-    return this._waiters.filter(({ applicant }) => applicant.service === service).length;
+    return this._waiters.filter(({ acquisition }) => acquisition.service === service).length;
   }
 
-  /** Those that wait and go before one that comes now. */
-  private _countAhead(applicant: ChainApplicant): number {
+  /** Returns the number of waiting requests that go before one that arrives now. */
+  private _countAhead(acquisition: ChainApplicant): number {
     const nowMs = utils.monotonicMs();
-    return this._waiters.filter((waiter) => compareTurns(waiter.applicant, applicant, nowMs) <= 0).length;
+    return this._waiters.filter((waiter) => compareTurns(waiter.acquisition, acquisition, nowMs) <= 0).length;
   }
 
-  /** Looks for room for those that wait, in their order, until too many have found none. */
-  private _lookAgain(): void {
+  /**
+   * Serves waiting requests in queue order until `maxMisses` of them have found no chain. Cancels the requests whose turn is expected
+   * after their maximum wait.
+   */
+  private _serveWaiters(): void {
     const nowMs = utils.monotonicMs();
-    const inOrder = [...this._waiters].sort((a, b) => compareTurns(a.applicant, b.applicant, nowMs));
+    const inOrder = [...this._waiters].sort((a, b) => compareTurns(a.acquisition, b.acquisition, nowMs));
     let misses = 0;
     let ahead = 0;
-    /** By service: where so many tokens found no room, as many or more find none either. */
+    /** By service: the smallest number of tokens that found no capacity; requests of as many or more tokens are not tried. */
     const missedTokens = new Map<string, number>();
-    /** By service: what limits and rests make even the first one wait. */
-    const heldUpMs = new Map<string, number>();
+    /** By service: the wait that rate limits and back-offs impose even on the first request. */
+    const minWaitsMs = new Map<string, number>();
     for (const waiter of inOrder) {
-      const { service } = waiter.applicant;
-      const tokens = countTokens(waiter.applicant);
-      const isTried = misses < mostMisses && tokens < (missedTokens.get(service) ?? Number.POSITIVE_INFINITY);
-      const reservation = isTried ? this._tryReserve(waiter.applicant) : undefined;
+      const { service } = waiter.acquisition;
+      const tokens = countTokens(waiter.acquisition);
+      const isTried = misses < maxMisses && tokens < (missedTokens.get(service) ?? Number.POSITIVE_INFINITY);
+      const reservation = isTried ? this._tryReserve(waiter.acquisition) : undefined;
       if (reservation !== undefined) {
         this._remove(waiter);
         waiter.done.resolve(reservation);
@@ -140,30 +147,30 @@
       if (isTried) misses += 1;
       if (isTried) missedTokens.set(service, tokens);
       ahead += 1;
-      const leastMs = heldUpMs.get(service) ?? this._forecast.getWaitMs(service, 0);
-      heldUpMs.set(service, leastMs);
-      // Others came that go first, or more endpoints rest: what is left of the patience no longer lasts until its turn.
-      const waitMs = Math.max(ahead * this._releaseIntervalMs, leastMs);
-      if (nowMs + waitMs > waiter.giveUpAtMs) waiter.giveUp();
+      const minWaitMs = minWaitsMs.get(service) ?? this._forecast.getWaitMs(service, 0);
+      minWaitsMs.set(service, minWaitMs);
+      // More urgent requests or back-offs of endpoints since the request's arrival may delay its turn beyond its maximum wait.
+      const waitMs = Math.max(ahead * this._releaseIntervalMs, minWaitMs);
+      if (nowMs + waitMs > waiter.timeoutAtMs) waiter.cancel();
     }
   }
 
-  private async _wait(applicant: ChainApplicant): Promise<ChainReservation | undefined> {
+  private async _wait(acquisition: ChainApplicant): Promise<ChainReservation | undefined> {
     const done = new utils.Deferred<ChainReservation | undefined>();
-    const giveUp = (): void => {
+    const cancel = (): void => {
       this._remove(waiter);
       done.resolve(undefined);
     };
-    const giveUpAtMs = utils.monotonicMs() + applicant.patienceMs;
-    const waiter: Waiter = { applicant, done, giveUpAtMs, giveUp };
-    const timer = setTimeout(giveUp, applicant.patienceMs);
-    applicant.signal.addEventListener("abort", giveUp, { once: true });
+    const timeoutAtMs = utils.monotonicMs() + acquisition.patienceMs;
+    const waiter: Waiter = { acquisition, done, timeoutAtMs, cancel };
+    const timer = setTimeout(cancel, acquisition.patienceMs);
+    acquisition.signal.addEventListener("abort", cancel, { once: true });
     this._waiters.push(waiter);
-    this._lookAgainTimer ??= setInterval(() => this._lookAgain(), lookAgainMs);
+    this._pollTimer ??= setInterval(() => this._serveWaiters(), pollIntervalMs);
     this._demand.noteWaiting();
     const reservation = await done.promise;
     clearTimeout(timer);
-    applicant.signal.removeEventListener("abort", giveUp);
+    acquisition.signal.removeEventListener("abort", cancel);
     return reservation;
   }
 
@@ -171,19 +178,20 @@
     const at = this._waiters.indexOf(waiter);
     if (at >= 0) this._waiters.splice(at, 1);
     if (this._waiters.length > 0) return;
-    clearInterval(this._lookAgainTimer);
-    this._lookAgainTimer = undefined;
+    clearInterval(this._pollTimer);
+    this._pollTimer = undefined;
   }
 
-  private _tryReserve(applicant: ChainApplicant): ChainReservation | undefined {
-    const profile = this._keeper.table?.getEngineProfile(applicant.service);
+  /** Reserves a chain with free capacity whose first engine has a permit; returns undefined if there is none. */
+  private _tryReserve(acquisition: ChainApplicant): ChainReservation | undefined {
+    const profile = this._keeper.table?.getEngineProfile(acquisition.service);
     if (profile === undefined) return undefined;
-    const endpoints = this._endpoints.getUsable(applicant.service);
-    const stages = this._chooser.choose(endpoints, profile, applicant.demand);
+    const endpoints = this._endpoints.getUsable(acquisition.service);
+    const stages = this._chooser.choose(endpoints, profile, acquisition.demand);
     const first = stages?.[0] && this._endpoints.get(stages[0].endpointId);
     const permit = first?.tryTakePermit(utils.monotonicMs());
     if (stages === undefined || permit === undefined) return undefined;
-    const { promptTokens, answerTokens } = applicant.demand;
+    const { promptTokens, answerTokens } = acquisition.demand;
     return new ChainReservation(this._endpoints, stages, promptTokens + answerTokens, permit);
   }
 }
@@ -193,10 +201,10 @@
 }
 
 /**
- * By priority; among equals those that can still be in time go first, and otherwise those that came first. Where more come than
- * can be served, an order by arrival alone makes all of them late.
+ * Orders requests by priority, then those that can still meet their target latency before those that are late. Returns 0 for requests
+ * that keep their order of arrival. Under overload an order by arrival alone would make all requests late.
  */
 function compareTurns(a: ChainApplicant, b: ChainApplicant, nowMs: number): number {
-  const isLate = (applicant: ChainApplicant): number => (nowMs > applicant.inTimeUntilMs ? 1 : 0);
+  const isLate = (acquisition: ChainApplicant): number => (nowMs > acquisition.inTimeUntilMs ? 1 : 0);
   return a.priority - b.priority || isLate(a) - isLate(b);
 }
--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -1,4 +1,4 @@
-/** Chooses the engines that a request passes, by time and by room. */
+/** Choice of the engines that run a request. */
 import { utils } from "@shedtiller/common";
 import * as placement from "@shedtiller/placement";
 import type { AcceleratorKind, EngineProfile } from "../configuration/gatewayConfiguration.js";
@@ -7,55 +7,61 @@
 import { coverLayers, type ChainCandidate, type ChainDemand } from "./coverLayers.js";
 import { getCapacityTokenLayers, getKind, getStepMs, getUnqueuedRequests } from "./engineModel.js";
 
-/** Share of an engine's room that is handed out; the rest covers answers longer than guessed. */
-const usableRoomShare = 0.92;
+/** Share of an engine's capacity that is assigned to requests; the remainder covers answers that are longer than estimated. */
+const usableCapacityShare = 0.92;
 /**
- * An engine without room left, or with as many requests as let prompts wait, costs this many times more than an empty one, so that
- * chains fill evenly.
+ * Cost added to an engine whose capacity is exhausted, or whose requests just begin to queue for prefill, as a multiple of the cost of an
+ * empty engine. The cost grows with the square of the utilization, so that chains fill evenly.
  */
-const fullRoomFactor = 4;
+const utilizationCostFactor = 4;
 
 /**
- * Share of an engine's room that chains may take which change zones, where the engine's zone runs all layers by itself. Such a chain
- * takes room in several zones, and each zone whose room is broken up by them sends more requests across: without a reserve (the trunk
- * reservation of telephone networks) a short overload becomes a lasting one. Measured on a day of three zones: 0.64 of the worth is
- * earned with it, 0.54 without; for twenty seconds 150 to 195 of 220 streams ran across, at 25 to 28 ms a token instead of 13 to 18.
+ * Share of an engine's capacity that cross-zone chains may use if the engine's zone can run all layers by itself. A cross-zone chain uses
+ * capacity in several zones, and a zone whose capacity is fragmented by such chains sends more requests to other zones. Without a reserve
+ * (the trunk reservation of telephone networks) a short overload becomes a lasting one.
+ *
+ * Measured on a day of three zones: the deployment earned 0.64 of the possible value with the reserve and 0.54 without. Without it, 150 to
+ * 195 of 220 streams ran across zones for twenty seconds, at 25 to 28 ms per token instead of 13 to 18.
  */
-const crossingRoomShare = 0.5;
+const crossZoneCapacityShare = 0.5;
 
-/** A spread choice takes costs from half to one and a half of what they are. */
-const spreadRange = 1;
+/** Width of the random factor on the costs of a randomized choice, which lies between 0.5 and 1.5. */
+const randomFactorRange = 1;
 
-/** Rates each engine for one request, and finds the cheapest chain of those with room. */
+/** Computes the cost of each engine for a request, and finds the cheapest chain of engines with free capacity. */
 export class ChainChooser {
   /**
-   * @param nowMs - Monotonic clock, replaced in tests.
-   * @param random - Numbers from 0 to 1, replaced in tests.
+   * @param nowMs - Monotonic clock; replaced in tests.
+   * @param random - Returns a random number from 0 to 1; replaced in tests.
    */
   constructor(
     private readonly _nowMs: () => number = utils.monotonicMs,
     private readonly _random: () => number = Math.random,
   ) {}
 
-  /** Gives the cheapest chain with room, or undefined; engines that refused the request only where there is no other way. */
+  /**
+   * Returns the cheapest chain with free capacity, or undefined if there is none. Engines that rejected the request before are used only
+   * if there is no other chain.
+   */
   choose(
     endpoints: readonly Endpoint[],
     profile: EngineProfile,
     demand: ChainDemand,
   ): ChainStage[] | undefined {
-    const others = this._chooseSparing(endpoints, profile, demand);
+    const chain = this._choosePreferringRedundancy(endpoints, profile, demand);
     const hasRefusals = demand.refusedBy !== undefined && demand.refusedBy.size > 0;
-    if (others !== undefined || !hasRefusals) return others;
-    return this._chooseSparing(endpoints, profile, { ...demand, refusedBy: undefined });
+    if (chain !== undefined || !hasRefusals) return chain;
+    return this._choosePreferringRedundancy(endpoints, profile, { ...demand, refusedBy: undefined });
   }
 
-  private _chooseSparing(
+  /** Chooses a chain by the demand's `spares`; if redundancy is only preferred, falls back to a chain without it. */
+  private _choosePreferringRedundancy(
     endpoints: readonly Endpoint[],
     profile: EngineProfile,
     demand: ChainDemand,
   ): ChainStage[] | undefined {
-    const sparing = this._chooseAmong(endpoints, profile, demand);
-    if (sparing !== undefined || demand.spares !== "rather") return sparing;
+    const chain = this._chooseAmong(endpoints, profile, demand);
+    if (chain !== undefined || demand.spares !== "rather") return chain;
     return this._chooseAmong(endpoints, profile, { ...demand, spares: undefined });
   }
 
@@ -65,11 +71,11 @@
     demand: ChainDemand,
   ): ChainStage[] | undefined {
     const { layerCount } = profile;
-    const wholeZones = getWholeZones(endpoints, layerCount, this._nowMs());
-    const spared = demand.spares === undefined ? undefined : getLastFirsts(endpoints, this._nowMs());
+    const completeZones = getCompleteZones(endpoints, layerCount, this._nowMs());
+    const excluded = demand.spares === undefined ? undefined : getSoleFirstEngines(endpoints, this._nowMs());
     const candidates = endpoints.flatMap((endpoint) =>
-      this._toCandidates(endpoint, profile, demand, wholeZones).map((candidate) =>
-        spared?.has(endpoint) === true ? { ...candidate, mayBegin: false } : candidate,
+      this._toCandidates(endpoint, profile, demand, completeZones).map((candidate) =>
+        excluded?.has(endpoint) === true ? { ...candidate, mayBegin: false } : candidate,
       ),
     );
     return (
@@ -82,34 +88,34 @@
     endpoint: Endpoint,
     profile: EngineProfile,
     demand: ChainDemand,
-    wholeZones: ReadonlySet<string>,
+    completeZones: ReadonlySet<string>,
   ): ChainCandidate[] {
     const nowMs = this._nowMs();
     if (endpoint.isSuspect(nowMs) || nowMs < endpoint.refusedUntilMs) return [];
     if (endpoint.failures.isAvoided(nowMs)) return [];
-    // A stream that is moved stays with its first engine, which asked for no new ones.
+    // A moved stream keeps its first engine, whose back-off applies to new requests only.
     if (endpoint.rest.getLeftMs(nowMs) > 0 && endpoint.id !== demand.firstEndpointId) return [];
     if (demand.refusedBy?.has(endpoint.listed.address) === true) return [];
     const kind = getKind(endpoint, profile);
     if (kind === undefined) return [];
     const tokens = demand.promptTokens + demand.answerTokens;
     const capacity = Math.min(
-      getCapacityTokenLayers(endpoint, profile) * usableRoomShare,
+      getCapacityTokenLayers(endpoint, profile) * usableCapacityShare,
       endpoint.getSeenFullTokenLayers(nowMs),
     );
     const load = endpoint.getLoad();
-    const tokenFullness = capacity <= 0 ? 1 : load.tokenLayers / capacity;
-    const fullness = Math.max(tokenFullness, load.requests / getUnqueuedRequests(endpoint, profile));
+    const tokenUtilization = capacity <= 0 ? 1 : load.tokenLayers / capacity;
+    const utilization = Math.max(tokenUtilization, load.requests / getUnqueuedRequests(endpoint, profile));
     const state = { sequences: load.requests + 1, slowness: endpoint.slowness };
-    const spread = demand.isSpread === true ? 1 + spreadRange * (this._random() - 0.5) : 1;
-    const crowding = 1 + fullRoomFactor * fullness ** 2;
-    const msPerLayer = getMsPerLayer(profile, kind, demand, state) * crowding * spread;
+    const randomFactor = demand.isSpread === true ? 1 + randomFactorRange * (this._random() - 0.5) : 1;
+    const utilizationFactor = 1 + utilizationCostFactor * utilization ** 2;
+    const msPerLayer = getMsPerLayer(profile, kind, demand, state) * utilizationFactor * randomFactor;
     const countFree = (share: number): number =>
       Math.floor((capacity * share - load.tokenLayers) / Math.max(1, tokens));
     const freeLayers = countFree(1);
-    const isZoneWhole = wholeZones.has(endpoint.listed.availabilityZone);
-    const freeLayersAcross = isZoneWhole ? countFree(crossingRoomShare) : freeLayers;
-    // All that pass count, since those that begin elsewhere and those that begin here are not told apart among the instances.
+    const isZoneComplete = completeZones.has(endpoint.listed.availabilityZone);
+    const freeLayersAcross = isZoneComplete ? countFree(crossZoneCapacityShare) : freeLayers;
+    // Compares all requests at the engine with its slots, since the load from peers does not tell in which requests it is the first engine.
     const mayBegin = load.requests < endpoint.listed.slots && endpoint.hasPermit(nowMs);
     return endpoint.listed.layers.map(({ start, end }) => ({
       endpoint,
@@ -123,30 +129,30 @@
   }
 }
 
-/** Zones whose engines run all layers without those of other zones, whether or not they have room now. */
-function getWholeZones(endpoints: readonly Endpoint[], layerCount: number, nowMs: number): Set<string> {
+/** Returns the zones whose engines can run all layers without other zones, whether or not they have free capacity now. */
+function getCompleteZones(endpoints: readonly Endpoint[], layerCount: number, nowMs: number): Set<string> {
   const usable = endpoints.filter((endpoint) => !endpoint.isSuspect(nowMs));
   const zones = utils.groupBy(usable, (endpoint) => endpoint.listed.availabilityZone);
-  const isWhole = (members: readonly Endpoint[]): boolean =>
+  const isComplete = (members: readonly Endpoint[]): boolean =>
     placement.isCovered(
       { start: 0, end: layerCount },
       members.flatMap((member) => member.listed.layers),
     );
-  return new Set([...zones].flatMap(([zone, members]) => (isWhole(members) ? [zone] : [])));
+  return new Set([...zones].flatMap(([zone, members]) => (isComplete(members) ? [zone] : [])));
 }
 
-/** Engines that are the only ones of their zones with the first layers. */
-function getLastFirsts(endpoints: readonly Endpoint[], nowMs: number): Set<Endpoint> {
-  // One that has just failed a request may have crashed, and stands in for nobody.
-  const sound = endpoints.filter(
+/** Returns the engines that are the only ones of their zones with the first layers. */
+function getSoleFirstEngines(endpoints: readonly Endpoint[], nowMs: number): Set<Endpoint> {
+  // An engine that has just failed a request may have crashed, so it does not count as a replacement.
+  const healthy = endpoints.filter(
     (endpoint) => !endpoint.isSuspect(nowMs) && !endpoint.failures.isAvoided(nowMs),
   );
-  const firsts = sound.filter(({ listed }) => listed.layers.some(({ start }) => start === 0));
+  const firsts = healthy.filter(({ listed }) => listed.layers.some(({ start }) => start === 0));
   const zones = utils.groupBy(firsts, (endpoint) => endpoint.listed.availabilityZone);
   return new Set([...zones.values()].filter((members) => members.length === 1).flat());
 }
 
-/** Time that one layer of the whole request takes at an engine, beside what it runs already. */
+/** Returns the time that one layer takes for the whole request, at an engine with `state.sequences` concurrent requests. */
 function getMsPerLayer(
   profile: EngineProfile,
   kind: AcceleratorKind,
--- a/packages/gateway/src/chains/ChainReservation.ts
+++ b/packages/gateway/src/chains/ChainReservation.ts
@@ -1,26 +1,27 @@
-/** Room that a request holds at the engines of its chain. */
+/** The load that a request reserves at the engines of its chain. */
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { SendPermit } from "../discovery/SendPermit.js";
 import type { ChainStage } from "../http/MessageCodec.js";
 
-interface Hold {
-  /** The object itself: an endpoint that leaves the list and comes back is another one, with a count of its own. */
+/** The load reserved at one engine. */
+interface ReservedLoad {
+  /** The object instead of its id, since an endpoint that leaves the list and returns is another object with its own load. */
   readonly endpoint: Endpoint;
   readonly tokenLayers: number;
 }
 
-/** Counts a request at each engine of its chain until it is released. */
+/** Adds the load of a request to each engine of its chain until it is released. */
 export class ChainReservation {
   private _stages: readonly ChainStage[] = [];
-  private _holds: readonly Hold[] = [];
+  private _loads: readonly ReservedLoad[] = [];
   private _isReleased = false;
 
   constructor(
     private readonly _endpoints: EndpointTable,
     stages: readonly ChainStage[],
     private readonly _tokens: number,
-    /** The right to send the request to the first engine. */
+    /** The permit for the send to the first engine. */
     readonly permit?: SendPermit,
   ) {
     this.move(stages);
@@ -30,20 +31,20 @@
     return this._stages;
   }
 
-  /** Takes another chain in place of the one held. Does nothing once released: the request may end while it is moved. */
+  /** Moves the reservation to another chain. Does nothing after the release, since a request may end while it is being moved. */
   move(stages: readonly ChainStage[]): void {
     if (this._isReleased) return;
-    this._dropHolds();
+    this._removeLoads();
     this._stages = stages;
-    this._holds = stages.flatMap((stage) => this._hold(stage) ?? []);
+    this._loads = stages.flatMap((stage) => this._addLoad(stage) ?? []);
   }
 
   release(): void {
-    this._dropHolds();
+    this._removeLoads();
     this._isReleased = true;
   }
 
-  private _hold(stage: ChainStage): Hold | undefined {
+  private _addLoad(stage: ChainStage): ReservedLoad | undefined {
     const endpoint = this._endpoints.get(stage.endpointId);
     if (endpoint === undefined) return undefined;
     const tokenLayers = (stage.end - stage.start) * this._tokens;
@@ -51,8 +52,8 @@
     return { endpoint, tokenLayers };
   }
 
-  private _dropHolds(): void {
-    for (const { endpoint, tokenLayers } of this._holds) endpoint.addOwn(-1, -tokenLayers);
-    this._holds = [];
+  private _removeLoads(): void {
+    for (const { endpoint, tokenLayers } of this._loads) endpoint.addOwn(-1, -tokenLayers);
+    this._loads = [];
   }
 }
--- a/packages/gateway/src/chains/coverLayers.ts
+++ b/packages/gateway/src/chains/coverLayers.ts
@@ -1,61 +1,62 @@
-/** Finds the cheapest chain of engines that runs all layers once and in order. */
+/** Search for the cheapest chain of engines that runs each layer once and in order. */
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { ChainStage } from "../http/MessageCodec.js";
 import { hopMs } from "./engineModel.js";
 
-/** What a request needs of a chain. */
+/** Requirements of a request for its chain. */
 export interface ChainDemand {
   readonly promptTokens: number;
   readonly answerTokens: number;
   readonly availabilityZone: string;
-  /** The chain must begin at this engine, where it is given. */
+  /** Id of the engine that must be the first of the chain, if set. */
   readonly firstEndpointId?: string | undefined;
-  /** Where the first engine's part must end, where it is given. */
+  /** The layer at which the first stage must end, if set. */
   readonly firstEnd?: number | undefined;
   /**
-   * Whether the choice is spread by chance over engines of like cost. For streams that many instances move at the same
-   * moment: each knows the others' load only as it was before.
+   * Whether costs are randomized, which distributes requests over engines of similar cost. Used for streams that many instances move at
+   * the same time, since each instance knows the load of the others only as it was before.
    */
   readonly isSpread?: boolean | undefined;
   /**
-   * For a request that may have crashed an engine: whether it begins only, or rather, where another engine of the zone holds the first
-   * layers, too. A zone that loses its last first engine serves nobody until another one has loaded them.
+   * Whether the first engine must be redundant ("only"), or is so preferably ("rather"): another engine of its zone has the first layers,
+   * too. Set for a request that may have crashed an engine. A zone that loses its last engine with the first layers serves no requests
+   * until another one has loaded them.
    */
   readonly spares?: "rather" | "only" | undefined;
-  /** Addresses of engines that have refused this request: what hindered them is seldom gone within milliseconds. */
+  /** Addresses of engines that rejected this request; the cause of a rejection rarely ends within milliseconds. */
   readonly refusedBy?: ReadonlySet<string> | undefined;
 }
 
 /**
- * Cost of a chain that goes on in another zone, in ms: the activations of a prompt (50 MB on the deployments at hand) take the
- * pipe that all share for 15 ms, and a pipe that is full slows every chain across it. Measured on a day of three zones with losses: at
- * this cost 45 GB passed between the zones instead of 233, and 0.67 of the worth was earned instead of 0.39.
+ * Cost of each change of zones within a chain. The activations of a prompt (50 MB on the current deployments) occupy the shared link
+ * between the zones for 15 ms, and a saturated link slows every chain across it. Measured on a day of three zones with losses: with this
+ * cost 45 GB were transferred between the zones instead of 233, and the deployment earned 0.67 of the possible value instead of 0.39.
  */
 const zoneChangeMs = 20_000;
-/** Cost of a chain that lies in another zone from its beginning, in ms: only text passes between the zones. */
+/** Cost of a chain that begins in another zone, to which only the text of the request and its answer is transferred. */
 const otherZoneMs = 200;
-/** A part of a chain, at most this many: the wire's bound is 32; longer chains than this lose more by hops. */
-const mostStages = 24;
+/** Maximum number of stages. The wire format allows 32, but longer chains than this lose more time to hops than they gain. */
+const maxStages = 24;
 
-/** An engine with room, and the layers that it holds. */
+/** An engine with a range of its loaded layers, its cost and its free capacity. */
 export interface ChainCandidate {
   readonly endpoint: Endpoint;
   readonly start: number;
   readonly end: number;
   /** Cost of one layer for the whole request. */
   readonly msPerLayer: number;
-  /** Layers that the request's tokens still fit into. */
+  /** Number of layers for which the tokens of the request still fit into memory. */
   readonly freeLayers: number;
-  /** The same for a chain that changes zones on its way. */
+  /** Number of these layers that a cross-zone chain may use. */
   readonly freeLayersAcross: number;
-  /** Whether another request may begin here: an engine has slots, and may name a limit, for those that it gets as the first of their chain. */
+  /** Whether the engine can be the first of a chain; its slots and its rate limit apply to the requests that begin there. */
   readonly mayBegin: boolean;
 }
 
-/** Whether a chain may change zones on its way. */
+/** Whether all stages of a chain must be in one zone. */
 export type ChainReach = "one-zone" | "several-zones";
 
-/** The cheapest way known to run the layers up to a boundary. */
+/** The cheapest known partial chain that runs the layers up to a boundary. */
 interface Label {
   readonly costMs: number;
   readonly candidate: ChainCandidate | undefined;
@@ -64,10 +65,10 @@
   readonly stages: number;
 }
 
-/** The best label for each boundary and zone of the last engine. */
+/** The best label by boundary and by the zone of the last engine. */
 type Labels = Map<number, Map<string, Label>>;
 
-/** Gives the cheapest chain that runs all layers, boundary by boundary (dynamic programming); undefined if there is none. */
+/** Returns the cheapest chain that runs all layers, or undefined if there is none. Uses dynamic programming over the layer boundaries. */
 export function coverLayers(
   candidates: readonly ChainCandidate[],
   layerCount: number,
@@ -77,9 +78,9 @@
   return new ChainSearch(candidates, layerCount, demand, reach).run();
 }
 
-/** One search for the cheapest chain. */
+/** Runs one search for the cheapest chain. */
 class ChainSearch {
-  /** Those with room for at least one layer. */
+  /** Candidates with free capacity for at least one layer. */
   private readonly _candidates: readonly ChainCandidate[];
   private readonly _boundaries: readonly number[];
   private readonly _labels: Labels;
@@ -105,25 +106,26 @@
   private _extendFrom(from: number): void {
     const labels = this._labels.get(from);
     if (labels === undefined) return;
-    const holders = this._candidates.filter(({ start, end }) => start <= from && from < end);
+    const nextCandidates = this._candidates.filter(({ start, end }) => start <= from && from < end);
     for (const label of labels.values()) {
-      for (const candidate of holders) if (this._mayFollow(label, candidate)) this._extend(label, candidate);
+      for (const candidate of nextCandidates)
+        if (this._mayFollow(label, candidate)) this._extend(label, candidate);
     }
   }
 
-  /** Whether an engine that holds the next layer may come next in the chain. */
+  /** Whether an engine that has loaded the next layer may be the next stage of the chain. */
   private _mayFollow(label: Label, candidate: ChainCandidate): boolean {
-    if (label.stages >= mostStages) return false;
+    if (label.stages >= maxStages) return false;
     const { firstEndpointId } = this._demand;
     const isFirst = label.candidate === undefined;
     if (isFirst && firstEndpointId !== undefined && candidate.endpoint.id !== firstEndpointId) return false;
-    // A request that is moved has its slot at its first engine already.
+    // A moved request already has a slot at its first engine.
     if (isFirst && firstEndpointId === undefined && !candidate.mayBegin) return false;
     if (this._reach === "one-zone" && !isFirst && changesZone(label, candidate)) return false;
     return !isUsed(label, candidate);
   }
 
-  /** Labels each boundary that the engine reaches from a label, where no cheaper way there is known. */
+  /** Extends a partial chain by an engine, and labels each boundary that this reaches at a lower cost than known before. */
   private _extend(label: Label, candidate: ChainCandidate): void {
     const from = label.boundary;
     const zone = candidate.endpoint.listed.availabilityZone;
@@ -164,7 +166,7 @@
   return [...boundaries].sort((a, b) => a - b);
 }
 
-/** Whether an engine lies in another zone than the last one of a chain. */
+/** Whether an engine is in another zone than the last engine of a partial chain. */
 function changesZone(label: Label, candidate: ChainCandidate): boolean {
   const last = label.candidate?.endpoint.listed.availabilityZone;
   return last !== undefined && last !== candidate.endpoint.listed.availabilityZone;
--- a/packages/gateway/src/chains/describeChain.ts
+++ b/packages/gateway/src/chains/describeChain.ts
@@ -1,7 +1,7 @@
-/** A chain in words, for log lines. */
+/** The text form of a chain for log lines. */
 import type { ChainStage } from "../http/MessageCodec.js";
 
-/** Each stage as `address=start-end`, the first engine first. */
+/** Returns each stage as `address=start-end`, in the order of the chain. */
 export function describeChain(chain: readonly ChainStage[]): string[] {
   return chain.map((stage) => `${stage.address}=${stage.start}-${stage.end}`);
 }
--- a/packages/gateway/src/chains/describeRoom.ts
+++ b/packages/gateway/src/chains/describeRoom.ts
@@ -1,10 +1,13 @@
-/** A short account of the room that is left, for the log line of a request that found none. */
+/** The free capacity of the zones, for the log line of a rejected request. */
 import { utils } from "@shedtiller/common";
 import type { EngineProfile } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import { getCapacityTokenLayers, getHeldLayers } from "./engineModel.js";
 
-/** For each zone the layers with the least room, and the tokens that fit there: `zone:46-63=1200`. */
+/**
+ * Returns for each zone the layers with the least free capacity and the number of tokens that fit there: `zone:46-63=1200` means 1,200
+ * tokens at the layers from 46 to before 63.
+ */
 export function describeRoom(
   endpoints: readonly Endpoint[],
   profile: EngineProfile,
@@ -14,19 +17,21 @@
   const zones = utils.groupBy(usable, (endpoint) => endpoint.listed.availabilityZone);
   return [...zones].map(([zone, members]) => {
     const tokens = getFreeTokensByLayer(members, profile);
-    const least = Math.min(...tokens);
-    const start = tokens.indexOf(least);
-    return `${zone}:${start}-${tokens.lastIndexOf(least) + 1}=${Math.round(least)}`;
+    const minTokens = Math.min(...tokens);
+    const start = tokens.indexOf(minTokens);
+    return `${zone}:${start}-${tokens.lastIndexOf(minTokens) + 1}=${Math.round(minTokens)}`;
   });
 }
 
+/** Returns the tokens that fit at each layer, with the free memory of an engine spread evenly over its loaded layers. */
 function getFreeTokensByLayer(members: readonly Endpoint[], profile: EngineProfile): number[] {
   const tokens = new Array<number>(profile.layerCount).fill(0);
   for (const member of members) {
-    const held = getHeldLayers(member);
+    const loadedLayers = getHeldLayers(member);
     const free = Math.max(0, getCapacityTokenLayers(member, profile) - member.getLoad().tokenLayers);
     for (const { start, end } of member.listed.layers) {
-      for (let layer = start; layer < end; layer++) tokens[layer] = (tokens[layer] ?? 0) + free / held;
+      for (let layer = start; layer < end; layer++)
+        tokens[layer] = (tokens[layer] ?? 0) + free / loadedLayers;
     }
   }
   return tokens;
--- a/packages/gateway/src/chains/engineModel.ts
+++ b/packages/gateway/src/chains/engineModel.ts
@@ -1,4 +1,4 @@
-/** Times and room of engines, from the profile of their service. */
+/** Model of the latency and the memory capacity of engines, from the profile of their service. */
 import { utils } from "@shedtiller/common";
 import type * as placement from "@shedtiller/placement";
 import type { AcceleratorKind, EngineProfile } from "../configuration/gatewayConfiguration.js";
@@ -6,32 +6,34 @@
 
 const bytesPerMb = 1e6;
 const tokensPerKiloToken = 1_000;
-/** Delay of a boundary inside a zone, each token; the platform's sheet says 0.2 ms one way, plus the engines' own wake-up. */
+/** Delay per token between two stages in a zone: 0.2 ms one way by the platform's specification, plus the wake-up time of the engine. */
 export const hopMs = 0.25;
 
-/** Finds the accelerator kind of an engine. */
+/** Returns the accelerator kind of an engine, or the first kind of the profile if the engine's kind is unknown. */
 export function getKind(endpoint: Endpoint, profile: EngineProfile): AcceleratorKind | undefined {
   return profile.kinds.find((kind) => kind.name === endpoint.listed.kind) ?? profile.kinds[0];
 }
 
-/** How many layers an engine holds. */
+/** Returns the number of layers that an engine has loaded. */
 export function getHeldLayers(endpoint: Endpoint): number {
   return utils.getSum(endpoint.listed.layers.map((span) => span.end - span.start));
 }
 
 /**
- * Requests in hand at an engine that read its prompts without a queue. A pass reads so many prompt tokens at most, and a stream stays
- * for as many passes as its answer takes at each engine of its chain; where all engines of a chain are alike, it has as many of them as
- * an engine's layers go into the model. Measured over 12,000 streams of a fleet of 195 instances: up to 1.0 of this 2 in 100 first
- * events come after 600 ms, at 1.4 17 and at 1.7 45.
+ * Returns the number of requests in flight up to which the prefill of prompts does not queue at an engine. A pass prefills a bounded
+ * number of prompt tokens, and a stream takes as many passes at each engine of its chain as its answer needs. A chain of equal engines
+ * has as many stages as the loaded layers of one engine go into the model.
+ *
+ * Measured over 12,000 streams of a fleet of 195 instances: 2 % of the first events take more than 600 ms at up to 1.0 times this number,
+ * 17 % at 1.4 times and 45 % at 1.7 times.
  */
 export function getUnqueuedRequests(endpoint: Endpoint, profile: EngineProfile): number {
-  const held = Math.max(1, getHeldLayers(endpoint));
-  const passes = (profile.usualAnswerTokens / profile.stepsPerPass) * (profile.layerCount / held);
+  const loadedLayers = Math.max(1, getHeldLayers(endpoint));
+  const passes = (profile.usualAnswerTokens / profile.stepsPerPass) * (profile.layerCount / loadedLayers);
   return passes * (profile.promptTokensPerPass / profile.usualPromptTokens);
 }
 
-/** Token-layers that fit beside the layers that an engine holds. */
+/** Returns the token-layers that fit into the memory of an engine beside its loaded layers. */
 export function getCapacityTokenLayers(endpoint: Endpoint, profile: EngineProfile): number {
   const kind = getKind(endpoint, profile);
   if (kind === undefined) return 0;
@@ -39,13 +41,13 @@
   return (Math.max(0, freeMb) * bytesPerMb) / (profile.kvBytesPerToken / profile.layerCount);
 }
 
-/** One token step over all layers at factor 1, with `sequences` requests of `contextTokens` each side by side. */
+/** Returns the time of one decoding step over all layers at step factor 1, for `sequences` concurrent requests of `contextTokens` each. */
 export function getStepMs(profile: EngineProfile, sequences: number, contextTokens: number): number {
   const contextMs = (profile.stepMsPerKiloToken * sequences * contextTokens) / tokensPerKiloToken;
   return profile.stepMs + profile.stepMsPerSequence * sequences + contextMs;
 }
 
-/** The model as the planner of layer copies wants it. */
+/** Returns the model in the form that the planner of layer copies takes. */
 export function toCopyModel(profile: EngineProfile): placement.CopyModel {
   const tokensPerRequest = profile.usualPromptTokens + profile.usualAnswerTokens;
   return {
@@ -60,7 +62,7 @@
   };
 }
 
-/** An engine as the planner of layer copies wants it. */
+/** Returns an engine in the form that the planner of layer copies takes. */
 export function toCopyEngine(endpoint: Endpoint, profile: EngineProfile): placement.CopyEngine {
   const kind = getKind(endpoint, profile);
   return { name: endpoint.id, memoryMb: kind?.memoryMb ?? 0, stepFactor: kind?.stepFactor ?? 1 };
--- a/packages/gateway/src/chains/expectTokens.ts
+++ b/packages/gateway/src/chains/expectTokens.ts
@@ -1,10 +1,10 @@
-/** The tokens that a request is expected to hold in the KV cache at its end. */
+/** Estimate of the tokens that a request has in the KV cache at its end. */
 import type { CallerFields } from "../http/MessageCodec.js";
 
-/** Without a guess of the caller, an answer is expected to take this share of the most it may have. */
+/** Estimated length of an answer as a share of its maximum, used without a hint of the caller. */
 const usualAnswerShare = 0.6;
 
-/** Tokens of the prompt, and those expected of the answer. */
+/** Returns the tokens of the prompt and the estimated tokens of the answer. */
 export function expectTokens(fields: CallerFields): { promptTokens: number; answerTokens: number } {
   const { promptTokens = 0, maxAnswerTokens = 0, answerTokensHint } = fields;
   return { promptTokens, answerTokens: Math.ceil(answerTokensHint ?? maxAnswerTokens * usualAnswerShare) };
--- a/packages/gateway/src/chains/findNamedEndpoint.ts
+++ b/packages/gateway/src/chains/findNamedEndpoint.ts
@@ -1,11 +1,11 @@
-/** Which endpoint an engine's refusal names. */
+/** Lookup of the endpoint that an engine's rejection or report names by its address. */
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { ChainStage } from "../http/MessageCodec.js";
 
 /**
- * Finds the endpoint that a refusal names by its address. An address may be listed twice for some seconds, for a process that is gone and
- * for the one that took its place; the one that the chain meant is at fault, and not the one that answers there now.
+ * Returns the endpoint with the named address. An address may be listed twice for some seconds, for a process that has ended and for its
+ * replacement. In this case the endpoint in the chain is at fault rather than the one that uses the address now.
  */
 export function findNamedEndpoint(
   endpoints: EndpointTable,
--- a/packages/gateway/src/requests/CallerListener.ts
+++ b/packages/gateway/src/requests/CallerListener.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP side: reads requests within their limits, checks route and key, and hands them to a forwarder. */
+/** The HTTP server for callers: reads requests within size limits, resolves route and API key, and passes them to a forwarder. */
 import * as http from "node:http";
 import { utils } from "@shedtiller/common";
 import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
@@ -11,45 +11,45 @@
 import { CallerRequest } from "./CallerRequest.js";
 import { sendRefusal } from "./sendRefusal.js";
 
-/** Connections rest longer than callers are told, so that a request never crosses our close. */
-const idleReserveMs = 1_500;
+/** Added to the announced keep-alive timeout, so that the gateway never closes a connection on which a request is on its way. */
+const keepAliveMarginMs = 1_500;
 const maxHeaderBytes = 64 * 1024;
-/** Connections that wait to be accepted; the kernel may hold fewer. */
-const maxWaitingConnections = 1_024;
-/** When to come back after a refusal by an instance that stops: at once, on another connection to another instance. */
+/** Length of the accept queue; the kernel may cap it lower. */
+const acceptBacklog = 1_024;
+/** Retry-After of a stopping instance: the caller should retry at once, over a new connection to another instance. */
 const stoppingRetryAfterMs = 20;
 
 /**
- * Requests that come before the first configuration wait for it this long at most. When all of 195 instances start at once, half of them
- * know it 0.9 s after they listen and nine in ten after 1.4 s; a caller that is refused comes back once, most likely to another that does
- * not know it either, and is lost. Callers leave a stream that is silent for 2 s.
+ * Maximum time that a request waits for the first configuration. When 195 instances start at once, half of them have a configuration
+ * 0.9 s after they begin to listen and 90 % after 1.4 s. A rejected caller retries once, most likely at another instance without a
+ * configuration, and its request is lost then. Callers abandon a stream that is silent for 2 s.
  */
-const longestStartPatienceMs = 1_200;
-/** The part of its deadline that a request may wait so; the rest is for its run. */
-const startDeadlineShare = 0.5;
+const maxStartupWaitMs = 1_200;
+/** Share of its deadline that a request may spend on waiting for the configuration; the remainder is left for its execution. */
+const startupDeadlineShare = 0.5;
 
-/** What a listener works with. */
+/** Dependencies of {@link CallerListener}. */
 export interface CallerListenerStructure {
   readonly host: string;
   readonly port: number;
   readonly keeper: ConfigurationKeeper;
   readonly codec: MessageCodec;
   readonly log: DecisionLog;
-  /** Whether keys may be taken at their word now. */
+  /** Whether the configuration is recent enough to decide on API keys. */
   readonly areKeysFresh: () => boolean;
-  /** Whether what the configuration does not have may be denied for good. */
+  /** Whether the configuration is recent enough to reject unknown routes and keys permanently. */
   readonly denials: Pick<DenialProof, "isProven" | "wait">;
   readonly forward: (request: CallerRequest) => Promise<void>;
-  /** How long a request may wait for the first configuration, replaced in tests. */
+  /** Maximum time that a request waits for the first configuration; replaced in tests. */
   readonly startPatienceMs?: number;
 }
 
-/** One listener an instance. */
+/** Accepts the requests of callers and answers or rejects each of them. One per instance. */
 export class CallerListener {
   private readonly _server: http.Server;
   private _inHand = 0;
   private _isDraining = false;
-  private _endsAtMs = Number.POSITIVE_INFINITY;
+  private _stopAtMs = Number.POSITIVE_INFINITY;
 
   constructor(private readonly _structure: CallerListenerStructure) {
     this._server = http.createServer(
@@ -62,43 +62,43 @@
     _structure.keeper.onChanged((table) => this._applyLimits(table.configuration.limits));
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final answer. */
   get inHand(): number {
     return this._inHand;
   }
 
-  /** Resolves once it listens. */
+  /** Starts to listen; resolves once the port is open. */
   listen(): Promise<void> {
     const { host, port } = this._structure;
-    return startListening(this._server, { host, port, backlog: maxWaitingConnections });
+    return startListening(this._server, { host, port, backlog: acceptBacklog });
   }
 
-  /** From now on each answer says that it is the last on its connection. */
+  /** Sends `Connection: close` with every answer from now on. */
   drain(): void {
     this._isDraining = true;
   }
 
   /**
-   * From now on new requests are refused unless they surely end before the process does.
-   * @param endsAtMs - Monotonic time of the end.
+   * Rejects new requests whose deadline lies after the stop of the process.
+   * @param endsAtMs - Monotonic time at which the process stops.
    */
   refuseLasting(endsAtMs: number): void {
-    this._endsAtMs = endsAtMs;
+    this._stopAtMs = endsAtMs;
   }
 
-  /** Ends the connections that carry no request now. */
+  /** Closes the connections without a request in flight. */
   closeIdle(): void {
     this._server.closeIdleConnections();
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     stopListening(this._server);
   }
 
   private _applyLimits(limits: CallerLimits): void {
-    this._server.keepAliveTimeout = limits.idleTimeoutMs + idleReserveMs;
-    this._server.headersTimeout = limits.headerTimeoutMs + idleReserveMs;
+    this._server.keepAliveTimeout = limits.idleTimeoutMs + keepAliveMarginMs;
+    this._server.headersTimeout = limits.headerTimeoutMs + keepAliveMarginMs;
   }
 
   private async _handle(message: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
@@ -108,9 +108,9 @@
     response.on("error", () => undefined);
     const fields = this._structure.codec.decodeCaller(message.rawHeaders);
     try {
-      await this._structure.keeper.waitUntilKnown(this._getStartPatienceMs(fields));
+      await this._structure.keeper.waitUntilKnown(this._getMaxWaitMs(fields));
       if (response.destroyed) return;
-      const admitted = await this._admitProven(message, fields);
+      const admitted = await this._admitWhenFresh(message, fields);
       if (response.destroyed) return;
       if ("reason" in admitted) return this._refuse(message, response, fields, admitted);
       const body = await readCallerBody(message, admitted.table.configuration.limits.maxBodyBytes);
@@ -123,22 +123,25 @@
     }
   }
 
-  private _getStartPatienceMs({ deadlineMs }: CallerFields): number {
-    const patienceMs = this._structure.startPatienceMs ?? longestStartPatienceMs;
-    return Math.min(patienceMs, (deadlineMs ?? Number.POSITIVE_INFINITY) * startDeadlineShare);
+  private _getMaxWaitMs({ deadlineMs }: CallerFields): number {
+    const maxWaitMs = this._structure.startPatienceMs ?? maxStartupWaitMs;
+    return Math.min(maxWaitMs, (deadlineMs ?? Number.POSITIVE_INFINITY) * startupDeadlineShare);
   }
 
-  /** A denial needs a proof; without one the caller may come back, to an instance that knows more. */
-  private async _admitProven(
+  /**
+   * Admits the request, or rejects it permanently only if the configuration is known to be current. Otherwise the rejection is
+   * retryable, since another instance may have a newer configuration.
+   */
+  private async _admitWhenFresh(
     message: http.IncomingMessage,
     fields: CallerFields,
   ): Promise<Admitted | Refusal> {
     const { denials } = this._structure;
     const admitted = this._admit(message, fields);
     if (!isDenial(admitted) || denials.isProven()) return admitted;
-    const isProven = await denials.wait(this._getStartPatienceMs(fields));
-    const again = this._admit(message, fields);
-    return isDenial(again) && !isProven ? unprovenDenial : again;
+    const isFresh = await denials.wait(this._getMaxWaitMs(fields));
+    const decision = this._admit(message, fields);
+    return isDenial(decision) && !isFresh ? unprovenDenial : decision;
   }
 
   private _admit(message: http.IncomingMessage, fields: CallerFields): Admitted | Refusal {
@@ -147,8 +150,8 @@
     const claim = { host, path: message.url ?? "/", apiKey: fields.apiKey };
     const admitted = admitCaller(claim, keeper.table, areKeysFresh);
     if ("reason" in admitted) return admitted;
-    const longestMs = Math.min(fields.deadlineMs ?? Number.POSITIVE_INFINITY, admitted.route.timeoutMs);
-    if (utils.monotonicMs() + longestMs <= this._endsAtMs) return admitted;
+    const timeoutMs = Math.min(fields.deadlineMs ?? Number.POSITIVE_INFINITY, admitted.route.timeoutMs);
+    if (utils.monotonicMs() + timeoutMs <= this._stopAtMs) return admitted;
     return { status: 503, reason: "stopping", retryAfterMs: stoppingRetryAfterMs };
   }
 
@@ -213,14 +216,14 @@
   }
 }
 
-/** Reads a body whole; undefined if it is larger than allowed. */
+/** Reads the whole body; returns undefined if it is larger than `maxBytes`. */
 async function readCallerBody(message: http.IncomingMessage, maxBytes: number): Promise<Buffer | undefined> {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let sizeBytes = 0;
-  for await (const part of message as AsyncIterable<Buffer>) {
-    sizeBytes += part.length;
+  for await (const chunk of message as AsyncIterable<Buffer>) {
+    sizeBytes += chunk.length;
     if (sizeBytes > maxBytes) return undefined;
-    parts.push(part);
+    chunks.push(chunk);
   }
-  return Buffer.concat(parts);
+  return Buffer.concat(chunks);
 }
--- a/packages/gateway/src/requests/CallerRequest.ts
+++ b/packages/gateway/src/requests/CallerRequest.ts
@@ -1,4 +1,4 @@
-/** One request of a caller: what it asks, how long it may take, and its answer. */
+/** One request of a caller: its input, its deadline and the answer that is written to the caller. */
 import type * as http from "node:http";
 import { utils } from "@shedtiller/common";
 import type { GatewayAccount, Route } from "../configuration/gatewayConfiguration.js";
@@ -7,7 +7,7 @@
 import { digestRequest, type DigestedRequest } from "@shedtiller/crashes";
 import { sendRefusal, type RefusalReason } from "./sendRefusal.js";
 
-/** What a request is made of. */
+/** Dependencies of {@link CallerRequest}. */
 export interface CallerRequestStructure {
   readonly message: http.IncomingMessage;
   readonly response: http.ServerResponse;
@@ -15,13 +15,13 @@
   readonly route: Route;
   readonly account: GatewayAccount | undefined;
   readonly body: Buffer;
-  /** Monotonic time of the arrival of the head. */
+  /** Monotonic time at which the request headers arrived. */
   readonly arrivedAtMs: number;
   readonly codec: MessageCodec;
   readonly isDraining: () => boolean;
 }
 
-/** A request in hand. Its answer is given exactly once. */
+/** A request in flight. Its final answer is written exactly once. */
 export class CallerRequest {
   readonly fields: CallerFields;
   readonly route: Route;
@@ -31,12 +31,12 @@
   /** Monotonic time by which the final answer is due. */
   readonly dueAtMs: number;
   readonly isIdempotent: boolean;
-  /** Endpoints that it was sent to. */
+  /** Number of sends to endpoints that may have reached the endpoint. */
   attempts = 0;
   outcome = "open";
-  /** What the forwarder noted for the line that ends the request. */
+  /** Fields that the forwarder adds to the log line of the request's end. */
   details: LogFields = {};
-  private readonly _left = new AbortController();
+  private readonly _disconnect = new AbortController();
   private _digest: string | undefined;
 
   constructor(private readonly _structure: CallerRequestStructure) {
@@ -49,9 +49,9 @@
     this.dueAtMs = arrivedAtMs + Math.min(fields.deadlineMs ?? route.timeoutMs, route.timeoutMs);
     this.isIdempotent = route.kind === "safe" || (route.kind === "streaming" && route.isResumable);
     _structure.response.on("close", () => {
-      if (!_structure.response.writableFinished) this._left.abort();
+      if (!_structure.response.writableFinished) this._disconnect.abort();
     });
-    _structure.response.on("error", () => this._left.abort());
+    _structure.response.on("error", () => this._disconnect.abort());
   }
 
   get id(): string {
@@ -70,13 +70,13 @@
     return this._structure.message.rawHeaders;
   }
 
-  /** Equal for equal requests. Made when it is first asked for, since most requests never need it. */
+  /** Digest of the content, equal for equal requests. Computed on first use, since most requests never need it. */
   get digest(): string {
     this._digest ??= digestRequest(this.asked);
     return this._digest;
   }
 
-  /** What makes it equal to another request. */
+  /** Returns the content that decides whether two requests are equal. */
   get asked(): DigestedRequest {
     const { method, path, body } = this;
     return { method, path, accountName: this.account?.name, body };
@@ -86,9 +86,9 @@
     return this.account?.priority ?? this.route.priority;
   }
 
-  /** Aborts once the caller has left. */
+  /** Aborts when the caller disconnects. */
   get signal(): AbortSignal {
-    return this._left.signal;
+    return this._disconnect.signal;
   }
 
   get isHeadSent(): boolean {
@@ -103,7 +103,7 @@
     return this.dueAtMs - utils.monotonicMs();
   }
 
-  /** Passes on a whole answer of an endpoint. */
+  /** Forwards a complete answer of an endpoint. */
   answer(status: number, headers: readonly string[], body: Buffer): void {
     if (this.isAnswered) return;
     this.outcome = `status ${status}`;
@@ -111,7 +111,7 @@
     this._structure.response.end(body);
   }
 
-  /** Ends the request with an answer of our own. */
+  /** Ends the request with a rejection by the gateway itself; aborts a stream that has begun. */
   refuse(status: number, reason: RefusalReason, retryAfterMs?: number): void {
     if (this.isAnswered) return;
     this.outcome = reason;
@@ -125,40 +125,40 @@
     );
   }
 
-  /** Passes on the head of a stream. */
+  /** Forwards the status and headers of a stream. */
   startStream(status: number, headers: readonly string[]): void {
     this._writeHead(status, headers, []);
     this._structure.response.flushHeaders();
   }
 
-  /** Passes on bytes of a stream; tells whether the caller keeps up. */
+  /** Forwards bytes of a stream; returns false if the write buffer is full. */
   write(bytes: Buffer): boolean {
     return this._structure.response.write(bytes);
   }
 
-  /** Calls `listener` once the caller has taken what was written. */
+  /** Calls `listener` once the write buffer has drained. */
   onceDrained(listener: () => void): void {
     this._structure.response.once("drain", listener);
   }
 
-  /** Ends a stream as complete. */
+  /** Completes a stream. */
   finish(): void {
     this.outcome = "completed";
     this._structure.response.end();
   }
 
-  /** Ends a stream so that it cannot look complete. */
+  /** Destroys the connection of a stream, so that the caller cannot take the stream for complete. */
   breakOff(reason: RefusalReason): void {
     this.outcome = reason;
     this._structure.response.destroy();
   }
 
-  /** Writes the head of an endpoint's answer as it goes to the caller, with lines of our own at its end. */
-  private _writeHead(status: number, headers: readonly string[], own: readonly string[]): void {
+  /** Writes the status and the endpoint's headers as far as they are meant for callers, followed by `ownHeaders`. */
+  private _writeHead(status: number, headers: readonly string[], ownHeaders: readonly string[]): void {
     const { codec, response, isDraining } = this._structure;
     const connection = isDraining() ? ["Connection", "close"] : [];
-    const lines = [...codec.encodeForCaller(headers), ...connection, ...own];
-    // Node takes raw lines as well, which its types leave out.
-    response.writeHead(status, lines as unknown as http.OutgoingHttpHeader[]);
+    const rawHeaders = [...codec.encodeForCaller(headers), ...connection, ...ownHeaders];
+    // Node also accepts raw headers, which its type declarations omit.
+    response.writeHead(status, rawHeaders as unknown as http.OutgoingHttpHeader[]);
   }
 }
--- a/packages/gateway/src/requests/EventSplitter.ts
+++ b/packages/gateway/src/requests/EventSplitter.ts
@@ -1,36 +1,36 @@
-/** Cuts a stream of server-sent events into whole events, so that part of one is never passed on. */
+/** Splits a byte stream of server-sent events at event boundaries, so that no incomplete event is forwarded. */
 
 const lineFeed = 0x0a;
 const carriageReturn = 0x0d;
 const idPattern = /^id:[ ]?(.*)$/gm;
 
-/** Whole events, and the id of the last one that has an id. */
+/** One or more complete events, and the id of the last one that has an id. */
 export interface WholeEvents {
   readonly bytes: Buffer;
   readonly lastId: string | undefined;
 }
 
-/** Collects bytes and hands out whole events as soon as they are there. */
+/** Buffers bytes and returns events as soon as they are complete. */
 export class EventSplitter {
-  private _rest: Buffer = Buffer.alloc(0);
+  private _remainder: Buffer = Buffer.alloc(0);
 
-  /** Whether bytes of an event that is not whole are held. */
+  /** Whether bytes of an incomplete event are buffered. */
   get hasRest(): boolean {
-    return this._rest.length > 0;
+    return this._remainder.length > 0;
   }
 
-  /** Takes bytes; gives the events that are whole now, or undefined. */
+  /** Adds bytes and returns the events that they complete, or undefined if they complete none. */
   push(bytes: Buffer): WholeEvents | undefined {
-    const all = this._rest.length === 0 ? bytes : Buffer.concat([this._rest, bytes]);
+    const all = this._remainder.length === 0 ? bytes : Buffer.concat([this._remainder, bytes]);
     const end = findLastEventEnd(all);
-    this._rest = all.subarray(end);
+    this._remainder = all.subarray(end);
     if (end === 0) return undefined;
-    const whole = all.subarray(0, end);
-    return { bytes: whole, lastId: findLastId(whole) };
+    const complete = all.subarray(0, end);
+    return { bytes: complete, lastId: findLastId(complete) };
   }
 }
 
-/** The index past the last blank line, 0 if there is none. */
+/** Returns the index past the last blank line, or 0 if there is none. */
 function findLastEventEnd(bytes: Buffer): number {
   for (let at = bytes.lastIndexOf(lineFeed); at > 0; at = bytes.lastIndexOf(lineFeed, at - 1)) {
     const before = bytes[at - 1];
--- a/packages/gateway/src/requests/ForwarderSet.ts
+++ b/packages/gateway/src/requests/ForwarderSet.ts
@@ -1,4 +1,4 @@
-/** The forwarders of an instance, and what they share: retry budgets, admission to chains, the watch on streams. */
+/** The forwarders of an instance, with the queues and the stall monitor that they share. */
 import { ChainAdmission } from "../chains/ChainAdmission.js";
 import { ChainChooser } from "../chains/ChainChooser.js";
 import type { EngineOrders } from "../orders/EngineOrders.js";
@@ -9,7 +9,7 @@
 import { StallMonitor } from "./StallMonitor.js";
 import { StreamForwarder } from "./StreamForwarder.js";
 
-/** One set an instance. */
+/** Creates the forwarders and dispatches each request to the one for its kind of route. One per instance. */
 export class ForwarderSet {
   readonly monitor: StallMonitor;
   private readonly _admission: ChainAdmission;
@@ -28,12 +28,12 @@
     this._streams = new StreamForwarder(_context, this._admission, this.monitor);
   }
 
-  /** Requests that wait for room. */
+  /** Number of streamed requests that wait for capacity. */
   get waiting(): number {
     return this._admission.waiting;
   }
 
-  /** Forwards a request to a service of its route, and answers it. */
+  /** Forwards a request to one of the services of its route and answers it. */
   async forward(request: CallerRequest): Promise<void> {
     const { route } = request;
     const service = pickTarget(route.targets, Math.random());
--- a/packages/gateway/src/requests/PermitForecast.ts
+++ b/packages/gateway/src/requests/PermitForecast.ts
@@ -1,4 +1,4 @@
-/** When a service takes requests again whose endpoints all name limits or have asked for rest. */
+/** Predicts when a service accepts requests again while rate limits or back-offs block all of its endpoints. */
 import { utils } from "@shedtiller/common";
 import * as placement from "@shedtiller/placement";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -7,28 +7,28 @@
 
 const shortestRetryAfterMs = 200;
 const longestRetryAfterMs = 4_000;
-/** Times to come back are spread from this share of what is expected to as much beyond it, so that callers don't return together. */
-const leastSpread = 0.75;
-const spreadRange = 0.5;
+/** Retry-After times are jittered from 0.75 to 1.25 of the expected time, so that rejected callers do not return together. */
+const minJitter = 0.75;
+const jitterRange = 0.5;
 
-/** Requests a second that an endpoint takes which comes back from a rest. */
-const returningPerSecond = 20;
-/** Requests that go to an endpoint soon after its rest: one, and the next ones after its answer. */
-const requestsPerReturn = 2;
+/** Assumed request rate of an endpoint without a limit, which blocks only during its slow start after a back-off. */
+const slowStartPerSecond = 20;
+/** Requests that an endpoint receives soon after its back-off: one at first, the next ones after its answer. */
+const requestsPerRecovery = 2;
 
-/** What a forecast works with. */
+/** Dependencies of {@link PermitForecast}. */
 export interface PermitForecastStructure {
   readonly endpoints: Pick<EndpointTable, "getUsable">;
   readonly demand: Pick<RequestDemand, "getPermitsPerSecond">;
   /** Number of instances; undefined until it is known. */
   readonly getInstanceCount: () => number | undefined;
-  /** Monotonic clock, replaced in tests. */
+  /** Monotonic clock; replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
-  /** From 0 to 1, replaced in tests. */
+  /** Returns a random number from 0 to 1; replaced in tests. */
   readonly random?: (() => number) | undefined;
 }
 
-/** One an instance. */
+/** Estimates how long requests wait for permits, and when rejected callers should retry. One per instance. */
 export class PermitForecast {
   private readonly _nowMs: () => number;
   private readonly _random: () => number;
@@ -38,18 +38,18 @@
     this._random = _structure.random ?? Math.random;
   }
 
-  /** Whether limits or rests keep all endpoints from taking a request now. */
-  isHeldUp(service: string): boolean {
-    return this.getIntervalMs(service) > 0 || this._getRestMs(service) > 0;
+  /** Whether rate limits or back-offs keep every endpoint of the service from accepting a request now. */
+  isBlocked(service: string): boolean {
+    return this.getIntervalMs(service) > 0 || this._getBackoffMs(service) > 0;
   }
 
-  /** Why requests are refused while the service is held up. */
-  getReason(service: string): "limited" | "resting" {
+  /** Returns the reason for rejections while the service is blocked. */
+  getBlockReason(service: string): "limited" | "resting" {
     const isLimited = this._getCandidates(service).some(({ limit }) => limit?.perSecond !== undefined);
-    return isLimited && this._getRestMs(service) === 0 ? "limited" : "resting";
+    return isLimited && this._getBackoffMs(service) === 0 ? "limited" : "resting";
   }
 
-  /** Time between two requests that this instance may begin; 0 while some endpoint of the service takes one now. */
+  /** Returns the expected time between two requests that this instance may send; 0 while an endpoint accepts one now. */
   getIntervalMs(service: string): number {
     const limits = this._getLimits(service);
     if (limits === undefined) return 0;
@@ -60,61 +60,71 @@
   }
 
   /**
-   * When a request may begin that finds so many others ahead of it here. Permits go first where requests wait, so that the first one may
-   * have the next of all; those behind it take what comes to this instance.
+   * Returns the expected wait of a request behind `ahead` others in this instance's queue. Permits are granted first to instances with
+   * waiting requests, so the first request of a queue may get the next permit of the whole fleet; the requests behind it depend on the
+   * permits that this instance receives.
    */
   getWaitMs(service: string, ahead: number): number {
-    const restMs = this._getRestMs(service, ahead);
-    if (ahead > 0) return restMs + (ahead + 1) * this.getIntervalMs(service);
+    const backoffMs = this._getBackoffMs(service, ahead);
+    if (ahead > 0) return backoffMs + (ahead + 1) * this.getIntervalMs(service);
     const limits = this._getLimits(service);
-    if (limits === undefined) return restMs;
-    return restMs + utils.msPerSecond / Math.max(utils.getSum(limits), Number.EPSILON);
+    if (limits === undefined) return backoffMs;
+    return backoffMs + utils.msPerSecond / Math.max(utils.getSum(limits), Number.EPSILON);
   }
 
-  /** When a request should come back that finds so many others waiting. */
+  /** Returns when a rejected caller should retry, given the number of waiting requests. */
   getRetryAfterMs(service: string, waiting: number): number {
     const expectedMs = (waiting + 1) * this.getIntervalMs(service);
     const boundedMs = Math.min(longestRetryAfterMs, Math.max(shortestRetryAfterMs, expectedMs));
-    return this._getRestMs(service, waiting) + boundedMs * (leastSpread + spreadRange * this._random());
+    return this._getBackoffMs(service, waiting) + boundedMs * (minJitter + jitterRange * this._random());
   }
 
-  /** What holds a service up, for the line of a refusal: `address=2/s for 1200 ms`, `address rests for 800 ms`. */
-  describe(service: string): string[] {
+  /**
+   * Describes the limits and back-offs of a service for the log line of a rejection: `address=2/s for 1200 ms` (the age of the limit) or
+   * `address backs off for 800 ms` (the remaining time).
+   */
+  describeBlocks(service: string): string[] {
     const nowMs = this._nowMs();
     return this._getCandidates(service).flatMap(({ listed, limit, rest }) => {
-      const restMs = rest.getLeftMs(nowMs);
-      if (restMs > 0) return [`${listed.address} rests for ${Math.round(restMs)} ms`];
+      const backoffMs = rest.getLeftMs(nowMs);
+      if (backoffMs > 0) return [`${listed.address} backs off for ${Math.round(backoffMs)} ms`];
       if (limit?.perSecond === undefined) return [];
       return [`${listed.address}=${limit.perSecond}/s for ${Math.round(nowMs - limit.atMs)} ms`];
     });
   }
 
-  /** The limits of all endpoints that may begin a request; undefined where one of them takes it now, or there is none. */
+  /**
+   * Returns the limits per second of all endpoints that can be the first of a request, or undefined if one of them has a permit now or
+   * there is no such endpoint.
+   */
   private _getLimits(service: string): number[] | undefined {
     const nowMs = this._nowMs();
-    const first = getFirst(this._getCandidates(service)).filter(({ rest }) => rest.getLeftMs(nowMs) === 0);
+    const first = getFirstEndpoints(this._getCandidates(service)).filter(
+      ({ rest }) => rest.getLeftMs(nowMs) === 0,
+    );
     if (first.length === 0 || first.some((endpoint) => endpoint.hasPermit(nowMs))) return undefined;
-    return first.map((endpoint) => endpoint.limit?.perSecond ?? returningPerSecond);
+    return first.map((endpoint) => endpoint.limit?.perSecond ?? slowStartPerSecond);
   }
 
   /**
-   * Until the first moment at which a request with so many others ahead finds all that it needs: an endpoint that does not rest and has
-   * not had its first requests yet, or engines that hold all layers together; 0 where rests are not what is in the way.
+   * Returns the time until enough back-offs have ended to serve a request behind `ahead` others. The request needs an endpoint that does
+   * not back off and has not received its first requests yet, or engines that have all layers together. Returns 0 if back-offs do not
+   * block the service.
    */
-  private _getRestMs(service: string, ahead = 0): number {
+  private _getBackoffMs(service: string, ahead = 0): number {
     const nowMs = this._nowMs();
     const candidates = this._getCandidates(service);
-    const awake = candidates.filter(({ rest }) => rest.getLeftMs(nowMs) === 0);
-    if (awake.length === candidates.length || isServable(awake, candidates)) return 0;
-    const resting = candidates
-      .filter((candidate) => !awake.includes(candidate))
+    const available = candidates.filter(({ rest }) => rest.getLeftMs(nowMs) === 0);
+    if (available.length === candidates.length || isServable(available, candidates)) return 0;
+    const backingOff = candidates
+      .filter((candidate) => !available.includes(candidate))
       .sort((a, b) => a.rest.untilMs - b.rest.untilMs);
-    const back = resting.findIndex((_, index) =>
-      isServable([...awake, ...resting.slice(0, index + 1)], candidates),
+    const first = backingOff.findIndex((_, index) =>
+      isServable([...available, ...backingOff.slice(0, index + 1)], candidates),
     );
-    if (back < 0) return 0;
-    const returns = Math.floor(ahead / requestsPerReturn);
-    return resting[Math.min(back + returns, resting.length - 1)]?.rest.getLeftMs(nowMs) ?? 0;
+    if (first < 0) return 0;
+    const recoveries = Math.floor(ahead / requestsPerRecovery);
+    return backingOff[Math.min(first + recoveries, backingOff.length - 1)]?.rest.getLeftMs(nowMs) ?? 0;
   }
 
   private _getCandidates(service: string): Endpoint[] {
@@ -123,18 +133,21 @@
   }
 }
 
-/** Endpoints that may be the first of a request: those with the first layers, where there are any with layers. */
-function getFirst(endpoints: readonly Endpoint[]): Endpoint[] {
+/** Returns the endpoints that can be the first of a request: engines with the first layers, or all endpoints if none has layers. */
+function getFirstEndpoints(endpoints: readonly Endpoint[]): Endpoint[] {
   const engines = endpoints.filter(({ listed }) => listed.layers.length > 0);
   return engines.length === 0
     ? [...endpoints]
     : engines.filter(({ listed }) => listed.layers.some(({ start }) => start === 0));
 }
 
-/** Whether `some` of the endpoints run a request: any one, or engines with all layers that `all` hold. */
-function isServable(some: readonly Endpoint[], all: readonly Endpoint[]): boolean {
+/**
+ * Whether the available endpoints can run a request: any one of them is enough if none of `all` has layers, otherwise they must cover
+ * the layers of `all`.
+ */
+function isServable(available: readonly Endpoint[], all: readonly Endpoint[]): boolean {
   const end = Math.max(0, ...all.flatMap(({ listed }) => listed.layers.map((span) => span.end)));
-  if (end === 0) return some.length > 0;
-  const held = some.flatMap(({ listed }) => listed.layers);
-  return placement.isCovered({ start: 0, end }, held);
+  if (end === 0) return available.length > 0;
+  const loaded = available.flatMap(({ listed }) => listed.layers);
+  return placement.isCovered({ start: 0, end }, loaded);
 }
--- a/packages/gateway/src/requests/PermitQueue.ts
+++ b/packages/gateway/src/requests/PermitQueue.ts
@@ -1,22 +1,22 @@
-/** Plain requests that wait for a permit: by priority, then in turn by client account, then by arrival. */
+/** Queue of plain (not streamed) requests that wait for a permit. */
 import { utils } from "@shedtiller/common";
 import type { PermitForecast } from "./PermitForecast.js";
 import type { RequestDemand } from "./RequestDemand.js";
 
-/** Permits tell when they come; an endpoint without a limit may also appear, or a limit end. */
-const lookAgainMs = 50;
-/** Requests that wait hold their bodies; beyond this many the next one is refused. */
-const mostWaiters = 512;
+/** Granted permits trigger a check of the queue at once; polling covers a new endpoint without a limit and the end of a limit. */
+const pollIntervalMs = 50;
+/** Waiting requests keep their bodies in memory; a request beyond this number is rejected. */
+const maxWaiters = 512;
 
-/** Who waits, and what it takes once it may. */
-export interface PermitApplicant<T> {
+/** A request for the right to send to an endpoint, and the function that takes it. */
+export interface PermitAcquisition<T> {
   readonly service: string;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly accountName: string | undefined;
-  readonly patienceMs: number;
+  readonly maxWaitMs: number;
   readonly signal: AbortSignal;
-  /** Takes an endpoint with a permit; undefined where there is none. */
+  /** Takes a permit and returns it with its endpoint, or returns undefined if no permit is available. */
   readonly tryTake: () => T | undefined;
 }
 
@@ -24,71 +24,74 @@
   readonly service: string;
   readonly priority: number;
   readonly accountName: string | undefined;
-  /** How many requests of its account waited when it came. */
+  /** Number of requests of the same account that waited when this one arrived; the accounts take turns by it. */
   readonly turn: number;
-  /** Tells whether it has taken what it waits for. */
-  readonly tryEnd: () => boolean;
-  /** Monotonic time at which its patience ends. */
-  readonly giveUpAtMs: number;
-  readonly giveUp: () => void;
+  /** Tries to take a permit; returns whether it has taken one. */
+  readonly tryComplete: () => boolean;
+  /** Monotonic time at which the maximum wait ends. */
+  readonly timeoutAtMs: number;
+  readonly cancel: () => void;
 }
 
-/** One an instance. */
+/**
+ * Queues requests by priority, then round robin over the client accounts, then by arrival. Rejects a request as soon as its turn is
+ * expected after its maximum wait. One per instance.
+ */
 export class PermitQueue {
-  /** In their order. */
+  /** In queue order. */
   private readonly _waiters: Waiter[] = [];
-  /** Runs while somebody waits. */
-  private _lookAgainTimer: NodeJS.Timeout | undefined;
+  /** Set while requests wait. */
+  private _pollTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly _demand: RequestDemand,
     private readonly _forecast: Pick<PermitForecast, "getWaitMs">,
   ) {
     _demand.addQueue((service) => this.getWaiting(service));
-    _demand.onPermits((service) => this._lookAgain(service));
+    _demand.onPermits((service) => this._serveWaiters(service));
   }
 
   getWaiting(service: string): number {
     return this._waiters.filter((waiter) => waiter.service === service).length;
   }
 
-  /** Takes what the applicant asks for in its turn; undefined where that would be too late, or its caller has left. */
-  async acquire<T>(applicant: PermitApplicant<T>): Promise<T | undefined> {
-    const { service, priority, patienceMs, tryTake } = applicant;
-    const turn = this._countOfAccount(applicant);
+  /** Takes a permit when it is the request's turn; returns undefined if that would be too late or the caller has disconnected. */
+  async acquire<T>(acquisition: PermitAcquisition<T>): Promise<T | undefined> {
+    const { service, priority, maxWaitMs, tryTake } = acquisition;
+    const turn = this._countOfAccount(acquisition);
     const ahead = this._waiters.filter(
       (waiter) => waiter.service === service && !isBefore({ priority, turn }, waiter),
     ).length;
     const taken = ahead === 0 ? tryTake() : undefined;
     if (taken !== undefined) return taken;
     const expectedMs = this._forecast.getWaitMs(service, ahead);
-    if (expectedMs > patienceMs || this._waiters.length >= mostWaiters) return undefined;
-    return this._wait(applicant, turn);
+    if (expectedMs > maxWaitMs || this._waiters.length >= maxWaiters) return undefined;
+    return this._wait(acquisition, turn);
   }
 
-  private async _wait<T>(applicant: PermitApplicant<T>, turn: number): Promise<T | undefined> {
+  private async _wait<T>(acquisition: PermitAcquisition<T>, turn: number): Promise<T | undefined> {
     const done = new utils.Deferred<T | undefined>();
-    const { service, priority, patienceMs, signal, tryTake, accountName } = applicant;
-    const giveUp = (): void => done.resolve(undefined);
+    const { service, priority, maxWaitMs, signal, tryTake, accountName } = acquisition;
+    const cancel = (): void => done.resolve(undefined);
     const waiter: Waiter = {
       service,
-      giveUpAtMs: utils.monotonicMs() + patienceMs,
-      giveUp,
+      timeoutAtMs: utils.monotonicMs() + maxWaitMs,
+      cancel,
       priority,
       turn,
       accountName,
-      tryEnd: () => {
+      tryComplete: () => {
         const taken = tryTake();
         if (taken !== undefined) done.resolve(taken);
         return taken !== undefined;
       },
     };
-    const timer = setTimeout(giveUp, patienceMs);
-    signal.addEventListener("abort", giveUp, { once: true });
+    const timer = setTimeout(cancel, maxWaitMs);
+    signal.addEventListener("abort", cancel, { once: true });
     this._add(waiter);
     const taken = await done.promise;
     clearTimeout(timer);
-    signal.removeEventListener("abort", giveUp);
+    signal.removeEventListener("abort", cancel);
     this._remove(waiter);
     return taken;
   }
@@ -96,7 +99,7 @@
   private _add(waiter: Waiter): void {
     const at = this._waiters.findIndex((other) => isBefore(waiter, other));
     this._waiters.splice(at < 0 ? this._waiters.length : at, 0, waiter);
-    this._lookAgainTimer ??= setInterval(() => this._lookAgain(), lookAgainMs);
+    this._pollTimer ??= setInterval(() => this._serveWaiters(), pollIntervalMs);
     this._demand.noteWaiting();
   }
 
@@ -104,25 +107,28 @@
     const at = this._waiters.indexOf(waiter);
     if (at >= 0) this._waiters.splice(at, 1);
     if (this._waiters.length > 0) return;
-    clearInterval(this._lookAgainTimer);
-    this._lookAgainTimer = undefined;
+    clearInterval(this._pollTimer);
+    this._pollTimer = undefined;
   }
 
-  /** Where the first of a service finds nothing, those behind it don't either, and some may learn that their turn comes too late. */
-  private _lookAgain(only?: string): void {
+  /**
+   * Serves waiting requests in queue order, of one service if it is given. If the first request of a service gets no permit, the requests
+   * behind it are not tried. Cancels the requests whose turn is expected after their maximum wait.
+   */
+  private _serveWaiters(onlyService?: string): void {
     const nowMs = utils.monotonicMs();
-    /** By service: how many of those looked at go on waiting. */
-    const left = new Map<string, number>();
+    /** By service: number of requests seen in this pass that stay in the queue. */
+    const remaining = new Map<string, number>();
     for (const waiter of [...this._waiters]) {
       const { service } = waiter;
-      if (only !== undefined && service !== only) continue;
-      const ahead = left.get(service) ?? 0;
-      if (ahead === 0 && waiter.tryEnd()) {
+      if (onlyService !== undefined && service !== onlyService) continue;
+      const ahead = remaining.get(service) ?? 0;
+      if (ahead === 0 && waiter.tryComplete()) {
         this._remove(waiter);
         continue;
       }
-      left.set(service, ahead + 1);
-      if (nowMs + this._forecast.getWaitMs(service, ahead) > waiter.giveUpAtMs) waiter.giveUp();
+      remaining.set(service, ahead + 1);
+      if (nowMs + this._forecast.getWaitMs(service, ahead) > waiter.timeoutAtMs) waiter.cancel();
     }
   }
 
@@ -132,7 +138,7 @@
   }
 }
 
-/** Whether one goes before the other; where neither does, the one that came first. */
+/** Whether `one` goes before `other` regardless of their arrival; if neither does, they keep their order of arrival. */
 function isBefore(one: Pick<Waiter, "priority" | "turn">, other: Pick<Waiter, "priority" | "turn">): boolean {
   return one.priority - other.priority < 0 || (one.priority === other.priority && one.turn < other.turn);
 }
--- a/packages/gateway/src/requests/PlainForwarder.ts
+++ b/packages/gateway/src/requests/PlainForwarder.ts
@@ -1,4 +1,4 @@
-/** Forwards requests whose answer is passed on whole. */
+/** Forwarder of plain requests, whose answers are buffered and forwarded as a whole. */
 import { errors, utils, type results } from "@shedtiller/common";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { SendPermit } from "../discovery/SendPermit.js";
@@ -14,28 +14,28 @@
 } from "./RequestForwarder.js";
 
 const maxAnswerBytes = 16 * 1024 * 1024;
-/** When to come back after a refusal: about one service time of a plain request. */
+/** Retry-After of a request that was not executed: about the service time of a plain request. */
 const retryAfterMs = 100;
-/** A safe request is sent again after this share of its target latency without an answer. */
-const secondSendShare = 0.55;
-/** Least time for a send to be worth it: a tenth of a usual plain request. */
+/** A safe request without an answer after this share of its target latency is abandoned and sent to another endpoint. */
+const resendAfterShare = 0.55;
+/** Minimum remaining time for a send: a tenth of the time that a plain request usually takes. */
 const minSendMs = 10;
 
-/** What came of one send. */
+/** Result of one send. */
 type SendOutcome =
   | { readonly kind: "answer"; readonly answer: WholeAnswer }
   | { readonly kind: "not-run"; readonly error: string }
   | { readonly kind: "unknown"; readonly error: string }
-  /** The endpoint ended the connection. */
+  /** The endpoint closed the connection. */
   | { readonly kind: "lost"; readonly error: string };
 
-/** Where a request goes, and the right to send it there. */
+/** The endpoint chosen for a send, with the permit for it. */
 interface PlainChoice {
   readonly endpoint: Endpoint;
   readonly permit: SendPermit;
 }
 
-/** Plain requests: safe ones may be sent again, others only if they provably did not run. */
+/** Forwards plain requests. Retries safe requests after any failure, other requests only if they were provably not executed. */
 export class PlainForwarder extends RequestForwarder {
   constructor(
     context: ForwardContext,
@@ -49,7 +49,7 @@
     let last: WholeAnswer | undefined;
     let hasRun = false;
     for (;;) {
-      if (await this.endIfHeldBack(request, hasRun)) return;
+      if (await this.refuseIfQuarantined(request, hasRun)) return;
       if (request.getRemainingMs() < minSendMs) break;
       const choice = await this._choose(request, service, tried, last === undefined);
       if (request.signal.aborted) return choice?.permit.giveBack();
@@ -68,25 +68,28 @@
         this.context.crashes.noteCompleted(request.route.kind, request, run, endpoint);
       if (outcome.kind === "lost") void this.context.crashes.noteLost(run, endpoint);
       if (request.signal.aborted) return;
-      if (outcome.kind === "answer" && !isWorthAnother(request, outcome.answer.status)) {
+      if (outcome.kind === "answer" && !isRetryable(request, outcome.answer.status)) {
         return request.answer(outcome.answer.status, outcome.answer.headers, outcome.answer.body);
       }
       if (outcome.kind === "answer") last = outcome.answer;
       if (outcome.kind !== "not-run") hasRun = true;
-      this._note(request, endpoint, outcome);
+      this._logFailedSend(request, endpoint, outcome);
       const mayRepeat = request.isIdempotent || !hasRun;
       if (!mayRepeat || (request.attempts > 0 && !this.mayRetry(request, service))) break;
     }
     this._end(request, service, last, hasRun);
   }
 
-  /** It may have waited until its time was over, or an equal request had crashed endpoints. */
+  /**
+   * Whether the request may still be sent after its wait for a permit: meanwhile its deadline may have come, or an equal request may have
+   * crashed endpoints.
+   */
   private _mayBeSentNow(request: CallerRequest): boolean {
-    const isHeldBack = this.context.crashes.getHeldBackMs(request) !== undefined;
-    return !isHeldBack && request.getRemainingMs() >= minSendMs;
+    const isQuarantined = this.context.crashes.getHeldBackMs(request) !== undefined;
+    return !isQuarantined && request.getRemainingMs() >= minSendMs;
   }
 
-  /** Takes an endpoint with a permit, waiting for one where only limits stand in the way and there is no answer yet. */
+  /** Takes an endpoint with a permit. Waits for a permit if `mayWait` is set and an untried endpoint has none. */
   private async _choose(
     request: CallerRequest,
     service: string,
@@ -97,7 +100,7 @@
       service,
       priority: request.priority,
       accountName: request.account?.name,
-      patienceMs: mayWait && this._isLimited(service, tried) ? request.getRemainingMs() - minSendMs : 0,
+      maxWaitMs: mayWait && this._lacksPermits(service, tried) ? request.getRemainingMs() - minSendMs : 0,
       signal: request.signal,
       tryTake: () => this._tryTake(request, service, tried),
     });
@@ -113,22 +116,25 @@
     return endpoint === undefined || permit === undefined ? undefined : { endpoint, permit };
   }
 
-  /** Whether an endpoint that was not tried yet has had what its limit allows. */
-  private _isLimited(service: string, tried: ReadonlySet<string>): boolean {
+  /** Whether an untried endpoint has no permit now. */
+  private _lacksPermits(service: string, tried: ReadonlySet<string>): boolean {
     const nowMs = utils.monotonicMs();
     const untried = this.context.endpoints.getUsable(service).filter(({ id }) => !tried.has(id));
     return untried.some((endpoint) => !endpoint.hasPermit(nowMs));
   }
 
-  /** The least loaded endpoint; for a request that may have crashed one, first where no other such request is. */
+  /**
+   * Returns the least loaded endpoint. A request that may have crashed an endpoint goes to one without other such requests if possible,
+   * so that a crash can be attributed to it.
+   */
   private _pick(request: CallerRequest, service: string, tried: ReadonlySet<string>): Endpoint | undefined {
     const nowMs = utils.monotonicMs();
-    const shunned = this.context.crashes.getShunned(request);
-    const mayProbe = mayStillRetry(request);
-    const pick = (passedOver: ReadonlySet<string>): Endpoint | undefined =>
-      pickPlainEndpoint(this.context, { service, tried: passedOver, mayProbe }, nowMs);
-    const apart = shunned.length === 0 ? undefined : pick(new Set([...tried, ...shunned]));
-    return apart ?? pick(tried);
+    const avoided = this.context.crashes.getShunned(request);
+    const mayProbe = hasRetryLeft(request);
+    const pick = (excluded: ReadonlySet<string>): Endpoint | undefined =>
+      pickPlainEndpoint(this.context, { service, tried: excluded, mayProbe }, nowMs);
+    const isolated = avoided.length === 0 ? undefined : pick(new Set([...tried, ...avoided]));
+    return isolated ?? pick(tried);
   }
 
   private _end(
@@ -138,18 +144,18 @@
     hasRun: boolean,
   ): void {
     if (last !== undefined) return request.answer(last.status, last.headers, last.body);
-    if (!hasRun && this.context.forecast.isHeldUp(service)) return this._refuseHeldUp(request, service);
+    if (!hasRun && this.context.forecast.isBlocked(service)) return this._refuseBlocked(request, service);
     if (!hasRun && request.attempts === 0) return request.refuse(503, "no-endpoint", noEndpointRetryAfterMs);
     if (!hasRun) return request.refuse(503, "not-run", retryAfterMs);
     if (request.getRemainingMs() <= 0) return request.refuse(504, "out-of-time");
     request.refuse(502, "outcome-unknown");
   }
 
-  /** Limits, or rests that were asked for, keep all endpoints from taking it in time. */
-  private _refuseHeldUp(request: CallerRequest, service: string): void {
+  /** Rejects a request that no endpoint can accept in time because of rate limits or back-offs. */
+  private _refuseBlocked(request: CallerRequest, service: string): void {
     const waiting = this._queue.getWaiting(service);
     const retryAfterMs = this.context.forecast.getRetryAfterMs(service, waiting);
-    const reason = this.context.forecast.getReason(service);
+    const reason = this.context.forecast.getBlockReason(service);
     this.context.log.warn("request-limited", {
       requestId: request.id,
       service,
@@ -157,24 +163,23 @@
       waiting,
       retryAfterMs: Math.round(retryAfterMs),
       permitsPerSecond: this.context.demand.getPermitsPerSecond(service),
-      limits: this.context.forecast.describe(service),
+      limits: this.context.forecast.describeBlocks(service),
     });
     request.refuse(503, reason, retryAfterMs);
   }
 
   private async _send(request: CallerRequest, endpoint: Endpoint, permit: SendPermit): Promise<SendOutcome> {
     const remainingMs = request.getRemainingMs();
-    const isSecondPossible =
-      request.route.kind === "safe" && request.attempts + 1 < request.route.maxAttempts;
-    const patienceMs = isSecondPossible
-      ? Math.min(remainingMs, request.route.targetLatencyMs * secondSendShare)
+    const mayResend = request.route.kind === "safe" && request.attempts + 1 < request.route.maxAttempts;
+    const headTimeoutMs = mayResend
+      ? Math.min(remainingMs, request.route.targetLatencyMs * resendAfterShare)
       : remainingMs;
     const isFresh = request.route.kind !== "safe" || request.attempts > 0;
     endpoint.addOwn(1, 0);
     request.attempts += 1;
     const sentAtMs = utils.monotonicMs();
     const result = await this.context.caller.fetch(
-      this.createCall(request, endpoint, { headTimeoutMs: patienceMs, isFresh }),
+      this.createCall(request, endpoint, { headTimeoutMs, isFresh }),
       maxAnswerBytes,
       Math.max(1, remainingMs),
     );
@@ -182,10 +187,10 @@
     if (result.err && result.val instanceof errors.NotReachedError) permit.giveBack();
     if (result.err && result.val instanceof errors.ConnectionLostError)
       endpoint.failures.noteFailed(sentAtMs, utils.monotonicMs());
-    return this._judge(request, endpoint, result, sentAtMs);
+    return this._classify(request, endpoint, result, sentAtMs);
   }
 
-  private _judge(
+  private _classify(
     request: CallerRequest,
     endpoint: Endpoint,
     result: results.Result<WholeAnswer, CallError>,
@@ -211,7 +216,7 @@
     return { kind: "answer", answer: result.val };
   }
 
-  private _note(request: CallerRequest, endpoint: Endpoint, outcome: SendOutcome): void {
+  private _logFailedSend(request: CallerRequest, endpoint: Endpoint, outcome: SendOutcome): void {
     this.context.log.warn("request-send-failed", {
       requestId: request.id,
       digest: request.digest,
@@ -224,12 +229,15 @@
   }
 }
 
-/** A request that was not sent yet, and may be sent again whatever comes of it. Its second chance is not spent on another doubtful endpoint. */
-function mayStillRetry(request: CallerRequest): boolean {
+/**
+ * Whether the request was not sent yet and may be sent again whatever its outcome. Only such a request probes an endpoint that may still
+ * be failing; its retry does not.
+ */
+function hasRetryLeft(request: CallerRequest): boolean {
   return request.isIdempotent && request.attempts === 0 && request.route.maxAttempts > 1;
 }
 
-/** A safe request is tried once more after a failure of the endpoint itself. */
-function isWorthAnother(request: CallerRequest, status: number): boolean {
+/** Whether an answer is a failure of the endpoint itself that an idempotent request may retry. */
+function isRetryable(request: CallerRequest, status: number): boolean {
   return request.isIdempotent && status >= failureStatus;
 }
--- a/packages/gateway/src/requests/ReadinessListener.ts
+++ b/packages/gateway/src/requests/ReadinessListener.ts
@@ -1,11 +1,11 @@
-/** Answers the balancer's question whether this instance takes new connections. */
+/** The HTTP server for the load balancer's readiness probes. */
 import * as http from "node:http";
 import { startListening, stopListening } from "../http/startListening.js";
 
 const readyStatus = 200;
 const notReadyStatus = 503;
 
-/** One listener an instance; the answer is computed at each question. */
+/** Answers readiness probes, computing the state at each probe. One per instance. */
 export class ReadinessListener {
   private readonly _server: http.Server;
 
@@ -19,12 +19,12 @@
     });
   }
 
-  /** Resolves once it listens. */
+  /** Starts to listen; resolves once the port is open. */
   listen(): Promise<void> {
     return startListening(this._server, { host: this._host, port: this._port });
   }
 
-  /** Ends all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     stopListening(this._server);
   }
--- a/packages/gateway/src/requests/RequestDemand.ts
+++ b/packages/gateway/src/requests/RequestDemand.ts
@@ -1,34 +1,34 @@
-/** How many requests this instance has for each service: those that come, and those that wait for a permit. */
+/** This instance's demand for each service: the rate of arriving requests and the number that wait for a permit. */
 import { RateMeter } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 
 const timeConstantMs = 2_000;
 
-/** Told of permits for a service. */
+/** Called when permits for a service are granted. */
 export type PermitListener = (service: string, count: number) => void;
 
 interface ServiceDemand {
   readonly arrivals: RateMeter;
-  /** Permits that came, for the time that a request waits for one. */
+  /** Granted permits; their rate gives the expected wait for one. */
   readonly permits: RateMeter;
 }
 
-/** One an instance. */
+/** Measures arrivals and granted permits, and notifies listeners of waiting requests and of permits. One per instance. */
 export class RequestDemand {
   private readonly _services = new Map<string, ServiceDemand>();
   private readonly _countWaiting: ((service: string) => number)[] = [];
   private readonly _listeners: PermitListener[] = [];
   private readonly _waitListeners: (() => void)[] = [];
 
-  /** @param _nowMs - Monotonic clock, replaced in tests. */
+  /** @param _nowMs - Monotonic clock; replaced in tests. */
   constructor(private readonly _nowMs: () => number = utils.monotonicMs) {}
 
-  /** Adds a queue whose requests wait for permits. */
+  /** Adds a queue of requests that wait for permits. */
   addQueue(countWaiting: (service: string) => number): void {
     this._countWaiting.push(countWaiting);
   }
 
-  /** Calls `listener` when permits for a service have come. */
+  /** Calls `listener` when permits for a service are granted. */
   onPermits(listener: PermitListener): void {
     this._listeners.push(listener);
   }
@@ -64,8 +64,8 @@
   }
 
   private _get(service: string): ServiceDemand {
-    const known = this._services.get(service);
-    if (known !== undefined) return known;
+    const existing = this._services.get(service);
+    if (existing !== undefined) return existing;
     const created = {
       arrivals: new RateMeter(timeConstantMs, this._nowMs),
       permits: new RateMeter(timeConstantMs, this._nowMs),
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -1,4 +1,4 @@
-/** The parts that forwarders share, and the abstract class of the variants. */
+/** The abstract base class of forwarders, and the dependencies and constants that they share. */
 import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
 import type { RouteTarget } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -15,7 +15,7 @@
 import type { RequestDemand } from "./RequestDemand.js";
 import type { RetryBudgets } from "./RetryBudgets.js";
 
-/** What every forwarder works with. */
+/** Dependencies of every {@link RequestForwarder}. */
 export interface ForwardContext {
   readonly keeper: ConfigurationKeeper;
   readonly endpoints: EndpointTable;
@@ -40,27 +40,27 @@
   readonly statements: Pick<EndpointStatements, "noteAnswer">;
   readonly demand: RequestDemand;
   readonly forecast: PermitForecast;
-  /** Tells the peers that an endpoint refused for want of room. */
+  /** Reports to the peers that an endpoint rejected a request for lack of capacity. */
   readonly tellFull: (endpointId: string) => void;
 }
 
-/** A connection that does not stand after this is given up: round trips are below 2 ms, a lost opening packet costs 1 s. */
+/** Round trips take less than 2 ms, and a lost SYN packet is retransmitted after 1 s only, so a slow connection is not worth a longer wait. */
 const connectTimeoutMs = 400;
 
-/** From here on an answer is a failure of the endpoint itself. */
+/** Lowest status that counts as a failure of the endpoint itself. */
 export const failureStatus = 500;
 
-/** When to come back while no endpoint takes anything new: others are listed about a heartbeat later. */
+/** Retry-After while no endpoint accepts new requests: replacements are listed about one heartbeat interval later. */
 export const noEndpointRetryAfterMs = 1_000;
 
-/** Handles requests of one kind from their acceptance to their answer. */
+/** Handles requests of one kind from their admission to their answer. */
 export abstract class RequestForwarder {
   constructor(protected readonly context: ForwardContext) {}
 
   /** Forwards the request to endpoints of `service` and answers it. */
   abstract run(request: CallerRequest, service: string): Promise<void>;
 
-  /** The call that passes the request on to an endpoint. */
+  /** Creates the HTTP call that forwards the request to an endpoint. */
   protected createCall(
     request: CallerRequest,
     endpoint: Endpoint,
@@ -94,27 +94,27 @@
   }
 
   /**
-   * Ends a request that is held back, and tells whether it did. It has crashed several endpoints, and each one takes everybody's requests
-   * with it: whoever asks again gets the same answer at once, and a time to come back that calls nobody back soon.
+   * Rejects the request if it is quarantined; returns whether it did. A quarantined request has crashed several endpoints, and each crash
+   * aborts all requests in flight there. Repeating the request gives the same rejection at once, with a long Retry-After time.
    */
-  protected async endIfHeldBack(request: CallerRequest, hasRun: boolean): Promise<boolean> {
+  protected async refuseIfQuarantined(request: CallerRequest, hasRun: boolean): Promise<boolean> {
     const { crashes } = this.context;
     if (crashes.isQuiet) return false;
     await crashes.waitForTurn(request);
-    const heldBackMs = crashes.getHeldBackMs(request);
-    if (heldBackMs === undefined) return false;
+    const quarantineMs = crashes.getHeldBackMs(request);
+    if (quarantineMs === undefined) return false;
     this.context.log.info("request-held-back", {
       requestId: request.id,
       digest: request.digest,
       hasRun,
-      leftMs: Math.round(heldBackMs),
+      leftMs: Math.round(quarantineMs),
     });
     if (hasRun || request.isHeadSent) request.refuse(502, "held-back");
-    else request.refuse(503, "held-back", heldBackMs);
+    else request.refuse(503, "held-back", quarantineMs);
     return true;
   }
 
-  /** Whether the request may be sent once more, within its own attempts and the budget of all instances. */
+  /** Takes a retry from the budget of the service if the request has attempts and time left; returns whether it may be sent again. */
   protected mayRetry(request: CallerRequest, service: string): boolean {
     if (request.attempts >= request.route.maxAttempts) return false;
     if (request.getRemainingMs() <= 0 || request.signal.aborted) return false;
@@ -122,13 +122,16 @@
   }
 }
 
-/** Picks a service by the weights of a route's targets. */
+/**
+ * Picks a service at random by the weights of a route's targets.
+ * @param random - A number from 0 to 1.
+ */
 export function pickTarget(targets: readonly RouteTarget[], random: number): string {
   const total = targets.reduce((sum, target) => sum + target.weight, 0);
-  let left = random * total;
+  let remaining = random * total;
   for (const target of targets) {
-    left -= target.weight;
-    if (left < 0) return target.service;
+    remaining -= target.weight;
+    if (remaining < 0) return target.service;
   }
   return targets[0]?.service ?? "";
 }
--- a/packages/gateway/src/requests/RetryBudgets.ts
+++ b/packages/gateway/src/requests/RetryBudgets.ts
@@ -1,21 +1,21 @@
-/** This instance's share of the retry budget that all instances have together for each service. */
+/** This instance's share of the retry budgets, which the deployment has per service for all instances together. */
 import { utils } from "@shedtiller/common";
 import { WindowedCount } from "@shedtiller/routing";
 
-/** The budget of the whole deployment, from its settings. */
+/** The retry budget of the whole deployment, from its settings. */
 export interface RetryBudgetOptions {
-  /** Retries allowed for each request. */
+  /** Allowed retries per request. */
   readonly ratio: number;
-  /** Retries allowed in a window beyond the ratio, over all instances. */
+  /** Allowed retries per window beyond the ratio, over all instances. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** The share of the ratio in use; the rest covers requests that fall into another window than their retries. */
+/** Share of the ratio that is used; the remainder covers requests that are counted in another window than their retries. */
 const ratioShare = 0.9;
-/** The share of its part of the slack that a process uses in a window: one restart of all in a window stays inside the slack. */
+/** Share of its quota of the slack that a process uses per window, so that one restart of all instances in a window keeps the budget. */
 const slackShare = 0.5;
-/** Instances that the slack is shared among until the real number is known; too many is the safe side. */
+/** Number of instances assumed to share the slack until the real number is known. A number that is too high is safe. */
 const assumedInstances = 100;
 
 interface ServiceCounts {
@@ -24,50 +24,55 @@
 }
 
 /**
- * Counts requests and retries of a sliding window, by service. Each instance's share is safe alone, so no instance asks another.
- * A share may be used up within a moment: engines refuse in bursts, and a bucket that holds one or two retries, as a part of the slack
- * among 195 instances is, refuses the third stream of a burst though the window's budget is hardly used.
+ * Counts requests and retries per service in a sliding window. The shares of all instances together stay within the budget, so the
+ * instances need no coordination.
+ *
+ * An instance may use its whole share at once. Engines reject requests in bursts, and a token bucket of one or two retries (the share of
+ * the slack among 195 instances) would deny a retry to the third stream of a burst while most of the window's budget is unused.
  */
 export class RetryBudgets {
   private readonly _counts = new Map<string, ServiceCounts>();
-  /** Instances among which the slack is shared now. */
+  /** Number of instances that share the slack now. */
   private _sharers = assumedInstances;
-  /** A smaller number of instances, and the monotonic time from which on it counts. */
-  private _fewer: { readonly count: number; readonly fromMs: number } | undefined;
+  /** A smaller number of instances that takes effect at the monotonic time `fromMs`. */
+  private _pendingDecrease: { readonly count: number; readonly fromMs: number } | undefined;
   private _hasRetried = false;
 
-  /** @param nowMs - Monotonic clock, replaced in tests. */
+  /** @param nowMs - Monotonic clock; replaced in tests. */
   constructor(
     private _options: RetryBudgetOptions,
     private readonly _nowMs: () => number = utils.monotonicMs,
   ) {}
 
-  /** Takes another budget of the deployment. What was counted stays, unless the window has another length. */
+  /** Replaces the budget of the deployment. Keeps the counts unless the length of the window changes. */
   setOptions(options: RetryBudgetOptions): void {
     const isSameWindow = options.windowMs === this._options.windowMs;
     this._options = options;
     if (!isSameWindow) this._counts.clear();
   }
 
-  /** Takes the number of instances that share the slack. Those that left may have used their parts of this window. */
+  /**
+   * Sets the number of instances that share the slack. A decrease takes effect one window later, since the instances that left may have
+   * used their shares of the current window.
+   */
   setInstances(count: number): void {
     const sharers = Math.max(1, count);
     if (sharers >= this._sharers || !this._hasRetried) {
       this._sharers = sharers;
-      this._fewer = undefined;
+      this._pendingDecrease = undefined;
       return;
     }
-    if (this._fewer?.count !== sharers) {
-      this._fewer = { count: sharers, fromMs: this._nowMs() + this._options.windowMs };
+    if (this._pendingDecrease?.count !== sharers) {
+      this._pendingDecrease = { count: sharers, fromMs: this._nowMs() + this._options.windowMs };
     }
   }
 
-  /** Notes a request to a service: it gives room for its share of a retry. */
+  /** Counts a request to a service, which adds its ratio of a retry to the budget. */
   recordRequest(service: string): void {
     this._get(service).requests.add(this._nowMs());
   }
 
-  /** Takes a retry for a service; tells whether there was room for it. */
+  /** Takes a retry for a service from the budget; returns false if the budget is exhausted. */
   tryTake(service: string): boolean {
     const nowMs = this._nowMs();
     const { requests, retries } = this._get(service);
@@ -80,16 +85,16 @@
   }
 
   private _getSharers(nowMs: number): number {
-    if (this._fewer !== undefined && nowMs >= this._fewer.fromMs) {
-      this._sharers = this._fewer.count;
-      this._fewer = undefined;
+    if (this._pendingDecrease !== undefined && nowMs >= this._pendingDecrease.fromMs) {
+      this._sharers = this._pendingDecrease.count;
+      this._pendingDecrease = undefined;
     }
     return this._sharers;
   }
 
   private _get(service: string): ServiceCounts {
-    const known = this._counts.get(service);
-    if (known !== undefined) return known;
+    const existing = this._counts.get(service);
+    if (existing !== undefined) return existing;
     const { windowMs } = this._options;
     const counts = { requests: new WindowedCount(windowMs), retries: new WindowedCount(windowMs) };
     this._counts.set(service, counts);
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -1,4 +1,4 @@
-/** Watches running streams for silence, finds the engine at fault, and moves streams to other engines. */
+/** Stall detection for running streams. */
 import { utils } from "@shedtiller/common";
 import type { ChainChooser } from "../chains/ChainChooser.js";
 import { expectTokens } from "../chains/expectTokens.js";
@@ -18,30 +18,34 @@
 import type { StreamAttempt } from "./StreamAttempt.js";
 
 /**
- * Half of this is added to the silences below on average. The other ticks of an instance have the same length and so fall on the same
- * moments (`utils.repeat`): an instance at rest spends most of its time on waking up.
+ * On average, half of this interval is added to the silence limits below. The other periodic tasks of an instance have the same interval,
+ * so `utils.repeat` runs them at the same moments; an idle instance spends most of its CPU time on wake-ups.
  */
 const checkIntervalMs = 200;
-/** Silence before the first event that leads to a question: most first events come within 300 ms on a calm day. */
+/** Silence before the first event after which the engine is queried; most first events arrive within 300 ms under normal load. */
 const firstEventSilenceMs = 450;
-/** Silence between events that leads to a question: the usual pause is under 100 ms, and above 200 ms it is late. */
+/** Silence between events after which the engine is queried; a pause usually takes less than 100 ms, and one above 200 ms is late. */
 const laterEventSilenceMs = 300;
-/** An engine's report is about 200 ms old, so asking again sooner tells nothing new. */
-const askAgainMs = 300;
-/** An engine that does not answer a question within this counts as dead. */
+/** Minimum time between two queries of an engine. Its report is about 200 ms old, so an earlier query returns nothing new. */
+const reportIntervalMs = 300;
+/** An engine that does not report within this time counts as dead. */
 const reportTimeoutMs = 400;
-/** After this much silence a stream goes on elsewhere, before its caller leaves at two seconds. */
-const giveUpSilenceMs = 1_200;
+/** Silence after which a stream continues at another chain; callers abandon a stream that is silent for two seconds. */
+const maxSilenceMs = 1_200;
 
-/** An engine that refused a moved stream is left alone for as long as two looks take. */
+/** Time for which an engine that rejected a moved stream gets no work from this instance: twice the interval between queries. */
 const refusedChangeBackoffMs = 600;
-/** The first engine does not know the request any more. */
+/** Status of an engine that no longer knows the request. */
 const unknownRequestStatus = 404;
 
-/** One task for all streams of this instance. */
+/**
+ * Detects stalled streams, queries their first engines for the engine at fault, and moves the streams to other engines. One per instance,
+ * for all of its streams.
+ */
 export class StallMonitor {
   private readonly _attempts = new Set<StreamAttempt>();
-  private readonly _askedAtMs = new Map<string, number>();
+  /** Monotonic time of the last query, by the id of the endpoint. */
+  private readonly _queriedAtMs = new Map<string, number>();
 
   constructor(
     private readonly _context: ForwardContext,
@@ -50,11 +54,11 @@
     private readonly _nowMs: () => number = utils.monotonicMs,
   ) {
     _context.endpoints.onChanged((endpoint, event) => {
-      if (event === "restarted") void this._leaveLife(endpoint);
+      if (event === "restarted") void this._handleRestart(endpoint);
     });
   }
 
-  /** Watches a run from now on. */
+  /** Starts to monitor an attempt. */
   add(attempt: StreamAttempt): void {
     this._attempts.add(attempt);
   }
@@ -63,12 +67,12 @@
     this._attempts.delete(attempt);
   }
 
-  /** Streams that run now. */
+  /** Number of running streams. */
   get size(): number {
     return this._attempts.size;
   }
 
-  /** Looks at all runs from time to time until `signal` aborts. */
+  /** Checks all streams periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const pauses = new utils.PauseWatch(checkIntervalMs, this._nowMs);
     await utils.repeat(
@@ -84,59 +88,64 @@
     );
   }
 
-  /** Takes note that this instance stood still: what the streams sent meanwhile is not read yet, and none of them was silent so long. */
+  /**
+   * Subtracts a suspension of this process from the silence of all streams. Bytes that arrived meanwhile are still unread, so the streams
+   * were not necessarily silent.
+   */
   noteOwnPause(pauseMs: number): void {
     for (const attempt of this._attempts) attempt.lastSignAtMs += pauseMs;
   }
 
-  /** Looks at all runs once; resolves when what the look led to is done. */
+  /** Checks all streams once; resolves when the resulting queries and moves are complete. */
   async check(): Promise<void> {
     const nowMs = this._nowMs();
     const firsts = new Set<string>();
     for (const attempt of this._attempts) {
       const silenceMs = nowMs - attempt.lastSignAtMs;
-      if (silenceMs >= giveUpSilenceMs && attempt.request.isIdempotent) attempt.abort.abort();
+      if (silenceMs >= maxSilenceMs && attempt.request.isIdempotent) attempt.abort.abort();
       else if (silenceMs >= getAllowedSilenceMs(attempt) && attempt.firstStage !== undefined) {
         firsts.add(attempt.firstStage.endpointId);
       }
     }
     const isDue = (id: string): boolean =>
-      nowMs - (this._askedAtMs.get(id) ?? Number.NEGATIVE_INFINITY) >= askAgainMs;
+      nowMs - (this._queriedAtMs.get(id) ?? Number.NEGATIVE_INFINITY) >= reportIntervalMs;
     const due = [...firsts].filter(isDue);
-    for (const id of due) this._askedAtMs.set(id, nowMs);
-    await Promise.all(due.map((id) => this._ask(id)));
+    for (const id of due) this._queriedAtMs.set(id, nowMs);
+    await Promise.all(due.map((id) => this._queryEngine(id)));
   }
 
   /**
-   * Whatever passed an engine whose process has started again is lost there. Streams that only pass it are moved, those that began there
-   * go on elsewhere or end, since nothing comes any more.
+   * Handles the restart of an engine's process, which loses all requests that used it. Moves the streams that had the engine as a later
+   * stage, and aborts those that had it as their first, since they receive nothing more.
+   * @param before - The endpoint before the restart.
    */
-  private async _leaveLife(before: Endpoint): Promise<void> {
+  private async _handleRestart(before: Endpoint): Promise<void> {
     const { id, listed } = before;
-    const passing = [...this._attempts].filter(({ reservation }) =>
+    const affected = [...this._attempts].filter(({ reservation }) =>
       reservation.stages.some((stage) => stage.endpointId === id),
     );
-    for (const attempt of passing) void this._context.crashes.noteLost(attempt, before);
-    const begun = passing.filter((attempt) => attempt.firstStage?.endpointId === id);
-    for (const attempt of begun) attempt.abort.abort();
-    const others = passing.filter((attempt) => !begun.includes(attempt));
+    for (const attempt of affected) void this._context.crashes.noteLost(attempt, before);
+    const begunThere = affected.filter((attempt) => attempt.firstStage?.endpointId === id);
+    for (const attempt of begunThere) attempt.abort.abort();
+    const others = affected.filter((attempt) => !begunThere.includes(attempt));
     await Promise.all(others.map((attempt) => this._move(attempt, listed.address)));
   }
 
-  private async _ask(endpointId: string): Promise<void> {
+  /** Queries a first engine for its stalled requests and moves them, or aborts its silent streams if it does not respond. */
+  private async _queryEngine(endpointId: string): Promise<void> {
     const endpoint = this._context.endpoints.get(endpointId);
-    if (endpoint === undefined) return this._abandon(endpointId);
+    if (endpoint === undefined) return this._abortSilentStreams(endpointId);
     const report = await this._orders.getReport(endpoint.orderTarget, reportTimeoutMs);
     if (report.err) {
       this._context.suspicions.noteSilent(endpointId, `no report: ${report.val.code}`);
-      return this._abandon(endpointId);
+      return this._abortSilentStreams(endpointId);
     }
     endpoint.slowness = getSlowness(report.val);
     await this._moveStalled(endpointId, report.val);
   }
 
-  /** Streams that began at an engine which does not answer go on elsewhere. */
-  private _abandon(endpointId: string): void {
+  /** Aborts the silent resumable streams that began at an unresponsive engine, so that they continue at another chain. */
+  private _abortSilentStreams(endpointId: string): void {
     const nowMs = this._nowMs();
     for (const attempt of this._attempts) {
       if (attempt.firstStage?.endpointId !== endpointId || !attempt.request.isIdempotent) continue;
@@ -163,18 +172,18 @@
     const first = attempt.firstStage;
     const profile = this._context.keeper.table?.getEngineProfile(attempt.service);
     if (first === undefined || profile === undefined) return;
-    if (first.address === faultyAddress) return this._giveUp(attempt, "the first engine stands still");
+    if (first.address === faultyAddress) return this._abandon(attempt, "the first engine has stalled");
     const faulty = findNamedEndpoint(this._context.endpoints, attempt.reservation.stages, faultyAddress);
     if (faulty !== undefined) void this._context.crashes.noteLost(attempt, faulty);
     if (this._context.crashes.getHeldBackMs(attempt.request) !== undefined)
-      return this._giveUp(attempt, "its request is held back");
-    // The room that the stream holds now is its own, and must not look taken to it.
+      return this._abandon(attempt, "the request is quarantined");
+    // The stream's own reservation must not count against it in the choice of its new chain.
     const before = attempt.reservation.stages;
     attempt.reservation.move([]);
-    const chain = this._chooseOther(attempt, first, profile);
-    // The room counts at once, so that the streams moved with this one are not all sent to the same engine.
+    const chain = this._chooseReplacement(attempt, first, profile);
+    // The new chain is reserved before the engine is asked, so that streams moved at the same time do not all choose the same engine.
     attempt.reservation.move(chain ?? before);
-    // Without another chain the stream waits: the engine may come back, or room may come free, before it is given up.
+    // Without a replacement the stream stays: its engine may recover, or capacity may become free, before the maximum silence.
     if (chain === undefined) return;
     const moved = await this._orders.changeChain(
       { id: first.endpointId, address: first.address },
@@ -183,7 +192,7 @@
     );
     if (moved.err) {
       attempt.reservation.move(before);
-      return this._noteRefused(attempt, moved.val, chain);
+      return this._handleRefusedMove(attempt, moved.val, chain);
     }
     attempt.lastSignAtMs = this._nowMs();
     attempt.progress.moves += 1;
@@ -194,8 +203,8 @@
     });
   }
 
-  /** Another chain with the same first engine and the same layers there. */
-  private _chooseOther(
+  /** Chooses a chain with the same first engine and the same layers there. */
+  private _chooseReplacement(
     attempt: StreamAttempt,
     first: ChainStage,
     profile: EngineProfile,
@@ -209,10 +218,13 @@
     });
   }
 
-  /** The engine named has no room, or not these layers: the next look takes another, until the stream is given up. */
-  private _noteRefused(attempt: StreamAttempt, error: OrderError, chain: readonly ChainStage[]): void {
+  /**
+   * Handles the rejection of a move. Abandons a stream that its first engine no longer knows. Otherwise the engine named in the rejection
+   * has no capacity or has not loaded the layers, so the next checks choose another one until the stream reaches its maximum silence.
+   */
+  private _handleRefusedMove(attempt: StreamAttempt, error: OrderError, chain: readonly ChainStage[]): void {
     const isUnknown = error instanceof OrderRefusedError && error.status === unknownRequestStatus;
-    if (isUnknown) return this._giveUp(attempt, error.code);
+    if (isUnknown) return this._abandon(attempt, error.code);
     const address = error instanceof OrderRefusedError ? error.faultyAddress : undefined;
     const endpoint =
       address === undefined ? undefined : findNamedEndpoint(this._context.endpoints, chain, address);
@@ -230,12 +242,13 @@
     if (endpoint !== undefined) void this._context.suspicions.noteNamed(endpoint.id, "stalled chain");
   }
 
-  private _giveUp(attempt: StreamAttempt, cause: string): void {
+  private _abandon(attempt: StreamAttempt, cause: string): void {
     this._context.log.info("chain-given-up", { requestId: attempt.request.id, cause });
     if (attempt.request.isIdempotent) attempt.abort.abort();
   }
 }
 
+/** Returns the silence after which the first engine of the attempt is queried. */
 function getAllowedSilenceMs(attempt: StreamAttempt): number {
   return attempt.hasEvents ? laterEventSilenceMs : firstEventSilenceMs;
 }
--- a/packages/gateway/src/requests/StreamAttempt.ts
+++ b/packages/gateway/src/requests/StreamAttempt.ts
@@ -1,4 +1,4 @@
-/** One run of a streamed request at a chain: passes whole events on and tells how it ended. */
+/** One attempt to run a streamed request at a chain. */
 import { utils } from "@shedtiller/common";
 import type { ChainReservation } from "../chains/ChainReservation.js";
 import type { HttpAnswer } from "../http/HttpCall.js";
@@ -9,22 +9,22 @@
 import { EventSplitter } from "./EventSplitter.js";
 import type { StreamProgress } from "./StreamProgress.js";
 
-/** How a run ended. */
+/** How the stream of an attempt ended. */
 export type StreamEnd = "completed" | "broken" | "caller-left";
 
-/** One run. Its silence is watched from outside. */
+/** Forwards the complete events of one attempt and reports how it ended. The `StallMonitor` detects stalls and ends attempts. */
 export class StreamAttempt implements WatchedRun {
-  /** The engine that it was sent to, in the life that it had then. */
+  /** The endpoint that the request was sent to, as the object of the process life at that time. */
   firstEndpoint: Endpoint | undefined;
-  /** Monotonic time of the sending, or of the last event. */
+  /** Monotonic time of the send or of the last received bytes. */
   lastSignAtMs = utils.monotonicMs();
-  /** Monotonic time of the sending. */
+  /** Monotonic time of the send. */
   sentAtMs = this.lastSignAtMs;
-  /** Ends the run; the stream may go on elsewhere. */
+  /** Ends the attempt; the stream may continue at another chain. */
   readonly abort = new AbortController();
-  /** From the sending of this run to its first event. */
+  /** Time from the send of this attempt to its first event. */
   firstEventMs: number | undefined;
-  /** Whether the head of an answer came: the first engine runs it. */
+  /** Whether the answer's headers have arrived, so that the first engine executes the request. */
   hasBegun = false;
   private readonly _splitter = new EventSplitter();
 
@@ -49,18 +49,18 @@
     return this.firstEventMs === undefined ? undefined : this.sentAtMs + this.firstEventMs;
   }
 
-  /** Whether this run has given an event yet. */
+  /** Whether this attempt has produced an event. */
   get hasEvents(): boolean {
     return this.firstEventMs !== undefined;
   }
 
-  /** Notes that the run is sent now. */
+  /** Records that the request is sent now. */
   noteSent(): void {
     this.sentAtMs = utils.monotonicMs();
     this.lastSignAtMs = this.sentAtMs;
   }
 
-  /** Passes the events of an answer on until it ends. */
+  /** Forwards the events of an answer until it ends. */
   relay(answer: HttpAnswer): Promise<StreamEnd> {
     const done = new utils.Deferred<StreamEnd>();
     const { message } = answer;
@@ -71,7 +71,7 @@
     };
     this.abort.signal.addEventListener("abort", () => end("broken"), { once: true });
     if (this.abort.signal.aborted) end("broken");
-    message.on("data", (bytes: Buffer) => this._pass(bytes, answer));
+    message.on("data", (bytes: Buffer) => this._forward(bytes, answer));
     message.on("end", () => {
       void answer
         .isWhole()
@@ -84,14 +84,14 @@
     return done.promise;
   }
 
-  private _pass(bytes: Buffer, answer: HttpAnswer): void {
+  private _forward(bytes: Buffer, answer: HttpAnswer): void {
     if (this.abort.signal.aborted) return;
     this.lastSignAtMs = utils.monotonicMs();
-    const whole = this._splitter.push(bytes);
-    if (whole === undefined) return;
+    const events = this._splitter.push(bytes);
+    if (events === undefined) return;
     this.firstEventMs ??= this.lastSignAtMs - this.sentAtMs;
-    this.progress.noteEvents(whole.lastId, this.request.arrivedAtMs);
-    if (this.request.write(whole.bytes)) return;
+    this.progress.noteEvents(events.lastId, this.request.arrivedAtMs);
+    if (this.request.write(events.bytes)) return;
     answer.message.pause();
     this.request.onceDrained(() => answer.message.resume());
   }
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -1,4 +1,4 @@
-/** Forwards streamed requests through chains of engines, and goes on elsewhere when a chain fails. */
+/** Forwarder of streamed requests, which run at chains of engines. */
 import { errors, utils } from "@shedtiller/common";
 import { trialElsewhereMs } from "@shedtiller/crashes";
 import type { ChainAdmission } from "../chains/ChainAdmission.js";
@@ -20,43 +20,47 @@
 import { StreamAttempt } from "./StreamAttempt.js";
 import { StreamProgress } from "./StreamProgress.js";
 
-/** Callers leave a stream that is silent for two seconds; waiting longer than this for room serves nobody. */
-const longestQueueMs = 1_500;
+/** Maximum time in the queue for capacity. Callers abandon a stream that is silent for two seconds. */
+const maxQueueMs = 1_500;
 const maxErrorBytes = 1024 * 1024;
 const successStatus = 200;
-/** The engine named does not hold its part of the chain, or is another one than was meant (RFC 9110, section 15.5.20). */
-const notHeldStatus = 421;
+/** The named engine has not loaded its layers of the chain, or is not the intended engine (RFC 9110, section 15.5.20). */
+const misdirectedStatus = 421;
 
-/** Before the most urgent priority that a route or an account can have. */
+/** Precedes the most urgent priority that a route or an account can have, which is 0. */
 const resumedPriority = -1;
-/** A refusal later than this came from a stalled chain: engines refuse for want of room at once. */
+/** A rejection after this time results from a stalled chain: engines without capacity reject immediately. */
 const stalledRefusalMs = 1_000;
 
 /**
- * When to come back after refusals of engines, with room elsewhere: well past the 5 ms in which the zone's instances learn which engine
- * is full, and early enough for an answer within a target of 500 ms. After half a second every such answer would be late.
+ * Retry-After of a request that engines rejected while others have capacity. The instances of the zone learn within 5 ms which engine is
+ * full, so the retry chooses another one, and its answer can still arrive within a latency target of 500 ms. With half a second every
+ * such answer would be late.
  */
 const notRunRetryAfterMs = 50;
 
-/** The time until the first event is smoothed over about this many runs. */
-const smoothedFirstEvents = 16;
-/** Before any stream has run: the prompt's time at a chain of medium accelerators. */
+/** Weight of past attempts in the moving average of the time to the first event. */
+const firstEventSmoothing = 16;
+/** Time to the first event before any stream has run: the prefill time at a chain of medium accelerators. */
 const initialFirstEventMs = 100;
 
-/** Which engines a request with that risk begins at. */
+/** By crash risk: whether a request begins only (or preferably) where another engine of the zone has the first layers, too. */
 const sparesByRisk = { none: undefined, some: "rather", high: "only" } as const;
 
-/** Why a stream was refused that did not run. */
+/** Reason for which the gateway rejects a stream. */
 type StreamRefusal =
   "no-room" | "held-back" | "no-endpoint" | "limited" | "resting" | "not-run" | "outcome-unknown";
 
-/** What became of one attempt; `again` means that its first engine was gone before the sending. */
+/**
+ * Result of one attempt. `again` means that nothing was sent, since the first engine was gone or the request had been quarantined while
+ * it waited.
+ */
 type AttemptEnd = "answered" | "again" | "not-run" | "lost" | "caller-left";
 
-/** Streams: each run holds room at its chain; a lost run goes on after the last event that the caller has. */
+/** Forwards streams. Each attempt reserves capacity at its chain; a lost stream resumes after the last event that was forwarded. */
 export class StreamForwarder extends RequestForwarder {
-  /** From the sending to the first event, as it was of late. */
-  private _firstEventMs = initialFirstEventMs;
+  /** Moving average of the time from the send to the first event. */
+  private _meanFirstEventMs = initialFirstEventMs;
 
   constructor(
     context: ForwardContext,
@@ -68,24 +72,27 @@
 
   async run(request: CallerRequest, service: string): Promise<void> {
     const progress = new StreamProgress(request.fields.lastEventId);
-    const timer = setTimeout(() => this._endLate(request, service), Math.max(0, request.getRemainingMs()));
-    await this._tryUntilEnded(request, service, progress);
+    const timer = setTimeout(
+      () => this._endAtDeadline(request, service),
+      Math.max(0, request.getRemainingMs()),
+    );
+    await this._runAttempts(request, service, progress);
     clearTimeout(timer);
-    request.details = progress.describe(request.route);
+    request.details = progress.toLogFields(request.route);
   }
 
-  /** Runs the request at one chain after the other, until it is answered or may not be sent again. */
-  private async _tryUntilEnded(
+  /** Runs attempts one after the other until the request is answered or may not be sent again. */
+  private async _runAttempts(
     request: CallerRequest,
     service: string,
     progress: StreamProgress,
   ): Promise<void> {
     let hasRun = false;
     while (!request.isAnswered && !request.signal.aborted) {
-      if (await this.endIfHeldBack(request, hasRun)) return;
-      const end = await this._tryOnce(request, service, progress);
+      if (await this.refuseIfQuarantined(request, hasRun)) return;
+      const end = await this._runAttempt(request, service, progress);
       if (end === undefined) {
-        return this._refuse(request, service, hasRun, this._getHindrance(request, service));
+        return this._refuse(request, service, hasRun, this._getNoChainReason(request, service));
       }
       if (end === "answered" || end === "caller-left") return;
       if (end === "lost") hasRun = true;
@@ -96,22 +103,23 @@
     }
   }
 
-  /** Why there is no chain for a request. */
-  private _getHindrance(request: CallerRequest, service: string): StreamRefusal {
+  /** Returns the reason for which the request got no chain. */
+  private _getNoChainReason(request: CallerRequest, service: string): StreamRefusal {
     const { forecast, crashes } = this.context;
     if (crashes.getRisk(request) === "high") return "held-back";
     if (!this._admission.hasEndpoints(service)) return "no-endpoint";
-    return forecast.isHeldUp(service) ? forecast.getReason(service) : "no-room";
+    return forecast.isBlocked(service) ? forecast.getBlockReason(service) : "no-room";
   }
 
-  private async _tryOnce(
+  /** Runs one attempt; returns undefined if the request got no chain. */
+  private async _runAttempt(
     request: CallerRequest,
     service: string,
     progress: StreamProgress,
   ): Promise<AttemptEnd | undefined> {
-    const askedAtMs = utils.monotonicMs();
+    const queuedAtMs = utils.monotonicMs();
     const reservation = await this._acquire(request, service, progress);
-    progress.queuedMs += utils.monotonicMs() - askedAtMs;
+    progress.queuedMs += utils.monotonicMs() - queuedAtMs;
     if (reservation === undefined) return request.signal.aborted ? "caller-left" : undefined;
     const attempt = new StreamAttempt(request, service, reservation, progress);
     progress.chain = describeChain(reservation.stages);
@@ -131,7 +139,7 @@
     service: string,
     { refusedBy }: StreamProgress,
   ): Promise<ChainReservation | undefined> {
-    const avoided = this._getAvoided(request, refusedBy);
+    const avoided = this._getAvoidedAddresses(request, refusedBy);
     return this._admission.acquire({
       service,
       demand: {
@@ -140,32 +148,38 @@
         refusedBy: avoided,
         spares: sparesByRisk[this.context.crashes.getRisk(request)],
       },
-      // A stream that has begun goes first: its caller already waits for the rest.
+      // A stream that has begun goes first, since its caller already waits for the next event.
       priority: request.isHeadSent ? resumedPriority : request.priority,
-      patienceMs: Math.max(0, Math.min(longestQueueMs, request.getRemainingMs())),
-      inTimeUntilMs: this._getInTimeUntilMs(request),
+      patienceMs: Math.max(0, Math.min(maxQueueMs, request.getRemainingMs())),
+      inTimeUntilMs: this._getLatestStartAtMs(request),
       signal: request.signal,
     });
   }
 
-  /** A request that may have crashed an engine goes where no other such request is, as far as there is a way. */
-  private _getAvoided(request: CallerRequest, refusedBy: ReadonlySet<string>): ReadonlySet<string> {
+  /**
+   * Returns the addresses that the request avoids if it can: engines that rejected it and, if it may have crashed an engine, those with
+   * other such requests.
+   */
+  private _getAvoidedAddresses(request: CallerRequest, refusedBy: ReadonlySet<string>): ReadonlySet<string> {
     const { crashes, endpoints } = this.context;
     if (crashes.isQuiet) return refusedBy;
     const addresses = crashes.getShunned(request).flatMap((id) => endpoints.get(id)?.listed.address ?? []);
     return addresses.length === 0 ? refusedBy : new Set([...refusedBy, ...addresses]);
   }
 
-  /** Until when a chain lets the first event come in time; a stream that has begun can't become late by waiting here. */
-  private _getInTimeUntilMs(request: CallerRequest): number {
+  /**
+   * Returns the latest monotonic time of a start at which the first event is expected within the target latency; infinite for a stream
+   * that has begun, since its first event has been forwarded.
+   */
+  private _getLatestStartAtMs(request: CallerRequest): number {
     if (request.isHeadSent) return Number.POSITIVE_INFINITY;
-    return request.arrivedAtMs + request.route.targetLatencyMs - this._firstEventMs;
+    return request.arrivedAtMs + request.route.targetLatencyMs - this._meanFirstEventMs;
   }
 
   private async _send(attempt: StreamAttempt): Promise<AttemptEnd> {
     const { request, firstStage } = attempt;
     const first = firstStage === undefined ? undefined : this.context.endpoints.get(firstStage.endpointId);
-    // It may have waited for room while an equal request crashed engines.
+    // An equal request may have crashed engines while this one waited for capacity.
     if (first === undefined || this.context.crashes.getHeldBackMs(request) !== undefined) {
       attempt.reservation.permit?.giveBack();
       return "again";
@@ -183,9 +197,9 @@
         signal: attempt.abort.signal,
       }),
     );
-    if (sent.ok) return this._accept(attempt, sent.val);
+    if (sent.ok) return this._handleAnswer(attempt, sent.val);
     if (request.signal.aborted) return "caller-left";
-    this._note(attempt, sent.val.code);
+    this._logFailedRun(attempt, sent.val.code);
     if (sent.val instanceof errors.ConnectionLostError) {
       first.failures.noteFailed(attempt.sentAtMs, utils.monotonicMs());
       void this.context.crashes.noteLost(attempt, first);
@@ -197,7 +211,7 @@
     return "not-run";
   }
 
-  private async _accept(attempt: StreamAttempt, answer: HttpAnswer): Promise<AttemptEnd> {
+  private async _handleAnswer(attempt: StreamAttempt, answer: HttpAnswer): Promise<AttemptEnd> {
     const { request } = attempt;
     const fields = this.context.codec.decodeAnswer(answer.headers);
     if (attempt.firstEndpoint !== undefined)
@@ -206,15 +220,15 @@
         stated: fields.stated,
         sentAtMs: attempt.sentAtMs,
       });
-    if (fields.hasNotRun) return this._acceptRefusal(attempt, answer, fields.faultyAddress);
+    if (fields.hasNotRun) return this._handleRefusal(attempt, answer, fields.faultyAddress);
     if (answer.status < failureStatus) attempt.firstEndpoint?.noteAnswered(attempt.sentAtMs);
     else attempt.firstEndpoint?.failures.noteFailed(attempt.sentAtMs, utils.monotonicMs());
     if (fields.requestId !== request.fields.requestId || fields.isEncoded) {
       answer.abort();
-      this._note(attempt, "answer of another request");
+      this._logFailedRun(attempt, "answer of another request");
       return "lost";
     }
-    if (answer.status !== successStatus) return this._passFailure(attempt, answer);
+    if (answer.status !== successStatus) return this._forwardFailure(attempt, answer);
     if (!request.isHeadSent) request.startStream(answer.status, answer.headers);
     const end = await attempt.relay(answer);
     this._noteFirstEvent(attempt);
@@ -224,8 +238,8 @@
       this._noteCompleted(attempt);
       return "answered";
     }
-    this._note(attempt, "stream broken off");
-    // A run that was ended from here says nothing of its engine.
+    this._logFailedRun(attempt, "stream broken off");
+    // An attempt that this instance aborted itself is no evidence of a crash.
     if (!attempt.abort.signal.aborted && attempt.firstEndpoint !== undefined)
       void this.context.crashes.noteLost(attempt, attempt.firstEndpoint);
     return "lost";
@@ -239,22 +253,26 @@
 
   private _noteFirstEvent(attempt: StreamAttempt): void {
     if (attempt.firstEventMs === undefined) return;
-    this._firstEventMs += (attempt.firstEventMs - this._firstEventMs) / smoothedFirstEvents;
+    this._meanFirstEventMs += (attempt.firstEventMs - this._meanFirstEventMs) / firstEventSmoothing;
   }
 
   /**
-   * An engine that refuses at once is short of memory or gives the layers up: it gets no more than it has for a moment, from this
-   * instance and from its peers, which would all be refused in turn. Where a zone has too many requests by half, telling saves nine in
-   * ten sends in vain (3 in 100 instead of 24, by the test of many choosers).
-   * One that refuses after a long wait names an engine that does not answer.
+   * Handles the rejection of a request that was not executed.
+   *
+   * An engine that rejects immediately lacks memory or is unloading the layers. For a short time it gets no more load than it has now,
+   * neither from this instance nor from its peers, which would all be rejected in turn. With 1.5 times the requests that a zone can
+   * handle, the report to the peers avoids nine in ten rejected sends (3 in 100 sends are rejected instead of 24, see
+   * `ManyChoosersTests`).
+   *
+   * A rejection after a long wait names an engine that does not respond.
    */
-  private _acceptRefusal(
+  private _handleRefusal(
     attempt: StreamAttempt,
     answer: HttpAnswer,
     faultyAddress: string | undefined,
   ): AttemptEnd {
     answer.message.resume();
-    // What was refused is no load.
+    // A rejected request is no load on its engines.
     attempt.reservation.release();
     const nowMs = utils.monotonicMs();
     const address = faultyAddress ?? attempt.firstStage?.address ?? "";
@@ -264,17 +282,18 @@
     if (faulty !== undefined && waitedMs >= stalledRefusalMs)
       void this.context.suspicions.noteNamed(faulty.id, `refusal ${answer.status}`);
     else if (faulty?.noteFull(nowMs) === true) this.context.tellFull(faulty.id);
-    if (faulty !== undefined && answer.status === notHeldStatus)
+    if (faulty !== undefined && answer.status === misdirectedStatus)
       void this.context.suspicions.noteNotHeld(faulty.id);
-    this._note(attempt, `refusal ${answer.status} for ${address} after ${Math.round(waitedMs)} ms`);
+    this._logFailedRun(attempt, `refusal ${answer.status} for ${address} after ${Math.round(waitedMs)} ms`);
     return "not-run";
   }
 
-  private async _passFailure(attempt: StreamAttempt, answer: HttpAnswer): Promise<AttemptEnd> {
+  /** Handles an answer with an error status: forwards it, unless the request may be retried. */
+  private async _forwardFailure(attempt: StreamAttempt, answer: HttpAnswer): Promise<AttemptEnd> {
     const { request } = attempt;
     const address = attempt.firstStage?.address ?? "";
     const body = await readBody(answer, address, maxErrorBytes, Math.max(1, request.getRemainingMs()));
-    this._note(attempt, `status ${answer.status}`);
+    this._logFailedRun(attempt, `status ${answer.status}`);
     if (body.err || request.isHeadSent) return "lost";
     if (
       request.isIdempotent &&
@@ -299,13 +318,18 @@
       waiting: this._admission.waiting,
       retryAfterMs: Math.round(retryAfterMs),
       limits:
-        reason === "limited" || reason === "resting" ? this.context.forecast.describe(service) : undefined,
+        reason === "limited" || reason === "resting"
+          ? this.context.forecast.describeBlocks(service)
+          : undefined,
       room: profile === undefined ? undefined : describeRoom(endpoints, profile, utils.monotonicMs()),
     });
     request.refuse(503, reason, retryAfterMs);
   }
 
-  /** Whoever was refused by engines while nobody waits for room here may come back at once: other engines have room. */
+  /**
+   * Returns the Retry-After time of a rejection. It is short for a request that engines rejected while this instance's queue is empty,
+   * since other engines have capacity then.
+   */
   private _getRetryAfterMs(reason: StreamRefusal, service: string): number {
     if (reason === "no-endpoint") return noEndpointRetryAfterMs;
     if (reason === "held-back") return trialElsewhereMs;
@@ -313,12 +337,12 @@
     return this._admission.getRetryAfterMs(service);
   }
 
-  private _endLate(request: CallerRequest, service: string): void {
+  private _endAtDeadline(request: CallerRequest, service: string): void {
     if (request.attempts === 0) request.refuse(503, "no-room", this._admission.getRetryAfterMs(service));
     else request.refuse(504, "out-of-time");
   }
 
-  private _note(attempt: StreamAttempt, cause: string): void {
+  private _logFailedRun(attempt: StreamAttempt, cause: string): void {
     const { request, progress, reservation } = attempt;
     this.context.log.warn("stream-run-failed", {
       requestId: request.id,
--- a/packages/gateway/src/requests/StreamProgress.ts
+++ b/packages/gateway/src/requests/StreamProgress.ts
@@ -1,23 +1,23 @@
-/** How far the answer of a streamed request is, and how evenly it came. */
+/** The progress of a streamed answer, and the latencies that its caller experienced. */
 import { utils } from "@shedtiller/common";
 import type { Route } from "../configuration/gatewayConfiguration.js";
 import type { LogFields } from "../logs/DecisionLog.js";
 
-/** Counts over all runs of the request. */
+/** Collects the progress of a request over all of its attempts. */
 export class StreamProgress {
   lastEventId: string | undefined;
   events = 0;
-  /** From the request's arrival to the first event that was passed on. */
+  /** Time from the arrival of the request to its first forwarded event. */
   firstEventMs: number | undefined;
-  /** Longest time between two events that were passed on. */
+  /** Longest time between two forwarded events. */
   longestPauseMs = 0;
-  /** Time spent waiting for room, over all runs. */
+  /** Time spent in the queue for capacity, over all attempts. */
   queuedMs = 0;
-  /** How often it was moved to another chain. */
+  /** Number of times that the stream was moved to another chain. */
   moves = 0;
-  /** Addresses of engines that refused it. */
+  /** Addresses of engines that rejected the request. */
   readonly refusedBy = new Set<string>();
-  /** The chain of the last run. */
+  /** The chain of the last attempt. */
   chain: readonly string[] = [];
   private _lastEventAtMs: number | undefined;
 
@@ -25,8 +25,8 @@
     this.lastEventId = lastEventId;
   }
 
-  /** The line that ends the request, as far as its stream goes. */
-  describe(route: Route): LogFields {
+  /** Returns the fields of the stream for the log line of the request's end. */
+  toLogFields(route: Route): LogFields {
     return {
       queuedMs: Math.round(this.queuedMs),
       moves: this.moves,
@@ -39,7 +39,7 @@
     };
   }
 
-  /** Notes events that are passed on now. */
+  /** Records that complete events are forwarded now. */
   noteEvents(lastId: string | undefined, arrivedAtMs: number): void {
     const nowMs = utils.monotonicMs();
     this.events += 1;
--- a/packages/gateway/src/requests/admitCaller.ts
+++ b/packages/gateway/src/requests/admitCaller.ts
@@ -1,23 +1,23 @@
-/** Whether a request is let in: it needs a route, and a key where the deployment has keys. */
+/** Admission of requests: a request needs a route, and a valid API key if the deployment has client accounts. */
 import type { GatewayAccount, Route } from "../configuration/gatewayConfiguration.js";
 import type { RouteTable } from "../configuration/RouteTable.js";
 import type { RefusalReason } from "./sendRefusal.js";
 
-/** When to come back to an instance that has no configuration yet, or none that is fresh enough. */
+/** Retry-After of an instance whose configuration is missing or not recent enough. */
 const notReadyRetryAfterMs = 500;
-/** Callers do not come back after these. */
-const denialStatuses: ReadonlySet<number> = new Set([401, 403, 404]);
+/** Statuses that callers do not retry. */
+const permanentStatuses: ReadonlySet<number> = new Set([401, 403, 404]);
 
-/** What a request says of where it goes and whose it is. */
+/** The parts of a request that decide on its admission. */
 export interface CallerClaim {
   /** Host without port. */
   readonly host: string;
-  /** Path, with or without query. */
+  /** Path with or without query string. */
   readonly path: string;
   readonly apiKey: string | undefined;
 }
 
-/** A request that was let in. */
+/** An admitted request, with the configuration that admitted it. */
 export interface Admitted {
   readonly table: RouteTable;
   readonly route: Route;
@@ -25,29 +25,29 @@
   readonly account: GatewayAccount | undefined;
 }
 
-/** Why a request was not let in. */
+/** The rejection of a request. */
 export interface Refusal {
   readonly status: number;
   readonly reason: RefusalReason;
   readonly retryAfterMs?: number;
 }
 
-/** For callers who were not let in, on a configuration that may be too old to say so. */
+/** Replaces a permanent rejection while the configuration may be out of date. */
 export const unprovenDenial: Refusal = {
   status: 503,
   reason: "stale-configuration",
   retryAfterMs: notReadyRetryAfterMs,
 };
 
-/** Whether a request was not let in for good: what it asks for does not exist, or not for this key. */
-export function isDenial(admitted: Admitted | Refusal): boolean {
-  return "reason" in admitted && denialStatuses.has(admitted.status);
+/** Whether the request is rejected permanently, because its route does not exist or its key does not give access. */
+export function isDenial(decision: Admitted | Refusal): boolean {
+  return "reason" in decision && permanentStatuses.has(decision.status);
 }
 
 /**
- * Finds the route and the client account of a request, or the reason to refuse it.
- * @param table - The configuration in force; undefined until one is known.
- * @param areKeysFresh - Whether keys may be taken at their word now.
+ * Returns the route and the client account of a request, or the rejection.
+ * @param table - The configuration in force; undefined until the first one has arrived.
+ * @param areKeysFresh - Whether the configuration is recent enough to decide on API keys.
  */
 export function admitCaller(
   claim: CallerClaim,
--- a/packages/gateway/src/requests/pickPlainEndpoint.ts
+++ b/packages/gateway/src/requests/pickPlainEndpoint.ts
@@ -1,37 +1,41 @@
-/** The choice of an endpoint for a plain request: by our own count of open requests, the own zone first. */
+/** Load balancing of plain requests: least outstanding requests, with a preference for the own availability zone. */
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 
-/** Another zone counts as this many more open requests: a round trip of 1.5 ms is little against 60 ms of work. */
-const otherZoneRequests = 2;
-/** A permit in hand runs out unless it is used, and the endpoint has room for it: it makes up for another zone, and for one request more. */
-const permitRequests = otherZoneRequests + 1;
-/** A suspect endpoint, or one that fails requests, counts as this many more, so that it is taken only when all are. */
-const suspectRequests = 1_000;
+/** Penalty for another availability zone, in requests. It is small, since a round trip takes 1.5 ms and a request about 60 ms. */
+const otherZonePenalty = 2;
+/**
+ * Bonus for an endpoint with a local permit, in requests. The permit expires unless it is used, and the endpoint has capacity for it, so
+ * the bonus outweighs the penalty for another zone and one request more.
+ */
+const permitBonus = otherZonePenalty + 1;
+/** Penalty for a suspect or failing endpoint, in requests: such an endpoint is picked only if there is no other. */
+const suspectPenalty = 1_000;
 
-/** What is picked for. */
+/** Criteria for the choice of an endpoint. */
 export interface PlainDemand {
   readonly service: string;
+  /** Ids of the endpoints that are excluded. */
   readonly tried: ReadonlySet<string>;
-  /** Whether the request has a chance to spare for an endpoint that failed last; without one it goes to those that are sound. */
+  /** Whether the request can be retried and may therefore probe an endpoint that failed last or has just ended its back-off. */
   readonly mayProbe: boolean;
 }
 
-/** Picks the endpoint with the fewest requests in hand among those not tried yet that leave a permit; ties go to the smaller id. */
+/** Returns the endpoint with the lowest cost among the untried ones with a permit; the first one in the table wins a tie. */
 export function pickPlainEndpoint(
   context: { readonly endpoints: EndpointTable; readonly availabilityZone: string },
   { service, tried, mayProbe }: PlainDemand,
   nowMs: number,
 ): Endpoint | undefined {
-  const isShunned = (endpoint: Endpoint): boolean =>
+  const isDoubtful = (endpoint: Endpoint): boolean =>
     endpoint.isSuspect(nowMs) ||
     endpoint.failures.isOnProbation(nowMs) ||
     (!mayProbe && endpoint.isUnproven(nowMs));
   const cost = (endpoint: Endpoint): number =>
     endpoint.getLoad().requests +
-    (endpoint.listed.availabilityZone === context.availabilityZone ? 0 : otherZoneRequests) -
-    (endpoint.limit?.perSecond === undefined ? 0 : permitRequests) +
-    (isShunned(endpoint) ? suspectRequests : 0);
+    (endpoint.listed.availabilityZone === context.availabilityZone ? 0 : otherZonePenalty) -
+    (endpoint.limit?.perSecond === undefined ? 0 : permitBonus) +
+    (isDoubtful(endpoint) ? suspectPenalty : 0);
   let best: Endpoint | undefined;
   for (const endpoint of context.endpoints.getUsable(service)) {
     if (tried.has(endpoint.id) || !endpoint.hasPermit(nowMs)) continue;
--- a/packages/gateway/src/requests/sendRefusal.ts
+++ b/packages/gateway/src/requests/sendRefusal.ts
@@ -1,7 +1,7 @@
-/** Refusals of our own: why the gateway itself ends a request, and the answer that says so. */
+/** Rejections by the gateway itself. */
 import type * as http from "node:http";
 
-/** Why the gateway itself ended a request. */
+/** Reason for which the gateway itself ended a request. */
 export type RefusalReason =
   | "stopping"
   | "no-configuration"
@@ -12,16 +12,19 @@
   | "body-too-large"
   | "no-endpoint"
   | "no-room"
-  /** All endpoints that could take it have had what their limits allow. */
+  /** The rate limits of all suitable endpoints are exhausted. */
   | "limited"
-  /** The endpoints that could take it have asked for rest past its deadline. */
+  /** The suitable endpoints back off beyond the deadline of the request. */
   | "resting"
   | "held-back"
   | "not-run"
   | "outcome-unknown"
   | "out-of-time";
 
-/** Sends a refusal of our own; the body names the reason for a person who looks. */
+/**
+ * Sends a rejection by the gateway itself; its body contains the reason.
+ * @param isLast - Whether the connection closes after this answer.
+ */
 export function sendRefusal(
   response: http.ServerResponse,
   status: number,
--- a/packages/gateway/src/tests/requests/PermitForecastTests.ts
+++ b/packages/gateway/src/tests/requests/PermitForecastTests.ts
@@ -59,10 +59,10 @@
 
 test("where all rest the first that waits may begin with the earliest end, and the refused come back after it", (t) => {
   const all = Array.from({ length: 10 }, (_, index) => 3_000 - 100 * index);
-  t.false(createResting(all.slice(1)).isHeldUp(service));
+  t.false(createResting(all.slice(1)).isBlocked(service));
   const forecast = createResting(all);
-  t.true(forecast.isHeldUp(service));
-  t.is(forecast.getReason(service), "resting");
+  t.true(forecast.isBlocked(service));
+  t.is(forecast.getBlockReason(service), "resting");
   t.is(forecast.getWaitMs(service, 0), 2_100);
   t.is(forecast.getWaitMs(service, 5), 2_300, "two go with each return at first");
   t.is(forecast.getWaitMs(service, 100), 3_000);
--- a/packages/gateway/src/tests/requests/PermitQueueTests.ts
+++ b/packages/gateway/src/tests/requests/PermitQueueTests.ts
@@ -1,7 +1,7 @@
 /** Who gets a permit first, and who is told at once that none will come in time. */
 import test from "ava";
 import { utils } from "@shedtiller/common";
-import { PermitQueue, type PermitApplicant } from "../../requests/PermitQueue.js";
+import { PermitQueue, type PermitAcquisition } from "../../requests/PermitQueue.js";
 import { RequestDemand } from "../../requests/RequestDemand.js";
 
 const longMs = 60_000;
@@ -15,12 +15,12 @@
     getWaitMs: (_service, ahead) => (ahead + 1) * this.intervalMs,
   });
 
-  ask(name: string, changes: Partial<PermitApplicant<string>> = {}): Promise<string | undefined> {
+  ask(name: string, changes: Partial<PermitAcquisition<string>> = {}): Promise<string | undefined> {
     return this.queue.acquire({
       service: "records",
       priority: 1,
       accountName: "farm",
-      patienceMs: longMs,
+      maxWaitMs: longMs,
       signal: new AbortController().signal,
       tryTake: () => (this.permits > 0 ? this._take(name) : undefined),
       ...changes,
@@ -67,7 +67,7 @@
 test("who would wait for longer than it has is told so at once", async (t) => {
   const scene = new Scene();
   const first = scene.ask("first");
-  t.is(await scene.ask("second", { patienceMs: 150 }), undefined);
+  t.is(await scene.ask("second", { maxWaitMs: 150 }), undefined);
   await scene.give(1);
   t.is(await first, "first");
 });
