--- a/packages/gateway/src/chains/expectTokens.ts
+++ b/packages/gateway/src/chains/estimateTokens.ts
@@ -5,7 +5,7 @@
 const usualAnswerShare = 0.6;
 
 /** Returns the tokens of the prompt and the estimated tokens of the answer. */
-export function expectTokens(fields: CallerFields): { promptTokens: number; answerTokens: number } {
+export function estimateTokens(fields: CallerFields): { promptTokens: number; answerTokens: number } {
   const { promptTokens = 0, maxAnswerTokens = 0, answerTokensHint } = fields;
   return { promptTokens, answerTokens: Math.ceil(answerTokensHint ?? maxAnswerTokens * usualAnswerShare) };
 }
--- a/packages/gateway/src/http/AnswerTooLargeError.ts
+++ b/packages/gateway/src/http/AnswerTooLargeError.ts
@@ -1,7 +1,7 @@
-/** The failure of a call whose answer is larger than its caller takes. */
+/** The error of a call whose answer exceeds the size limit. */
 import { errors } from "@shedtiller/common";
 
-/** An answer went past the size that the caller of this module allows. */
+/** Reports that the body of an answer exceeds `maxBytes`. */
 export class AnswerTooLargeError extends errors.ShedtillerError {
   readonly code = "answer_too_large";
 
--- a/packages/gateway/src/http/EndpointStatement.ts
+++ b/packages/gateway/src/http/EndpointStatement.ts
@@ -1,38 +1,38 @@
-/** What an endpoint says of itself with an answer, beside the answer. */
+/** What an endpoint states about itself in the headers of its answers. */
 
-/** What an endpoint states of the requests a second that it takes from all instances together. */
+/** The rate limit that an endpoint states, in requests per second from all instances together. */
 export type StatedLimit =
   | { readonly kind: "none" }
   | { readonly kind: "named"; readonly perSecond: number }
-  /** Not a number that a limit can have; `text` is what was sent. */
+  /** An invalid value; `text` is the value as sent. */
   | { readonly kind: "unreadable"; readonly text: string };
 
-/** When an endpoint states that requests may come back. */
+/** The time after which an endpoint accepts requests again, as it states. */
 export type StatedReturn =
   | { readonly kind: "none" }
   | { readonly kind: "named"; readonly afterMs: number }
-  /** Not a time that can be meant; `text` is what was sent. */
+  /** An invalid value; `text` is the value as sent. */
   | { readonly kind: "unreadable"; readonly text: string };
 
-/** All that an answer says of its endpoint, whatever it answers. */
+/** The state of an endpoint as its answer's headers give it, independent of the request. */
 export interface EndpointStatement {
   readonly limit: StatedLimit;
   readonly comeBack: StatedReturn;
-  /** Whether the endpoint will end soon and takes nothing new. */
+  /** Whether the endpoint is about to stop and accepts no new requests. */
   readonly isLeaving: boolean;
-  /** Names, in lower case, of headers that nothing reads; they may state what this version does not know. */
+  /** Names, in lower case, of headers that this version does not interpret; they may have a meaning that it does not know. */
   readonly unknownNames: readonly string[];
 }
 
-/** A statement with what is needed to weigh it. */
+/** A statement, with the fields of its answer that decide whether it applies. */
 export interface StatedAnswer {
   readonly status: number;
   readonly stated: EndpointStatement;
-  /** Monotonic time of the request: an answer may have been on its way while another one told something newer. */
+  /** Monotonic time at which the request was sent. Answers may arrive out of order, so a later one may contain an older statement. */
   readonly sentAtMs: number;
 }
 
-/** Says nothing. */
+/** The statement of an answer without any of these headers. */
 export const noStatement: EndpointStatement = {
   limit: { kind: "none" },
   comeBack: { kind: "none" },
--- a/packages/gateway/src/http/HttpCall.ts
+++ b/packages/gateway/src/http/HttpCall.ts
@@ -1,9 +1,9 @@
-/** A call over HTTP/1.1, its answer, and why it gave none. */
+/** The types of an HTTP/1.1 call, its answer and its errors. */
 import type * as http from "node:http";
 import type { errors } from "@shedtiller/common";
 import type { AnswerTooLargeError } from "./AnswerTooLargeError.js";
 
-/** Why a call gave no usable answer. Only `NotReachedError` proves that the other side saw nothing. */
+/** The error of a call without a usable answer. Only `NotReachedError` proves that the server did not receive the request. */
 export type CallError =
   | errors.NotReachedError
   | errors.ConnectionLostError
@@ -11,34 +11,34 @@
   | errors.CancelledError
   | AnswerTooLargeError;
 
-/** One call. */
+/** An HTTP request with its connection options and time limits. */
 export interface HttpCall {
   readonly address: string;
   readonly method: string;
   readonly path: string;
-  /** Raw header lines, without those that frame the body. */
+  /** Raw headers, without `Connection` and `Content-Length`. */
   readonly headers: readonly string[];
   readonly body?: Buffer | undefined;
-  /** Uses a connection of its own, so that a failure before it stands proves that nothing was sent. */
+  /** Whether to open a new connection, so that a failure to connect proves that nothing was sent. */
   readonly isFresh?: boolean;
   readonly connectTimeoutMs: number;
-  /** Time from the call until the head of the answer. */
+  /** Maximum time from the call until the headers of the answer have arrived. */
   readonly headTimeoutMs: number;
   readonly signal?: AbortSignal | undefined;
 }
 
-/** The head of an answer; the body is still to be read. */
+/** The status and headers of an answer whose body has not been read yet. */
 export interface HttpAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly message: http.IncomingMessage;
-  /** Whether the answer came whole. An answer without a length ends with its connection; a reset one is not whole. */
+  /** Whether the body arrived completely. The end of the connection completes a body without a stated length, a reset does not. */
   isWhole(): Promise<boolean>;
-  /** Ends the call and its connection. */
+  /** Aborts the call and closes its connection. */
   abort(): void;
 }
 
-/** A whole answer. */
+/** An answer with its whole body in memory. */
 export interface WholeAnswer {
   readonly status: number;
   readonly headers: readonly string[];
--- a/packages/gateway/src/http/HttpCaller.ts
+++ b/packages/gateway/src/http/HttpCaller.ts
@@ -1,25 +1,25 @@
-/** Calls over HTTP/1.1 to endpoints and to the store, with what is known of a call that failed. */
+/** HTTP/1.1 client for endpoints and the store, whose errors state whether the server may have received the request. */
 import * as http from "node:http";
 import { results } from "@shedtiller/common";
 import type { CallError, HttpAnswer, HttpCall, WholeAnswer } from "./HttpCall.js";
 import { HttpExchange } from "./HttpExchange.js";
-import { KeptAgent } from "./KeptAgent.js";
+import { KeepAliveAgent } from "./KeepAliveAgent.js";
 import { readBody } from "./readBody.js";
 
-/** Makes calls over kept or fresh connections. */
+/** Makes calls over pooled keep-alive connections, or over new ones if a call asks for it. */
 export class HttpCaller {
-  private readonly _kept = new KeptAgent();
+  private readonly _keepAlive = new KeepAliveAgent();
   private readonly _fresh = new http.Agent({ keepAlive: false });
 
-  /** Sends a request and waits for the head of its answer. */
+  /** Sends a request and waits for the headers of its answer. */
   send(call: HttpCall): Promise<results.Result<HttpAnswer, CallError>> {
     return new Promise((resolve) => {
-      const exchange = new HttpExchange(call, call.isFresh === true ? this._fresh : this._kept, resolve);
+      const exchange = new HttpExchange(call, call.isFresh === true ? this._fresh : this._keepAlive, resolve);
       exchange.start();
     });
   }
 
-  /** Sends a request and reads its whole answer, within bounds of its body as `readBody` has them. */
+  /** Sends a request and reads its whole answer, with the limits of {@link readBody} for the body. */
   async fetch(
     call: HttpCall,
     maxBytes: number,
@@ -33,14 +33,14 @@
     return results.Ok({ status: head.val.status, headers: head.val.headers, body: body.val });
   }
 
-  /** Ends the connections to an address that rest. */
+  /** Closes the idle connections to an address. */
   dropRested(address: string): void {
-    this._kept.dropRested(address);
+    this._keepAlive.closeIdleConnections(address);
   }
 
-  /** Ends all connections. */
+  /** Closes all connections. */
   close(): void {
-    this._kept.destroy();
+    this._keepAlive.destroy();
     this._fresh.destroy();
   }
 }
--- a/packages/gateway/src/http/HttpExchange.ts
+++ b/packages/gateway/src/http/HttpExchange.ts
@@ -1,11 +1,11 @@
-/** One call from its start to the head of its answer, with proof of whether the other side may have seen it. */
+/** One HTTP call, from its start to the headers of its answer. */
 import * as http from "node:http";
 import { errors, results } from "@shedtiller/common";
 import type { CallError, HttpAnswer, HttpCall } from "./HttpCall.js";
-import { KeptAgent } from "./KeptAgent.js";
-import { watchEnding } from "./watchEnding.js";
+import { KeepAliveAgent } from "./KeepAliveAgent.js";
+import { waitForConnectionEnd } from "./waitForConnectionEnd.js";
 
-/** One request from its start to the head of its answer. */
+/** Sends one request, and records whether the server may have received it. */
 export class HttpExchange {
   private _isSettled = false;
   private _mayHaveArrived = false;
@@ -20,7 +20,7 @@
     private readonly _resolve: (result: results.Result<HttpAnswer, CallError>) => void,
   ) {}
 
-  /** Sends the request; its outcome goes to the function given. */
+  /** Sends the request; calls the function given to the constructor once with the result. */
   start(): void {
     const { _call: call } = this;
     if (call.signal?.aborted === true) return this._settle(results.Err(new errors.CancelledError("A call")));
@@ -54,31 +54,32 @@
     return hasBody ? [...framed, "Content-Length", String(body.length)] : framed;
   }
 
-  /** The request is written as soon as the connection stands; on a kept one that is now. */
+  /** Records when the request is written: once the connection is established, or at once on a pooled connection. */
   private _watchConnection(
     isConnecting: boolean,
     socket: { once(event: "connect", listener: () => void): unknown },
   ): void {
-    const connected = (): void => {
+    const onConnected = (): void => {
       this._mayHaveArrived = true;
       clearTimeout(this._connectTimer);
     };
-    if (isConnecting) socket.once("connect", connected);
-    else connected();
+    if (isConnecting) socket.once("connect", onConnected);
+    else onConnected();
   }
 
   private _acceptHead(message: http.IncomingMessage): void {
     if (this._isSettled) return void message.destroy();
     const request = this._request;
-    if (this._agent instanceof KeptAgent) this._agent.noteAnswer(message.socket, message.headers);
-    const ending = isFramed(message) ? undefined : watchEnding(message);
+    if (this._agent instanceof KeepAliveAgent) this._agent.noteAnswer(message.socket, message.headers);
+    const connectionEnd = isFramed(message) ? undefined : waitForConnectionEnd(message);
     message.on("error", () => undefined);
     this._settle(
       results.Ok({
         status: message.statusCode ?? 0,
         headers: message.rawHeaders,
         message,
-        isWhole: async () => message.complete && (ending === undefined || (await ending) === "closed"),
+        isWhole: async () =>
+          message.complete && (connectionEnd === undefined || (await connectionEnd) === "closed"),
         abort: () => request?.destroy(),
       }),
     );
@@ -113,7 +114,7 @@
   }
 }
 
-/** Whether the answer says where its body ends. */
+/** Whether the headers of the answer define where its body ends. */
 function isFramed(message: http.IncomingMessage): boolean {
   return (
     message.headers["content-length"] !== undefined || message.headers["transfer-encoding"] !== undefined
--- a/packages/gateway/src/http/MessageCodec.ts
+++ b/packages/gateway/src/http/MessageCodec.ts
@@ -1,22 +1,22 @@
-/** What the gateway reads from and writes into HTTP heads. The names on the wire belong to the implementation. */
+/** Encoding and decoding of HTTP headers. The header names on the wire are defined by the implementation. */
 
 import type { EndpointStatement } from "./EndpointStatement.js";
 
-/** Raw header lines: name, value, name, value, as Node gives them. */
+/** Raw headers as alternating names and values, as in Node's `rawHeaders`. */
 export type RawHeaders = readonly string[];
 
-/** What a caller's head says beyond HTTP itself. */
+/** The fields that a caller's request headers contain beyond those of HTTP itself. */
 export interface CallerFields {
   readonly requestId: string | undefined;
-  /** How long the caller will wait, from its sending. */
+  /** Time for which the caller waits, from its send. */
   readonly deadlineMs: number | undefined;
   readonly apiKey: string | undefined;
   readonly promptTokens: number | undefined;
-  /** The most tokens that the answer may have. */
+  /** Maximum number of tokens in the answer. */
   readonly maxAnswerTokens: number | undefined;
-  /** The caller's guess of the answer's tokens: right in the median, often far off. */
+  /** The caller's estimate of the number of tokens in the answer: correct in the median, often far off. */
   readonly answerTokensHint: number | undefined;
-  /** The last event of a stream that the caller has; it goes on after it. */
+  /** Id of the last event that the caller has received; the stream resumes after it. */
   readonly lastEventId: string | undefined;
 }
 
@@ -28,10 +28,10 @@
   readonly end: number;
 }
 
-/** What the gateway sets on a request to an endpoint. */
+/** The fields that the gateway sets on a request to an endpoint. */
 export interface EndpointFields {
   readonly deadlineMs: number;
-  /** Any other start of a process refuses the request without running it. */
+  /** Id of the intended endpoint; a process with another id rejects the request without executing it. */
   readonly endpointId: string;
   /** Name of the client account, where requests carry keys. */
   readonly accountName: string | undefined;
@@ -40,26 +40,27 @@
   readonly chain: readonly ChainStage[] | undefined;
 }
 
-/** What an endpoint's head says beyond HTTP itself. */
+/** The fields that the headers of an endpoint's answer contain beyond those of HTTP itself. */
 export interface AnswerFields {
   readonly requestId: string | undefined;
-  /** The endpoint states that the request did not run there. */
+  /** Whether the endpoint states that it did not execute the request. */
   readonly hasNotRun: boolean;
-  /** The endpoint at fault, where a chain failed elsewhere than at its first stage. */
+  /** Address of the endpoint at fault, if a chain failed at another stage than its first. */
   readonly faultyAddress: string | undefined;
+  /** Whether the body has a content encoding. */
   readonly isEncoded: boolean;
-  /** What the endpoint says of itself. */
+  /** What the endpoint states about itself. */
   readonly stated: EndpointStatement;
 }
 
-/** Reads and writes heads. */
+/** Reads and writes HTTP headers. */
 export abstract class MessageCodec {
   abstract decodeCaller(headers: RawHeaders): CallerFields;
-  /** Gives the head for an endpoint: the caller's lines that are to be passed on, and ours. */
+  /** Returns the headers of a request to an endpoint: those of the caller that are forwarded, and those of the gateway. */
   abstract encodeForEndpoint(headers: RawHeaders, fields: EndpointFields): string[];
   abstract decodeAnswer(headers: RawHeaders): AnswerFields;
-  /** Gives the lines of an endpoint's head that are passed on to the caller. */
+  /** Returns the headers of an endpoint's answer that are forwarded to the caller. */
   abstract encodeForCaller(headers: RawHeaders): string[];
-  /** Gives the head of a refusal of our own. */
+  /** Returns the headers of a rejection by the gateway itself. */
   abstract encodeRefusal(retryAfterMs: number | undefined): Record<string, string>;
 }
--- a/packages/gateway/src/http/readBody.ts
+++ b/packages/gateway/src/http/readBody.ts
@@ -1,13 +1,13 @@
-/** Reads the body of an answer within bounds of size and time. */
+/** Reading of answer bodies with limits on size and time. */
 import { errors, results, utils } from "@shedtiller/common";
 import { AnswerTooLargeError } from "./AnswerTooLargeError.js";
 import type { CallError, HttpAnswer } from "./HttpCall.js";
 
 /**
- * Reads a body to its end; an answer that was broken off is an error.
- * @param timeoutMs - How long the whole body may take.
- * @param stallMs - How long nothing may come. A body whose size is not known needs this bound rather than one of the whole: what takes
- *   longer than its time-out is never read, however often it is asked for, and each time fills the link in vain.
+ * Reads a body to its end; returns an error if the answer is incomplete.
+ * @param timeoutMs - Maximum time for the whole body.
+ * @param stallMs - Maximum time between two chunks. A body of unknown size needs this limit rather than a short `timeoutMs`: a body that
+ *   takes longer than its timeout is never read, however often it is requested, and every try fills the link in vain.
  */
 export function readBody(
   answer: HttpAnswer,
@@ -17,26 +17,26 @@
   stallMs = timeoutMs,
 ): Promise<results.Result<Buffer, CallError>> {
   const done = new utils.Deferred<results.Result<Buffer, CallError>>();
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let sizeBytes = 0;
   const fail = (error: CallError): void => {
     done.resolve(results.Err(error));
     answer.abort();
   };
-  const failLate = (boundMs: number): void =>
-    fail(new errors.DeadlineError(`The body of ${address}`, boundMs));
-  const timer = setTimeout(failLate, timeoutMs, timeoutMs);
-  let stallTimer = setTimeout(failLate, stallMs, stallMs);
-  answer.message.on("data", (part: Buffer) => {
+  const failTimedOut = (limitMs: number): void =>
+    fail(new errors.DeadlineError(`The body of ${address}`, limitMs));
+  const timer = setTimeout(failTimedOut, timeoutMs, timeoutMs);
+  let stallTimer = setTimeout(failTimedOut, stallMs, stallMs);
+  answer.message.on("data", (chunk: Buffer) => {
     clearTimeout(stallTimer);
-    stallTimer = setTimeout(failLate, stallMs, stallMs);
-    sizeBytes += part.length;
-    parts.push(part);
+    stallTimer = setTimeout(failTimedOut, stallMs, stallMs);
+    sizeBytes += chunk.length;
+    chunks.push(chunk);
     if (sizeBytes > maxBytes) fail(new AnswerTooLargeError(address, maxBytes));
   });
   answer.message.on("end", () => {
     void answer.isWhole().then((isWhole) => {
-      if (isWhole) done.resolve(results.Ok(Buffer.concat(parts)));
+      if (isWhole) done.resolve(results.Ok(Buffer.concat(chunks)));
       else fail(new errors.ConnectionLostError(address));
     });
   });
--- a/packages/gateway/src/http/startListening.ts
+++ b/packages/gateway/src/http/startListening.ts
@@ -1,8 +1,8 @@
-/** The beginning and the end of a server's listening. */
+/** Start and stop of HTTP servers. */
 import type * as http from "node:http";
 import type * as net from "node:net";
 
-/** Resolves once the server listens; rejects where it cannot. */
+/** Starts a server; resolves once it listens, and rejects if it cannot listen. */
 export function startListening(server: http.Server, options: net.ListenOptions): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once("error", reject);
@@ -10,7 +10,7 @@
   });
 }
 
-/** Ends the listening and all connections. */
+/** Stops a server and closes all of its connections. */
 export function stopListening(server: http.Server): void {
   server.close();
   server.closeAllConnections();
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -1,7 +1,7 @@
 /** Stall detection for running streams. */
 import { utils } from "@shedtiller/common";
 import type { ChainChooser } from "../chains/ChainChooser.js";
-import { expectTokens } from "../chains/expectTokens.js";
+import { estimateTokens } from "../chains/estimateTokens.js";
 import { findNamedEndpoint } from "../chains/findNamedEndpoint.js";
 import { describeChain } from "../chains/describeChain.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -210,7 +210,7 @@
     profile: EngineProfile,
   ): ChainStage[] | undefined {
     return this._chooser.choose(this._context.endpoints.getUsable(attempt.service), profile, {
-      ...expectTokens(attempt.request.fields),
+      ...estimateTokens(attempt.request.fields),
       availabilityZone: this._context.availabilityZone,
       firstEndpointId: first.endpointId,
       firstEnd: first.end,
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -5,7 +5,7 @@
 import { describeChain } from "../chains/describeChain.js";
 import { describeRoom } from "../chains/describeRoom.js";
 import { findNamedEndpoint } from "../chains/findNamedEndpoint.js";
-import { expectTokens } from "../chains/expectTokens.js";
+import { estimateTokens } from "../chains/estimateTokens.js";
 import type { ChainReservation } from "../chains/ChainReservation.js";
 import type { HttpAnswer } from "../http/HttpCall.js";
 import { readBody } from "../http/readBody.js";
@@ -143,7 +143,7 @@
     return this._admission.acquire({
       service,
       demand: {
-        ...expectTokens(request.fields),
+        ...estimateTokens(request.fields),
         availabilityZone: this.context.availabilityZone,
         refusedBy: avoided,
         spares: sparesByRisk[this.context.crashes.getRisk(request)],
--- a/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
+++ b/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
@@ -1,4 +1,4 @@
-/** Who gets a chain first where there is room for one only, and who is refused at once. */
+/** The order in which waiting requests get a chain, and immediate rejections of requests that would get one too late. */
 import test from "ava";
 import { utils } from "@shedtiller/common";
 import { ChainAdmission, type ChainApplicant } from "../../chains/ChainAdmission.js";
@@ -11,7 +11,7 @@
 
 const longMs = 60_000;
 
-/** One engine that holds one request of 50 tokens beside its layers, and no second one. */
+/** Creates an admission with one engine, whose memory has capacity for one request of 50 tokens beside its layers. */
 function setUp() {
   const endpoints = new EndpointTable();
   endpoints.setAll(new Map([["a", createListed("a", { layers: [{ start: 0, end: 4 }] })]]));
@@ -41,7 +41,7 @@
   return { admission, endpoints, served, acquire, release };
 }
 
-test("those that can still be in time go before those that are late already", async (t) => {
+test("requests that can still meet their target latency go before late ones", async (t) => {
   const { served, acquire, release } = setUp();
   const first = await acquire("first");
   const late = acquire("late", { inTimeUntilMs: utils.monotonicMs() - 1 });
@@ -52,7 +52,7 @@
   t.deepEqual(served, ["first", "in time", "late"]);
 });
 
-test("the more urgent go first, late or not", async (t) => {
+test("more urgent requests go first even if they are late", async (t) => {
   const { served, acquire, release } = setUp();
   const first = await acquire("first");
   const usual = acquire("usual");
@@ -63,7 +63,7 @@
   t.deepEqual(served, ["first", "urgent", "usual"]);
 });
 
-test("a request whose turn can't come within its patience is refused at once", async (t) => {
+test("a request whose expected wait exceeds its maximum wait is rejected immediately", async (t) => {
   const { served, acquire, release, admission } = setUp();
   const first = await acquire("first");
   await acquire("hurried", { patienceMs: 1 });
@@ -72,7 +72,7 @@
   release(first);
 });
 
-test("one that others are put before is refused as soon as its turn can't come any more", async (t) => {
+test("a request that others overtake is rejected as soon as its turn would come too late", async (t) => {
   const { served, acquire, release, admission } = setUp();
   const first = await acquire("first");
   const late = acquire("late", { inTimeUntilMs: utils.monotonicMs() - 1, patienceMs: 400 });
@@ -85,22 +85,22 @@
   t.is(served.length, 22);
 });
 
-test("a smaller request gets the room that many larger ones before it can't use", async (t) => {
+test("a small request gets the capacity that is insufficient for several larger ones before it", async (t) => {
   const { served, acquire, release } = setUp();
   const first = await acquire("first");
-  const leaving = new AbortController();
+  const disconnect = new AbortController();
   const demand = { promptTokens: 4_000, answerTokens: 10, availabilityZone: "east" };
-  const large = Array.from({ length: 5 }, () => acquire("large", { demand, signal: leaving.signal }));
+  const large = Array.from({ length: 5 }, () => acquire("large", { demand, signal: disconnect.signal }));
   const small = acquire("small");
   release(first);
   release(await small);
   t.deepEqual(served, ["first", "small"]);
-  leaving.abort();
+  disconnect.abort();
   await Promise.all(large);
 });
 
-// Guards against streams that wait for a chain while the only engines for it rest past their patience.
-test("who waits is refused as soon as the engines that it needs ask for a longer rest", async (t) => {
+// Guards against streams that wait for a chain while all suitable engines back off beyond the maximum wait.
+test("a waiting request is rejected as soon as the engines that it needs back off for longer than its maximum wait", async (t) => {
   const { endpoints, acquire, release } = setUp();
   const first = await acquire("first");
   const waiting = acquire("waiting");
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -1,4 +1,4 @@
-/** Chains cover every layer once and in order, within the room of their engines. */
+/** Choice of chains, which run every layer once and in order within the capacity of their engines. */
 import test from "ava";
 import * as fc from "fast-check";
 import { ChainChooser } from "../../chains/ChainChooser.js";
@@ -14,7 +14,7 @@
   return chain?.map((stage) => `${stage.endpointId}=${stage.start}-${stage.end}`).join(",");
 }
 
-test("the faster of two chains is taken", (t) => {
+test("the faster of two chains is chosen", (t) => {
   const engines = [
     createEngine("a", 0, 4, { kind: "slow" }),
     createEngine("b", 0, 2),
@@ -23,16 +23,16 @@
   t.is(describe(chooser.choose(engines, profile, demand)), "b=0-2,c=2-4");
 });
 
-test("a part of what an engine holds stands in for one that is gone", (t) => {
+test("a stage may use a part of an engine's layers only", (t) => {
   const engines = [createEngine("a", 0, 2), createEngine("b", 1, 4, { kind: "slow" })];
   t.is(describe(chooser.choose(engines, profile, demand)), "a=0-2,b=2-4");
 });
 
-test("without all layers there is no chain", (t) => {
+test("there is no chain if a layer is missing", (t) => {
   t.is(chooser.choose([createEngine("a", 0, 2), createEngine("b", 3, 4)], profile, demand), undefined);
 });
 
-test("an engine without room is passed over", (t) => {
+test("an engine without free capacity is not used", (t) => {
   const full = createEngine("a", 0, 4);
   full.addOwn(1, getCapacityTokenLayers(full, profile));
   const other = createEngine("b", 0, 4, { kind: "slow" });
@@ -40,7 +40,7 @@
   t.is(chooser.choose([full], profile, demand), undefined);
 });
 
-test("the load that peers tell counts like our own", (t) => {
+test("the load that peers report counts like the instance's own", (t) => {
   const full = createEngine("a", 0, 4);
   full.setPeerLoad("peer", { requests: 9, tokenLayers: getCapacityTokenLayers(full, profile) });
   t.is(chooser.choose([full], profile, demand), undefined);
@@ -48,15 +48,15 @@
   t.is(describe(chooser.choose([full], profile, demand)), "a=0-4");
 });
 
-test("a suspect engine, and one that just refused, get nothing new", (t) => {
+test("a suspect engine, and one that just rejected a request, get no new requests", (t) => {
   const suspect = createEngine("a", 0, 4);
   suspect.suspectUntilMs = 2_000;
-  const refused = createEngine("b", 0, 4);
-  refused.refusedUntilMs = 1_100;
-  t.is(chooser.choose([suspect, refused], profile, demand), undefined);
+  const rejecting = createEngine("b", 0, 4);
+  rejecting.refusedUntilMs = 1_100;
+  t.is(chooser.choose([suspect, rejecting], profile, demand), undefined);
 });
 
-test("a chain stays in the zone while it can", (t) => {
+test("a chain in the own zone is preferred to a faster one in another zone", (t) => {
   const engines = [
     createEngine("a", 0, 4, { availabilityZone: "west" }),
     createEngine("b", 0, 2, { kind: "slow" }),
@@ -65,7 +65,7 @@
   t.is(describe(chooser.choose(engines, profile, demand)), "b=0-2,c=2-4");
 });
 
-test("rather than change zones on the way, a chain lies in another zone as a whole", (t) => {
+test("a chain that is entirely in another zone is preferred to a cross-zone chain", (t) => {
   const engines = [
     createEngine("a", 0, 2),
     createEngine("b", 2, 4, { availabilityZone: "west" }),
@@ -75,18 +75,18 @@
   t.is(describe(chooser.choose(engines.slice(0, 2), profile, demand)), "a=0-2,b=2-4");
 });
 
-test("a chain that changes zones leaves half of the room to a zone that runs all layers by itself", (t) => {
+test("a cross-zone chain leaves half of the capacity to a zone that can run all layers by itself", (t) => {
   const start = createEngine("a", 0, 2);
   const end = createEngine("b", 2, 4, { availabilityZone: "west" });
-  const rest = createEngine("c", 0, 2, { availabilityZone: "west" });
-  rest.addOwn(1, getCapacityTokenLayers(rest, profile));
-  t.is(describe(chooser.choose([start, end, rest], profile, demand)), "a=0-2,b=2-4");
+  const full = createEngine("c", 0, 2, { availabilityZone: "west" });
+  full.addOwn(1, getCapacityTokenLayers(full, profile));
+  t.is(describe(chooser.choose([start, end, full], profile, demand)), "a=0-2,b=2-4");
   end.addOwn(1, getCapacityTokenLayers(end, profile) / 2);
-  t.is(chooser.choose([start, end, rest], profile, demand), undefined);
-  t.is(describe(chooser.choose([start, end], profile, demand)), "a=0-2,b=2-4", "west runs nothing by itself");
+  t.is(chooser.choose([start, end, full], profile, demand), undefined);
+  t.is(describe(chooser.choose([start, end], profile, demand)), "a=0-2,b=2-4", "west cannot run all layers");
 });
 
-test("no request begins at an engine whose slots are taken, though it may pass there later", (t) => {
+test("an engine without free slots cannot be the first of a chain, but can be a later one", (t) => {
   const busy = createEngine("a", 0, 4);
   const other = createEngine("b", 0, 2, { kind: "slow" });
   busy.addOwn(busy.listed.slots - 1, 0);
@@ -95,32 +95,32 @@
   t.is(describe(chooser.choose([busy, other], profile, demand)), "b=0-2,a=2-4");
   t.is(chooser.choose([busy], profile, demand), undefined);
   const moved = chooser.choose([busy, other], profile, { ...demand, firstEndpointId: "a", firstEnd: 4 });
-  t.is(describe(moved), "a=0-4", "a moved request has its slot already");
+  t.is(describe(moved), "a=0-4", "a moved request already has its slot");
 });
 
-test("a moved request keeps its first engine and that engine's part", (t) => {
+test("a moved request keeps its first engine and the layers there", (t) => {
   const engines = [createEngine("a", 0, 3), createEngine("b", 2, 4), createEngine("c", 0, 4)];
   const moved = chooser.choose(engines, profile, { ...demand, firstEndpointId: "a", firstEnd: 2 });
   t.is(describe(moved), "a=0-2,b=2-4");
 });
 
-test("streams that are moved at the same moment are spread over engines of like cost", (t) => {
+test("streams that are moved at the same time are distributed over engines of similar cost", (t) => {
   const engines = [
     createEngine("a", 0, 2),
     createEngine("b", 2, 4),
     createEngine("c", 2, 4, { availabilityZone: "east" }),
   ];
   const numbers = [0.5, 0.9, 0.1, 0.5, 0.1, 0.9];
-  const spreading = new ChainChooser(
+  const randomized = new ChainChooser(
     () => 1_000,
     () => numbers.shift() ?? 0.5,
   );
   const moved = { ...demand, firstEndpointId: "a", firstEnd: 2, isSpread: true };
-  t.is(describe(spreading.choose(engines, profile, moved)), "a=0-2,c=2-4");
-  t.is(describe(spreading.choose(engines, profile, moved)), "a=0-2,b=2-4");
+  t.is(describe(randomized.choose(engines, profile, moved)), "a=0-2,c=2-4");
+  t.is(describe(randomized.choose(engines, profile, moved)), "a=0-2,b=2-4");
 });
 
-test("any chain runs each layer once, in order, on engines that hold it, none twice", (t) => {
+test("any chain runs each layer once, in order, at engines that have loaded it, and uses no engine twice", (t) => {
   const span = fc.tuple(fc.nat({ max: 3 }), fc.integer({ min: 1, max: 4 })).map(([start, size]) => ({
     start,
     end: Math.min(4, start + size),
@@ -138,27 +138,27 @@
     const ends = chain.map((stage) => stage.end);
     const starts = chain.map((stage) => stage.start);
     const isInOrder = starts[0] === 0 && ends.at(-1) === 4 && starts.slice(1).every((s, i) => s === ends[i]);
-    const isHeld = chain.every((stage) => {
-      const held = engines.find((engine) => engine.id === stage.endpointId)?.listed.layers[0];
-      return held !== undefined && held.start <= stage.start && stage.end <= held.end;
+    const isLoaded = chain.every((stage) => {
+      const loaded = engines.find((engine) => engine.id === stage.endpointId)?.listed.layers[0];
+      return loaded !== undefined && loaded.start <= stage.start && stage.end <= loaded.end;
     });
-    return isInOrder && isHeld && new Set(chain.map((stage) => stage.endpointId)).size === chain.length;
+    return isInOrder && isLoaded && new Set(chain.map((stage) => stage.endpointId)).size === chain.length;
   });
   t.notThrows(() => fc.assert(property, { seed: 7, numRuns: 500 }));
 });
 
-test("an engine that refused gets no more than it had then, until something ends or the time is over", (t) => {
+test("an engine that rejected a request as full gets no load above that level until a timeout", (t) => {
   const clock = { nowMs: 1_000 };
-  const watching = new ChainChooser(() => clock.nowMs);
+  const timedChooser = new ChainChooser(() => clock.nowMs);
   const engine = createEngine("a", 0, 4);
-  const choose = (): string | undefined => describe(watching.choose([engine], profile, demand));
+  const choose = (): string | undefined => describe(timedChooser.choose([engine], profile, demand));
   engine.addOwn(2, 80);
   t.is(choose(), "a=0-4");
   t.true(engine.noteFull(clock.nowMs));
-  t.false(engine.noteFull(clock.nowMs), "known at this load");
+  t.false(engine.noteFull(clock.nowMs), "already known at this load");
   t.is(choose(), undefined);
   engine.addOwn(-1, -40);
-  t.is(choose(), "a=0-4", "as much as ended has room");
+  t.is(choose(), "a=0-4", "the released load is available again");
   engine.addOwn(1, 40);
   t.is(choose(), undefined);
   clock.nowMs += 1_999;
@@ -167,7 +167,7 @@
   t.is(choose(), "a=0-4");
 });
 
-test("an engine that refused this request is chosen for it again only where there is no other way", (t) => {
+test("an engine that rejected this request is chosen for it again only if there is no other chain", (t) => {
   const chooser = new ChainChooser(() => 0);
   const engines = [createEngine("near", 0, 4), createEngine("other", 0, 4, { kind: "slow" })];
   const demand = { promptTokens: 2, answerTokens: 2, availabilityZone: "east" };
@@ -175,20 +175,22 @@
     chooser.choose(engines, profile, { ...demand, refusedBy })?.map((stage) => stage.endpointId);
   t.deepEqual(choose(), ["near"]);
   t.deepEqual(choose(new Set(["near:1"])), ["other"]);
-  t.deepEqual(choose(new Set(["near:1", "other:1"])), ["near"], "there is no other way");
+  t.deepEqual(choose(new Set(["near:1", "other:1"])), ["near"], "there is no other chain");
 });
 
-// Guards against zones that lose their last first engine to a request that has crashed others.
-test("a request that may have crashed an engine begins where another engine of the zone holds the first layers", (t) => {
-  const alone = createEngine("a", 0, 4);
-  const beside = ["b", "c"].map((id) => createEngine(id, 0, 4, { availabilityZone: "west", kind: "slow" }));
-  const choose = (engines: typeof beside, spares: "rather" | "only" | undefined): string | undefined =>
+// Guards against zones that lose their last engine with the first layers to a request that has crashed others.
+test("a request that may have crashed an engine begins where another engine of the zone has the first layers, too", (t) => {
+  const sole = createEngine("a", 0, 4);
+  const redundant = ["b", "c"].map((id) =>
+    createEngine(id, 0, 4, { availabilityZone: "west", kind: "slow" }),
+  );
+  const choose = (engines: typeof redundant, spares: "rather" | "only" | undefined): string | undefined =>
     describe(chooser.choose(engines, profile, { ...demand, spares }));
-  t.is(choose([alone, ...beside], undefined), "a=0-4");
-  t.is(choose([alone, ...beside], "only"), "b=0-4");
-  t.is(choose([alone, ...beside], "rather"), "b=0-4");
-  t.is(choose([alone, ...beside.slice(1)], "rather"), "a=0-4");
-  t.is(choose([alone, ...beside.slice(1)], "only"), undefined);
-  beside[0]?.failures.noteFailed(990, 995);
-  t.is(choose(beside, "only"), undefined, "the other one has just failed, and may be gone");
+  t.is(choose([sole, ...redundant], undefined), "a=0-4");
+  t.is(choose([sole, ...redundant], "only"), "b=0-4");
+  t.is(choose([sole, ...redundant], "rather"), "b=0-4");
+  t.is(choose([sole, ...redundant.slice(1)], "rather"), "a=0-4");
+  t.is(choose([sole, ...redundant.slice(1)], "only"), undefined);
+  redundant[0]?.failures.noteFailed(990, 995);
+  t.is(choose(redundant, "only"), undefined, "the other engine has just failed and may have crashed");
 });
--- a/packages/gateway/src/tests/chains/ChainReservationTests.ts
+++ b/packages/gateway/src/tests/chains/ChainReservationTests.ts
@@ -1,4 +1,4 @@
-/** Room is given back exactly once, to the engine that it was taken from. */
+/** Reserved load is released exactly once, at the engine where it was reserved. */
 import test from "ava";
 import { ChainReservation } from "../../chains/ChainReservation.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
@@ -13,7 +13,7 @@
   return { table, stage };
 }
 
-test("a chain that is changed after the request has ended takes no room", (t) => {
+test("a move after the release reserves no load", (t) => {
   const { table, stage } = setUp();
   const reservation = new ChainReservation(table, [stage("a")], 10);
   t.deepEqual(table.get("a")?.own, { requests: 1, tokenLayers: 20 });
@@ -23,7 +23,7 @@
   t.deepEqual(table.get("b")?.own, noLoad);
 });
 
-test("a moved request gives the old room back", (t) => {
+test("a move releases the load at the previous chain", (t) => {
   const { table, stage } = setUp();
   const reservation = new ChainReservation(table, [stage("a")], 10);
   reservation.move([stage("b")]);
@@ -31,7 +31,7 @@
   t.deepEqual(table.get("b")?.own, { requests: 1, tokenLayers: 20 });
 });
 
-test("an engine that left the list and came back is not given room back that it never lent", (t) => {
+test("a release does not change the load of an engine that has left the list and returned", (t) => {
   const { table, stage } = setUp();
   const reservation = new ChainReservation(table, [stage("a")], 10);
   table.apply([{ key: "a", value: undefined }]);
--- a/packages/gateway/src/tests/chains/findNamedEndpointTests.ts
+++ b/packages/gateway/src/tests/chains/findNamedEndpointTests.ts
@@ -1,4 +1,4 @@
-/** A refusal names an address, and an address may be listed twice. */
+/** Lookup of the endpoint that a rejection names by an address, which may be listed twice. */
 import test from "ava";
 import { findNamedEndpoint } from "../../chains/findNamedEndpoint.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
@@ -12,7 +12,7 @@
 
 const stages = [{ endpointId: "before", address: "10.0.0.1:80", start: 0, end: 4 }];
 
-test("of two endpoints that are listed under an address the one that the chain meant is at fault", (t) => {
+test("of two endpoints with the same address the one in the chain is at fault", (t) => {
   for (const ids of [
     ["before", "after"],
     ["after", "before"],
@@ -20,11 +20,11 @@
     t.is(findNamedEndpoint(createTable(...ids), stages, "10.0.0.1:80")?.id, "before");
 });
 
-test("an endpoint of the chain that is gone has no other one at fault in its place", (t) => {
+test("if an endpoint of the chain has ended, its replacement at the same address is not at fault", (t) => {
   t.is(findNamedEndpoint(createTable("after"), stages, "10.0.0.1:80"), undefined);
 });
 
-test("an engine that the chain does not have is found by its address", (t) => {
+test("an engine outside the chain is found by its address", (t) => {
   t.is(findNamedEndpoint(createTable("after"), [], "10.0.0.1:80")?.id, "after");
   t.is(findNamedEndpoint(createTable("after"), [], "10.0.0.2:80"), undefined);
 });
--- a/packages/gateway/src/tests/http/HttpCallerTests.ts
+++ b/packages/gateway/src/tests/http/HttpCallerTests.ts
@@ -1,4 +1,4 @@
-/** What a caller of endpoints learns from answers that are whole, broken off, reset, or never come. */
+/** Results of HTTP calls whose answers are complete, truncated, reset or missing. */
 import * as net from "node:net";
 import test from "ava";
 import { errors, utils } from "@shedtiller/common";
@@ -36,12 +36,12 @@
 }
 
 for (const isFresh of [true, false]) {
-  const kind = isFresh ? "fresh" : "kept";
-  test(`an answer without a length that is reset on the way is not whole (${kind} connection)`, async (t) => {
+  const kind = isFresh ? "new" : "pooled";
+  test(`an answer without a stated length is incomplete if its connection is reset (${kind} connection)`, async (t) => {
     const sockets: net.Socket[] = [];
     const { server, address } = await listen((socket) => {
       sockets.push(socket);
-      // The request stays unread, so that closing the connection resets it.
+      // Closing a connection with unread data resets it, so the request stays unread.
       socket.pause();
       socket.write("HTTP/1.1 200 OK\r\n\r\npart of the bo");
     });
@@ -56,7 +56,7 @@
     server.close();
   });
 
-  test(`an answer without a length whose reset comes together with its data is not whole (${kind} connection)`, async (t) => {
+  test(`an answer without a stated length is incomplete if a reset arrives together with its data (${kind} connection)`, async (t) => {
     const sockets: net.Socket[] = [];
     const isConnected = new utils.Deferred<void>();
     const { server, address } = await listen((socket) => {
@@ -66,7 +66,7 @@
     const caller = new HttpCaller();
     const fetched = caller.fetch(createCall(address, isFresh), maxBytes, generousMs);
     await isConnected.promise;
-    // One more turn, so that the request has come and stays unread: closing with unread bytes resets the connection.
+    // After two turns of the event loop the request has arrived. It stays unread, since closing with unread data resets the connection.
     await new Promise((resolve) => setImmediate(resolve));
     await new Promise((resolve) => setImmediate(resolve));
     for (const socket of sockets) {
@@ -79,7 +79,7 @@
     server.close();
   });
 
-  test(`an answer without a length that ends with its connection is whole (${kind} connection)`, async (t) => {
+  test(`an answer without a stated length is complete if its connection is closed (${kind} connection)`, async (t) => {
     const { server, address } = await listen((socket) => {
       socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\n\r\nthe whole body"));
     });
@@ -91,7 +91,7 @@
   });
 }
 
-test("an answer shorter than its length is not whole", async (t) => {
+test("an answer shorter than its stated length is incomplete", async (t) => {
   const { server, address } = await listen((socket) => {
     socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort"));
   });
@@ -102,7 +102,7 @@
   server.close();
 });
 
-test("a port that nobody listens on proves that nothing arrived", async (t) => {
+test("a refused connection proves that the server received nothing", async (t) => {
   const { server, address } = await listen(() => undefined);
   await new Promise((resolve) => server.close(resolve));
   const caller = new HttpCaller();
@@ -111,7 +111,7 @@
   caller.close();
 });
 
-test("a connection that is closed after the request was read proves nothing", async (t) => {
+test("a connection that is closed after the server has read the request gives an unknown outcome", async (t) => {
   const { server, address } = await listen((socket) => {
     socket.once("data", () => socket.destroy());
   });
@@ -122,12 +122,12 @@
   server.close();
 });
 
-test("a kept connection that went silent for good ends with its call's deadline, and the next call takes another", async (t) => {
+test("a call on a dead pooled connection fails at its timeout, and the next call uses another connection", async (t) => {
   const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nKeep-Alive: timeout=60\r\n\r\nok";
   let connections = 0;
   const { server, address } = await listen((socket) => {
     connections += 1;
-    // The first connection answers once, and swallows all that comes after that.
+    // The first connection answers once and ignores all later requests.
     if (connections === 1) socket.once("data", () => socket.write(answer));
     else socket.on("data", () => socket.write(answer));
   });
--- a/packages/gateway/src/tests/http/readBodyTests.ts
+++ b/packages/gateway/src/tests/http/readBodyTests.ts
@@ -1,4 +1,4 @@
-/** A body that goes on coming is read, however long it takes within its whole time; one that stalls is not waited for. */
+/** Time limits on the reading of a body: one for the whole body, and one for the time between its chunks. */
 import * as stream from "node:stream";
 import { mock } from "node:test";
 import type * as http from "node:http";
@@ -10,9 +10,9 @@
 const maxBytes = 1_024;
 const timeoutMs = 10_000;
 const stallMs = 1_500;
-const partIntervalMs = 1_000;
+const chunkIntervalMs = 1_000;
 
-/** An answer whose parts come when the test says so. */
+/** An answer whose chunks are sent by the test. */
 class ScriptedAnswer implements HttpAnswer {
   readonly status = 200;
   readonly headers: readonly string[] = [];
@@ -29,9 +29,9 @@
     this.isAborted = true;
   }
 
-  /** A part comes; it has been read once this resolves. */
-  async send(part: string): Promise<void> {
-    this.message.write(part);
+  /** Sends a chunk; resolves once it has been read. */
+  async send(chunk: string): Promise<void> {
+    this.message.write(chunk);
     await utils.yieldToEvents();
   }
 }
@@ -39,19 +39,19 @@
 test.before(() => mock.timers.enable({ apis: ["setTimeout"] }));
 test.after(() => mock.timers.reset());
 
-test.serial("a body that takes longer than a stall may is read whole", async (t) => {
+test.serial("a body is read completely although it takes longer than the stall timeout", async (t) => {
   const answer = new ScriptedAnswer();
   const read = readBody(answer, "store", maxBytes, timeoutMs, stallMs);
-  for (const part of ["a", "b", "c", "d"]) {
-    mock.timers.tick(partIntervalMs);
-    await answer.send(part);
+  for (const chunk of ["a", "b", "c", "d"]) {
+    mock.timers.tick(chunkIntervalMs);
+    await answer.send(chunk);
   }
   answer.message.end();
   const body = await read;
   t.is(body.ok ? body.val.toString() : body.val.message, "abcd");
 });
 
-test.serial("a body that stalls is given up, and its call with it", async (t) => {
+test.serial("a body that stalls aborts its call", async (t) => {
   const answer = new ScriptedAnswer();
   const read = readBody(answer, "store", maxBytes, timeoutMs, stallMs);
   await answer.send("a");
@@ -61,12 +61,12 @@
   t.true(answer.isAborted);
 });
 
-test.serial("a body that goes on for ever ends with its whole time", async (t) => {
+test.serial("an endless body is aborted at the timeout of the whole body", async (t) => {
   const answer = new ScriptedAnswer();
   const read = readBody(answer, "store", maxBytes, timeoutMs, stallMs);
-  for (let passedMs = 0; passedMs < timeoutMs; passedMs += partIntervalMs) {
+  for (let passedMs = 0; passedMs < timeoutMs; passedMs += chunkIntervalMs) {
     await answer.send("a");
-    mock.timers.tick(partIntervalMs);
+    mock.timers.tick(chunkIntervalMs);
   }
   const body = await read;
   t.true(body.err && body.val instanceof errors.DeadlineError);
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -1,4 +1,4 @@
-/** A gateway's request path over real sockets, with endpoints that tests script. */
+/** A gateway's request path over real sockets, with scripted endpoints. */
 import * as http from "node:http";
 import type * as net from "node:net";
 import { results, utils } from "@shedtiller/common";
@@ -40,7 +40,7 @@
 import { createPermitParts } from "../createPermitParts.js";
 import { SilentSink } from "../SilentSink.js";
 
-/** No test waits this long; it is there so that the time of a test decides nothing. */
+/** A timeout that no test reaches, so that the speed of a test does not affect its result. */
 const generousMs = 60_000;
 
 function decodeLimit(text: string | undefined): StatedLimit {
@@ -51,7 +51,7 @@
   return text === undefined ? { kind: "none" } : { kind: "named", afterMs: Number(text) };
 }
 
-/** Headers of these tests: `x-id`, `x-key`, `x-last`, `x-not-run`, `x-limit`, `x-rest-ms` and `x-leaving`. */
+/** Codec of the tests' headers `x-id`, `x-key`, `x-last`, `x-not-run`, `x-limit`, `x-rest-ms` and `x-leaving`. */
 class TestCodec extends MessageCodec {
   override decodeCaller(headers: RawHeaders): CallerFields {
     return {
@@ -99,8 +99,8 @@
   return index < 0 ? undefined : headers[index + 1];
 }
 
-/** Engines that answer no question; stalls are not part of these tests. */
-class SilentOrders extends EngineOrders {
+/** Engines that reject every query and order, since these tests do not cover stalls. */
+class RejectingOrders extends EngineOrders {
   override getReport(): Promise<results.Result<EngineReport, OrderError>> {
     return Promise.resolve(results.Err(new OrderRefusedError("", 404, undefined)));
   }
@@ -112,8 +112,8 @@
   }
 }
 
-/** A whole answer as a caller sees it; `isWhole` is false where the connection broke off. */
-export interface SeenAnswer {
+/** An answer as a caller receives it; `isWhole` is false if the connection was closed before its end. */
+export interface ReceivedAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
@@ -132,9 +132,9 @@
   readonly keeper = new ConfigurationKeeper();
   readonly endpoints = new EndpointTable();
   areKeysFresh = true;
-  /** The clock by which holds end; it stands, so that the time of a test decides nothing. */
+  /** The clock of quarantines. It advances only when a test sets it, so that the speed of a test does not affect its result. */
   crashClockMs = 0;
-  /** For how long a newer configuration has been known to exist. */
+  /** Time since which a newer configuration is known to exist. */
   behindMs = 0;
   private readonly _servers: http.Server[] = [];
   private readonly _caller = new HttpCaller();
@@ -195,7 +195,7 @@
     const streams = new StreamForwarder(
       context,
       admission,
-      new StallMonitor(context, chooser, new SilentOrders()),
+      new StallMonitor(context, chooser, new RejectingOrders()),
     );
     const forward = (request: CallerRequest): Promise<void> => {
       const service = route.targets[0]?.service ?? "";
@@ -223,19 +223,19 @@
     await this._listener.listen();
   }
 
-  /** Gives the gateway its configuration. */
+  /** Sets the gateway's configuration. */
   configure(route: Route): void {
     const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
     this.keeper.accept({ ...createConfiguration(this.keeper.version + 1, [route]), services });
     this.keeper.confirm(this.keeper.version, utils.monotonicMs());
   }
 
-  /** Resolves once a request is in hand. */
+  /** Resolves once a request is in flight. */
   async waitForRequest(): Promise<void> {
     await utils.waitUntil(() => (this._listener?.inHand ?? 0) > 0, generousMs);
   }
 
-  /** Adds endpoints that are listed in this order; a handler of undefined is a port that nobody listens on. */
+  /** Adds endpoints that are listed in this order; an undefined handler stands for a closed port. */
   async list(
     handlers: readonly (EndpointHandler | undefined)[],
     changes: Partial<ListedEndpoint>,
@@ -249,13 +249,13 @@
     this.endpoints.setAll(listed);
   }
 
-  /** Begins the end of a planned stop: the process ends after `leftMs`. */
-  refuseLasting(leftMs: number): void {
-    this._listener?.refuseLasting(utils.monotonicMs() + leftMs);
+  /** Announces that the process stops after `remainingMs`. */
+  stopAfter(remainingMs: number): void {
+    this._listener?.refuseLasting(utils.monotonicMs() + remainingMs);
   }
 
   /** Sends a request as a caller. */
-  request(method: string, headers: Record<string, string>, path = "/a/x"): Promise<SeenAnswer> {
+  request(method: string, headers: Record<string, string>, path = "/a/x"): Promise<ReceivedAnswer> {
     return new Promise((resolve, reject) => {
       const options = { host: "127.0.0.1", port: this._port, method, path, agent: false };
       const request = http.request(
--- a/packages/gateway/src/tests/requests/PermitForecastTests.ts
+++ b/packages/gateway/src/tests/requests/PermitForecastTests.ts
@@ -1,4 +1,4 @@
-/** How long requests are expected to wait for a permit, and when the others are to come back. */
+/** Expected waits of requests for a permit, and Retry-After times of rejected requests. */
 import test from "ava";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { PermitForecast } from "../../requests/PermitForecast.js";
@@ -7,8 +7,11 @@
 
 const service = "records";
 
-/** Ten endpoints of which the first ones rest until those times, and hold those layers. */
-function createResting(
+/**
+ * Creates a forecast for ten endpoints, the first of which back off until the given times. If `layers` is given, the endpoints have these
+ * spans in turn.
+ */
+function createBackingOff(
   untilMs: readonly number[],
   layers?: readonly (readonly [number, number])[],
 ): PermitForecast {
@@ -21,13 +24,13 @@
   endpoints.setAll(
     new Map(ids.map((id, index) => [id, createListed(id, { service, layers: toSpans(index) })])),
   );
-  for (const [index, restMs] of untilMs.entries()) endpoints.getAll()[index]?.rest.note(restMs, 0);
+  for (const [index, backoffMs] of untilMs.entries()) endpoints.getAll()[index]?.rest.note(backoffMs, 0);
   const demand = new RequestDemand(() => 0);
   const getInstanceCount = (): number => 8;
   return new PermitForecast({ endpoints, demand, getInstanceCount, nowMs: () => 0, random: () => 0.5 });
 }
 
-/** Ten endpoints that take four requests a second each from all instances together. */
+/** Creates a forecast for ten endpoints, the first `limited` of which accept four requests per second each from all instances together. */
 function create(instances: number, limited = 10): PermitForecast {
   const endpoints = new EndpointTable(() => 0);
   const ids = Array.from({ length: 10 }, (_, index) => `p${index}`);
@@ -38,44 +41,44 @@
   return new PermitForecast({ endpoints, demand, getInstanceCount, nowMs: () => 0, random: () => 0.5 });
 }
 
-test("while an endpoint takes a request now nobody is expected to wait", (t) => {
+test("no request is expected to wait while an endpoint accepts requests", (t) => {
   const forecast = create(8, 9);
   t.is(forecast.getIntervalMs(service), 0);
   t.is(forecast.getWaitMs(service, 0), 0);
 });
 
-// Guards against requests of a large fleet that are refused though the next permit would be theirs.
-test("the first that waits may have the next permit of all, those behind it an equal part", (t) => {
+// Guards against requests of a large fleet that are rejected although they would get the next permit.
+test("the first waiting request may get the next permit of the whole fleet, the requests behind it an equal share", (t) => {
   const forecast = create(200);
   t.is(forecast.getWaitMs(service, 0), 25);
   t.is(forecast.getWaitMs(service, 1), 10_000);
 });
 
-test("who is refused comes back when there may be room, within bounds", (t) => {
+test("the Retry-After time follows the expected wait within its bounds", (t) => {
   t.is(create(8).getRetryAfterMs(service, 1), 400);
   t.is(create(200).getRetryAfterMs(service, 10), 4_000);
   t.is(create(8, 9).getRetryAfterMs(service, 0), 200);
 });
 
-test("where all rest the first that waits may begin with the earliest end, and the refused come back after it", (t) => {
+test("while all endpoints back off, the first waiting request may begin at the earliest end, and rejected ones retry after it", (t) => {
   const all = Array.from({ length: 10 }, (_, index) => 3_000 - 100 * index);
-  t.false(createResting(all.slice(1)).isBlocked(service));
-  const forecast = createResting(all);
+  t.false(createBackingOff(all.slice(1)).isBlocked(service));
+  const forecast = createBackingOff(all);
   t.true(forecast.isBlocked(service));
   t.is(forecast.getBlockReason(service), "resting");
   t.is(forecast.getWaitMs(service, 0), 2_100);
-  t.is(forecast.getWaitMs(service, 5), 2_300, "two go with each return at first");
+  t.is(forecast.getWaitMs(service, 5), 2_300, "each endpoint gets two requests soon after its back-off");
   t.is(forecast.getWaitMs(service, 100), 3_000);
   t.is(forecast.getRetryAfterMs(service, 0), 2_300);
 });
 
-// Guards against streams that wait for a chain whose only holders of some layers rest past their patience.
-test("where all holders of some layers rest, a chain is due with the first of them", (t) => {
+// Guards against streams that wait for a chain while all engines with some layers back off beyond the maximum wait.
+test("while all engines with some layers back off, a chain is expected at the earliest end of these back-offs", (t) => {
   const odd = [0, 2_000, 0, 1_500, 0, 2_500, 0, 2_000, 0, 2_000];
   const spans = [
     [0, 4],
     [4, 8],
   ] as const;
-  t.is(createResting(odd, spans).getWaitMs(service, 0), 1_500);
-  t.is(createResting(odd.slice(0, 8), spans).getWaitMs(service, 0), 0);
+  t.is(createBackingOff(odd, spans).getWaitMs(service, 0), 1_500);
+  t.is(createBackingOff(odd.slice(0, 8), spans).getWaitMs(service, 0), 0);
 });
--- a/packages/gateway/src/tests/requests/PermitQueueTests.ts
+++ b/packages/gateway/src/tests/requests/PermitQueueTests.ts
@@ -1,4 +1,4 @@
-/** Who gets a permit first, and who is told at once that none will come in time. */
+/** The order in which waiting requests get permits, and immediate rejections of requests that would get one too late. */
 import test from "ava";
 import { utils } from "@shedtiller/common";
 import { PermitQueue, type PermitAcquisition } from "../../requests/PermitQueue.js";
@@ -6,7 +6,7 @@
 
 const longMs = 60_000;
 
-class Scene {
+class QueueFixture {
   readonly demand = new RequestDemand();
   readonly served: string[] = [];
   permits = 0;
@@ -15,7 +15,7 @@
     getWaitMs: (_service, ahead) => (ahead + 1) * this.intervalMs,
   });
 
-  ask(name: string, changes: Partial<PermitAcquisition<string>> = {}): Promise<string | undefined> {
+  acquire(name: string, changes: Partial<PermitAcquisition<string>> = {}): Promise<string | undefined> {
     return this.queue.acquire({
       service: "records",
       priority: 1,
@@ -27,7 +27,7 @@
     });
   }
 
-  async give(count: number): Promise<void> {
+  async grant(count: number): Promise<void> {
     this.permits += count;
     this.demand.notePermits("records", count);
     await utils.yieldToEvents();
@@ -40,57 +40,57 @@
   }
 }
 
-test("the most urgent goes first, then accounts in turn, then who came first", async (t) => {
-  const scene = new Scene();
-  const asked = [
-    scene.ask("farm-1"),
-    scene.ask("farm-2"),
-    scene.ask("dairy-1", { accountName: "dairy" }),
-    scene.ask("urgent", { priority: 0, accountName: "hall" }),
+test("requests are served by priority, then round robin over the accounts, then by arrival", async (t) => {
+  const fixture = new QueueFixture();
+  const acquired = [
+    fixture.acquire("farm-1"),
+    fixture.acquire("farm-2"),
+    fixture.acquire("dairy-1", { accountName: "dairy" }),
+    fixture.acquire("urgent", { priority: 0, accountName: "hall" }),
   ];
-  for (let count = 0; count < asked.length; count++) await scene.give(1);
-  await Promise.all(asked);
-  t.deepEqual(scene.served, ["urgent", "farm-1", "dairy-1", "farm-2"]);
+  for (let count = 0; count < acquired.length; count++) await fixture.grant(1);
+  await Promise.all(acquired);
+  t.deepEqual(fixture.served, ["urgent", "farm-1", "dairy-1", "farm-2"]);
 });
 
-test("nobody who comes later takes a permit from those that wait", async (t) => {
-  const scene = new Scene();
-  const first = scene.ask("first");
-  scene.permits = 1;
-  const second = scene.ask("second");
-  await scene.give(0);
-  await scene.give(1);
+test("a later request takes no permit before the waiting ones", async (t) => {
+  const fixture = new QueueFixture();
+  const first = fixture.acquire("first");
+  fixture.permits = 1;
+  const second = fixture.acquire("second");
+  await fixture.grant(0);
+  await fixture.grant(1);
   await Promise.all([first, second]);
-  t.deepEqual(scene.served, ["first", "second"]);
+  t.deepEqual(fixture.served, ["first", "second"]);
 });
 
-test("who would wait for longer than it has is told so at once", async (t) => {
-  const scene = new Scene();
-  const first = scene.ask("first");
-  t.is(await scene.ask("second", { maxWaitMs: 150 }), undefined);
-  await scene.give(1);
+test("a request whose expected wait exceeds its maximum wait is rejected immediately", async (t) => {
+  const fixture = new QueueFixture();
+  const first = fixture.acquire("first");
+  t.is(await fixture.acquire("second", { maxWaitMs: 150 }), undefined);
+  await fixture.grant(1);
   t.is(await first, "first");
 });
 
-test("a caller that leaves takes no permit with it", async (t) => {
-  const scene = new Scene();
-  const left = new AbortController();
-  const first = scene.ask("first", { signal: left.signal });
-  left.abort();
+test("a request whose caller disconnects takes no permit", async (t) => {
+  const fixture = new QueueFixture();
+  const disconnect = new AbortController();
+  const first = fixture.acquire("first", { signal: disconnect.signal });
+  disconnect.abort();
   t.is(await first, undefined);
-  const second = scene.ask("second");
-  await scene.give(1);
+  const second = fixture.acquire("second");
+  await fixture.grant(1);
   t.is(await second, "second");
 });
 
-// Guards against requests that wait until their deadline though it is known that no permit comes before it.
-test("who waits is refused as soon as its turn would come too late", async (t) => {
-  const scene = new Scene();
-  const first = scene.ask("first");
-  const second = scene.ask("second");
-  scene.intervalMs = longMs / 2;
-  await scene.give(0);
+// Guards against requests that wait until their deadline although no permit is expected before it.
+test("a waiting request is rejected as soon as its turn would come too late", async (t) => {
+  const fixture = new QueueFixture();
+  const first = fixture.acquire("first");
+  const second = fixture.acquire("second");
+  fixture.intervalMs = longMs / 2;
+  await fixture.grant(0);
   t.is(await second, undefined);
-  await scene.give(1);
+  await fixture.grant(1);
   t.is(await first, "first");
 });
--- a/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
+++ b/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
@@ -1,10 +1,11 @@
-/** The shares of all instances stay inside the budget of the deployment, also over a restart of all. */
+/** The retries of all instances together stay within the budget of the deployment, even if all instances restart. */
 import test from "ava";
 import { RetryBudgets } from "../../requests/RetryBudgets.js";
 
 const options = { ratio: 0.2, slack: 200, windowMs: 10_000 };
 
-function drain(budgets: RetryBudgets): number {
+/** Takes retries until the budget is exhausted; returns their number. */
+function exhaust(budgets: RetryBudgets): number {
   let taken = 0;
   while (budgets.tryTake("s")) taken += 1;
   return taken;
@@ -16,7 +17,7 @@
   return budgets;
 }
 
-test("eight instances that use all they have, restart, and use all again stay below ratio and slack", (t) => {
+test("eight instances that exhaust their shares, restart and exhaust them again stay within ratio and slack", (t) => {
   const instances = 8;
   const requestsEach = 100;
   let retries = 0;
@@ -24,18 +25,18 @@
     for (const life of ["before", "after"]) {
       const budgets = create(instances);
       for (let request = 0; request < requestsEach / 2; request++) budgets.recordRequest("s");
-      retries += drain(budgets);
+      retries += exhaust(budgets);
       t.true(retries > 0, life);
     }
   }
   t.true(retries <= options.ratio * requestsEach * instances + options.slack, `${retries} retries`);
 });
 
-test("a change of the number of instances gives no new budget", (t) => {
+test("a change in the number of instances does not renew the budget", (t) => {
   const budgets = create(8);
-  drain(budgets);
+  exhaust(budgets);
   budgets.setInstances(4);
-  t.is(drain(budgets), 0);
+  t.is(exhaust(budgets), 0);
 });
 
 test("an instance of a large fleet can retry its first request", (t) => {
@@ -46,7 +47,7 @@
 });
 
 for (const instances of [1, 8, 85, 340]) {
-  test(`${instances} instances that use all they get over a window, and restart in it, stay inside`, (t) => {
+  test(`${instances} instances that exhaust their shares and restart within a window stay within the budget`, (t) => {
     const clock = { nowMs: 0 };
     let retries = 0;
     for (let instance = 0; instance < instances; instance++) {
@@ -54,40 +55,40 @@
       const before = new RetryBudgets(options, () => clock.nowMs);
       before.setInstances(instances);
       before.recordRequest("s");
-      // It saves up all that it may have, and the window begins.
+      // The instance uses no retries until the window begins.
       clock.nowMs = 10 * options.windowMs;
-      retries += drain(before);
+      retries += exhaust(before);
       clock.nowMs += options.windowMs / 2;
-      retries += drain(before);
+      retries += exhaust(before);
       const after = new RetryBudgets(options, () => clock.nowMs);
       after.setInstances(instances);
       after.recordRequest("s");
       clock.nowMs += options.windowMs / 2;
-      retries += drain(after);
+      retries += exhaust(after);
     }
     t.true(retries <= options.slack + options.ratio * 2 * instances, `${retries} retries`);
   });
 }
 
-test("an instance of a large fleet may use its share of a window within a moment, since engines refuse in bursts", (t) => {
+test("an instance of a large fleet may use its share of a window at once, since engines reject requests in bursts", (t) => {
   const clock = { nowMs: 0 };
   const budgets = new RetryBudgets({ ...options, slack: 574 }, () => clock.nowMs);
   budgets.setInstances(195);
-  // 1.2 requests a second for one window: a share of 0.18 of 12, and half of 574 / 195.
+  // 1.2 requests per second for one window allow 0.18 times 12 retries, plus half of 574 / 195.
   for (; clock.nowMs < options.windowMs; clock.nowMs += 833) budgets.recordRequest("s");
-  t.is(drain(budgets), 3);
+  t.is(exhaust(budgets), 3);
   clock.nowMs += options.windowMs * 1.1;
-  t.is(drain(budgets), 1, "the requests have fallen out of the window, and the retries too");
+  t.is(exhaust(budgets), 1, "neither the requests nor the retries are in the window any more");
 });
 
-test("parts of instances that left are shared out only after a window", (t) => {
+test("the shares of instances that left are redistributed only after a window", (t) => {
   const clock = { nowMs: 0 };
   const budgets = new RetryBudgets(options, () => clock.nowMs);
   budgets.setInstances(8);
-  t.is(drain(budgets), 12);
+  t.is(exhaust(budgets), 12);
   budgets.setInstances(4);
   clock.nowMs += options.windowMs * 0.9;
-  t.is(drain(budgets), 0);
+  t.is(exhaust(budgets), 0);
   clock.nowMs += options.windowMs;
-  t.is(drain(budgets), 25);
+  t.is(exhaust(budgets), 25);
 });
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -1,4 +1,4 @@
-/** What becomes of streams whose chain stands still. */
+/** Handling of streams whose chain stalls. */
 import { EventEmitter } from "node:events";
 import type * as http from "node:http";
 import test from "ava";
@@ -103,7 +103,7 @@
   return { clock, endpoints, orders, monitor, attempt, reservation };
 }
 
-test("a stream that stands still is moved to another holder of the layers, and the engine at fault gets nothing new", async (t) => {
+test("a stalled stream is moved to another engine with the layers, and the engine at fault gets no new requests", async (t) => {
   const { clock, endpoints, orders, monitor, attempt, reservation } = setUp();
   await monitor.check();
   t.deepEqual(orders.chains, ["a,c"]);
@@ -115,12 +115,12 @@
   t.false(attempt.abort.signal.aborted);
 });
 
-test("an engine that has no room for a moved stream does not end it: the next look takes another", async (t) => {
+test("if an engine has no capacity for a moved stream, the next check chooses another engine", async (t) => {
   const { clock, endpoints, orders, monitor, attempt, reservation } = setUp();
   orders.changeAnswer = results.Err(new OrderRefusedError("a:1", 409, "c:1"));
   await monitor.check();
   t.false(attempt.abort.signal.aborted);
-  t.false(endpoints.get("c")?.isSuspect(clock.nowMs), "want of room is no evidence of a fault");
+  t.false(endpoints.get("c")?.isSuspect(clock.nowMs), "lack of capacity is no evidence of a fault");
   t.deepEqual(endpoints.get("c")?.own, { requests: 0, tokenLayers: 0 });
   orders.changeAnswer = results.Ok(undefined);
   clock.nowMs += 350;
@@ -129,25 +129,25 @@
   t.is(reservation.stages[1]?.endpointId, "d");
 });
 
-test("the room that a stream holds at its first engine does not stand in its own way", async (t) => {
+test("the capacity that a stream uses at its first engine does not prevent its move", async (t) => {
   const { endpoints, orders, monitor } = setUp();
   const first = endpoints.get("a");
   if (first === undefined) return t.fail();
   const capacity = getCapacityTokenLayers(first, profile);
-  // All that is handed out is taken, this stream's own part included.
+  // The whole usable capacity is taken, including the reservation of this stream.
   first.addOwn(1, Math.floor(capacity * 0.92) - first.own.tokenLayers);
   await monitor.check();
   t.deepEqual(orders.chains, ["a,c"]);
 });
 
-test("a stream that stays silent is given up before its caller leaves", async (t) => {
+test("a stream that stays silent is aborted before its caller disconnects", async (t) => {
   const { clock, monitor, attempt } = setUp();
   clock.nowMs += 1_000;
   await monitor.check();
   t.true(attempt.abort.signal.aborted);
 });
 
-test("a stream that passed an engine whose process started again goes on elsewhere at once", async (t) => {
+test("a stream is moved immediately when the process of a later engine of its chain restarts", async (t) => {
   const { endpoints, orders, attempt, reservation } = setUp();
   endpoints.noteStart("b", 1_000, [{ start: 2, end: 4 }]);
   endpoints.noteStart("b", 2_000, []);
@@ -156,14 +156,14 @@
   t.false(attempt.abort.signal.aborted);
 });
 
-test("a stream that began at an engine whose process started again is lost there", (t) => {
+test("a stream is aborted when the process of its first engine restarts", (t) => {
   const { endpoints, attempt } = setUp();
   endpoints.noteStart("a", 1_000, [{ start: 0, end: 2 }]);
   endpoints.noteStart("a", 2_000, [{ start: 0, end: 2 }]);
   t.true(attempt.abort.signal.aborted);
 });
 
-test("no stream is given up for the time for which this instance itself stood still", async (t) => {
+test("a suspension of this process does not count as silence of its streams", async (t) => {
   const { clock, monitor, attempt } = setUp();
   clock.nowMs += 6_000;
   monitor.noteOwnPause(6_000);
--- a/packages/gateway/src/tests/requests/crashingRequestTests.ts
+++ b/packages/gateway/src/tests/requests/crashingRequestTests.ts
@@ -1,4 +1,4 @@
-/** Requests that crash plain endpoints: each kind is held back after three crashes. */
+/** Quarantine of requests that crash their endpoints: each such request is rejected after three crashes. */
 import test from "ava";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 import { createRoute } from "../createParts.js";
@@ -8,7 +8,7 @@
 const allowedCrashes = 3;
 const trialMs = 3_000;
 
-/** Crashes on one path, and answers on all others. */
+/** Creates a handler that crashes its endpoint on one path and answers on all others. */
 function createHandler(crashed: string[]): EndpointHandler {
   return (request, response, crash) => {
     if (request.url === crashingPath) {
@@ -21,7 +21,7 @@
 }
 
 for (const kind of ["safe", "unsafe"] as const) {
-  test(`of ${kind} requests that crash plain endpoints none is sent after the third crash, and others are served`, async (t) => {
+  test(`${kind} requests that crash plain endpoints are not sent after the third crash, and others are served`, async (t) => {
     const fixture = new GatewayFixture();
     t.teardown(() => fixture.close());
     await fixture.start(createRoute({ targets: [{ service: "engines", weight: 1 }], kind, maxAttempts: 2 }));
@@ -29,14 +29,14 @@
     const handler = createHandler(crashed);
     await fixture.list([handler, handler, handler, handler, handler, handler], {});
     for (let repeat = 0; repeat < 6; repeat++) await fixture.request("POST", key, crashingPath);
-    const refused = await fixture.request("POST", key, crashingPath);
+    const rejected = await fixture.request("POST", key, crashingPath);
     t.is(crashed.length, allowedCrashes);
-    t.is(refused.status, 503);
-    const firstHoldMs = Number(refused.headers["x-retry-after-ms"]);
-    t.true(firstHoldMs > 0);
-    // A trial may meet an endpoint that is gone, and is then made again after some seconds.
+    t.is(rejected.status, 503);
+    const firstQuarantineMs = Number(rejected.headers["x-retry-after-ms"]);
+    t.true(firstQuarantineMs > 0);
+    // A trial may be sent to an endpoint that has crashed before; it is repeated after some seconds then.
     for (let trial = 0; trial < 6 && crashed.length === allowedCrashes; trial++) {
-      fixture.crashClockMs += firstHoldMs + trialMs;
+      fixture.crashClockMs += firstQuarantineMs + trialMs;
       await fixture.request("POST", key, crashingPath);
     }
     t.is(crashed.length, allowedCrashes + 1, "the trial");
@@ -48,8 +48,8 @@
   });
 }
 
-// Guards against one request's own attempts that end the first engines of one zone after the other.
-test("a stream that has crashed two engines does not begin at the last one with the first layers", async (t) => {
+// Guards against a request whose attempts crash all engines of a zone that have the first layers, one after the other.
+test("a stream that has crashed two engines does not begin at the last engine with the first layers", async (t) => {
   const fixture = new GatewayFixture();
   t.teardown(() => fixture.close());
   const streaming = { kind: "streaming", isResumable: true } as const;
--- a/packages/gateway/src/tests/requests/denialTests.ts
+++ b/packages/gateway/src/tests/requests/denialTests.ts
@@ -1,4 +1,7 @@
-/** What does not exist is denied only on a proof that nothing newer has been in force for long; callers don't come back from a denial. */
+/**
+ * Permanent rejections of unknown routes and keys. Callers do not retry them, so they require a configuration that is known to be
+ * current.
+ */
 import test, { type ExecutionContext } from "ava";
 import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
 import { DenialProof, getHeldReadMs } from "../../configuration/DenialProof.js";
@@ -22,38 +25,38 @@
   return fixture;
 }
 
-test("a route that a newer configuration may have is waited for, and served once it has come", async (t) => {
+test("a request waits while a newer configuration may contain its route, and is served after its arrival", async (t) => {
   const fixture = await setUp(t);
   fixture.configure(route);
   fixture.behindMs = 1;
-  const seen = fixture.request("POST", key, "/b/x");
+  const received = fixture.request("POST", key, "/b/x");
   await fixture.waitForRequest();
   fixture.behindMs = 0;
   fixture.configure(added);
-  t.is((await seen).status, 200);
+  t.is((await received).status, 200);
 });
 
-test("a route or a key that is not known is denied at once on a young proof", async (t) => {
+test("unknown routes and keys are rejected permanently and immediately while the configuration is current", async (t) => {
   const fixture = await setUp(t);
   fixture.configure(route);
   t.is((await fixture.request("POST", key, "/b/x")).status, 404);
   t.is((await fixture.request("POST", { ...key, "x-key": "other" })).status, 401);
 });
 
-test("where a proof is long overdue, the caller is told at once to come back", async (t) => {
+test("while the configuration is long out of date, unknown routes and keys get a retryable rejection immediately", async (t) => {
   const fixture = await setUp(t);
   fixture.keeper.accept(createConfiguration(1, [route]));
   for (const [path, account] of [
     ["/b/x", "k1"],
     ["/a/x", "other"],
   ] as const) {
-    const seen = await fixture.request("POST", { "x-id": "r1", "x-key": account }, path);
-    t.is(seen.status, 503);
-    t.true(Number(seen.headers["x-retry-after-ms"]) > 0);
+    const received = await fixture.request("POST", { "x-id": "r1", "x-key": account }, path);
+    t.is(received.status, 503);
+    t.true(Number(received.headers["x-retry-after-ms"]) > 0);
   }
 });
 
-test("a proof holds until shortly before the deadline, and not while something newer is known", (t) => {
+test("a configuration counts as current until shortly before the deadline, but not while a newer one is known to exist", (t) => {
   let nowMs = 10_000;
   let behindMs = 0;
   const keeper = new ConfigurationKeeper(() => nowMs);
@@ -74,7 +77,7 @@
   t.false(denials.isProven());
 });
 
-test("a wait for a proof ends with it, and without one when its time is over", async (t) => {
+test("a wait for a current configuration ends with its confirmation or at its timeout", async (t) => {
   let nowMs = 10_000;
   const keeper = new ConfigurationKeeper(() => nowMs);
   const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
@@ -91,7 +94,7 @@
   t.false(await unproven);
 });
 
-test("held reads keep proofs young enough for denials", (t) => {
+test("long-polling reads confirm the configuration often enough for permanent rejections", (t) => {
   for (const boundMs of [1_000, 2_000, deadlineMs, 60_000]) {
     let nowMs = 0;
     const keeper = new ConfigurationKeeper(() => nowMs);
@@ -99,7 +102,7 @@
     const denials = new DenialProof({ ...structure, nowMs: () => nowMs });
     keeper.accept(createConfiguration(1));
     keeper.confirm(1, 0);
-    // A proof counts from the sending of a read; the next one comes once that and another read have been held.
+    // A confirmation counts from the send of its read, so the next one arrives after two held reads at the latest.
     nowMs = 2 * getHeldReadMs(boundMs);
     t.true(denials.isProven(), `${boundMs} ms`);
   }
--- a/packages/gateway/src/tests/requests/endpointHandlers.ts
+++ b/packages/gateway/src/tests/requests/endpointHandlers.ts
@@ -1,16 +1,16 @@
-/** What scripted endpoints do, and the gateway in front of them. */
+/** Handlers of scripted endpoints, and the setup of a gateway in front of them. */
 import type * as http from "node:http";
 import type { ExecutionContext } from "ava";
 import type { Route } from "../../configuration/gatewayConfiguration.js";
 import { createRoute } from "../createParts.js";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 
-/** Times of routes that no test waits for. */
+/** A time limit of routes that no test reaches. */
 export const generousMs = 30_000;
-/** What each request of a test carries. */
+/** Headers of each test request. */
 export const key = { "x-id": "r1", "x-key": "k1" };
 
-/** Starts a gateway with one route, until the test ends. */
+/** Starts a gateway with one route and closes it at the end of the test. */
 export async function setUp(t: ExecutionContext, changes: Partial<Route>): Promise<GatewayFixture> {
   const fixture = new GatewayFixture();
   t.teardown(() => fixture.close());
@@ -19,14 +19,14 @@
   return fixture;
 }
 
-/** Answers each request the same. */
+/** Creates a handler that gives the same answer to each request. */
 export function answer(status: number, body = "", headers: Record<string, string> = {}): EndpointHandler {
   return (request, response) => {
     response.writeHead(status, { "x-id": String(request.headers["x-id"]), ...headers }).end(body);
   };
 }
 
-/** Keeps the requests that a handler gets. */
+/** Wraps a handler to record the requests that it receives. */
 export function count(handler: EndpointHandler): EndpointHandler & { requests: http.IncomingMessage[] } {
   const requests: http.IncomingMessage[] = [];
   const counting: EndpointHandler = (request, response, crash) => {
--- a/packages/gateway/src/tests/requests/endpointStatementTests.ts
+++ b/packages/gateway/src/tests/requests/endpointStatementTests.ts
@@ -1,4 +1,4 @@
-/** What endpoints say of themselves with their answers, and what reaches them afterwards. */
+/** Statements of endpoints in their answers' headers, and their effect on later requests. */
 import type * as http from "node:http";
 import { utils } from "@shedtiller/common";
 import test from "ava";
@@ -6,62 +6,62 @@
 import { answer, count, generousMs, key, setUp } from "./endpointHandlers.js";
 import type { EndpointHandler, GatewayFixture } from "./GatewayFixture.js";
 
-/** Longer than any test takes, so that the time of a test decides nothing. */
-const restMs = 60_000;
-const askedTimes = 20;
+/** Longer than any test takes, so that the speed of a test does not affect its result. */
+const backoffMs = 60_000;
+const requestCount = 20;
 const layers = [{ start: 0, end: 4 }];
 const streaming: Partial<Route> = { kind: "streaming", isResumable: true };
 
-const turnAway = answer(503, "", { "x-not-run": "1", "x-rest-ms": String(restMs) });
+const rejectWithBackoff = answer(503, "", { "x-not-run": "1", "x-rest-ms": String(backoffMs) });
 const streamEvents = answer(200, "id: 1\ndata: a\n\n");
 
-/** Sends requests one after the other; gives the statuses of their answers. */
-async function ask(fixture: GatewayFixture, method = "POST"): Promise<number[]> {
+/** Sends requests one after the other and returns the statuses of their answers. */
+async function sendRequests(fixture: GatewayFixture, method = "POST"): Promise<number[]> {
   const statuses: number[] = [];
-  for (let request = 0; request < askedTimes; request++)
+  for (let request = 0; request < requestCount; request++)
     statuses.push((await fixture.request(method, key)).status);
   return statuses;
 }
 
-// Guards against requests that go on reaching a plain endpoint in the time of rest that it asked for.
-test("a plain endpoint that asks for rest gets nothing until it is over", async (t) => {
+// Guards against requests that reach a plain endpoint during the back-off that it asked for.
+test("a plain endpoint that asks for a back-off gets no requests until its end", async (t) => {
   const fixture = await setUp(t, { kind: "safe" });
-  const resting = count(turnAway);
-  await fixture.list([resting, answer(200)], {});
-  t.deepEqual(new Set(await ask(fixture)), new Set([200]));
-  t.is(resting.requests.length, 1);
+  const backingOff = count(rejectWithBackoff);
+  await fixture.list([backingOff, answer(200)], {});
+  t.deepEqual(new Set(await sendRequests(fixture)), new Set([200]));
+  t.is(backingOff.requests.length, 1);
 });
 
-// Guards against streams that begin at an engine in its time of rest as soon as another one ends there.
-test("an engine that asks for rest gets no stream until it is over", async (t) => {
+// Guards against streams that begin at an engine during its back-off as soon as another stream ends there.
+test("an engine that asks for a back-off gets no streams until its end", async (t) => {
   const fixture = await setUp(t, streaming);
   const open: http.ServerResponse[] = [];
-  const resting = count((request, response, crash) => {
-    if (open.length > 0) return turnAway(request, response, crash);
+  const backingOff = count((request, response, crash) => {
+    if (open.length > 0) return rejectWithBackoff(request, response, crash);
     response.writeHead(200, { "x-id": "r1" }).write("id: 1\ndata: a\n\n");
     open.push(response);
   });
-  await fixture.list([resting], { layers });
+  await fixture.list([backingOff], { layers });
   const running = fixture.request("POST", key);
-  while (resting.requests.length === 0) await utils.yieldToEvents();
+  while (backingOff.requests.length === 0) await utils.yieldToEvents();
   t.is((await fixture.request("POST", key)).status, 503);
   for (const response of open) response.end();
   t.true((await running).isWhole);
-  t.deepEqual(new Set(await ask(fixture)), new Set([503]));
-  t.is(resting.requests.length, 2);
+  t.deepEqual(new Set(await sendRequests(fixture)), new Set([503]));
+  t.is(backingOff.requests.length, 2);
 });
 
-// Guards against callers that wait until their deadline, or are called back too early, while all endpoints rest.
-test("where all endpoints rest past the deadline a request is refused at once, with a time at which there is room", async (t) => {
+// Guards against callers that wait until their deadline, or get a Retry-After time that is too early, while all endpoints back off.
+test("a request is rejected immediately while all endpoints back off beyond its deadline, with a later Retry-After time", async (t) => {
   const fixture = await setUp(t, { kind: "unsafe" });
-  const resting = [count(turnAway), count(turnAway)];
-  await fixture.list(resting, {});
-  await ask(fixture);
-  const seen = await fixture.request("POST", key);
-  t.is(seen.status, 503);
-  t.true(Number(seen.headers["x-retry-after-ms"]) > generousMs);
+  const backingOff = [count(rejectWithBackoff), count(rejectWithBackoff)];
+  await fixture.list(backingOff, {});
+  await sendRequests(fixture);
+  const received = await fixture.request("POST", key);
+  t.is(received.status, 503);
+  t.true(Number(received.headers["x-retry-after-ms"]) > generousMs);
   t.deepEqual(
-    resting.map(({ requests }) => requests.length),
+    backingOff.map(({ requests }) => requests.length),
     [1, 1],
   );
 });
@@ -70,14 +70,14 @@
   ["a plain endpoint", { kind: "safe" }, {}],
   ["an engine", streaming, { layers }],
 ] as const) {
-  // Guards against requests that go on reaching an endpoint which says that it leaves while its entry is still as before.
-  test(`${what} that says that it leaves gets nothing new, also while its entry says ready`, async (t) => {
+  // Guards against requests that reach an endpoint which has announced that it drains, while its entry in the list is still unchanged.
+  test(`${what} that announces draining gets no new requests, even while it is listed as ready`, async (t) => {
     const fixture = await setUp(t, route);
-    const leaving = count(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
-    await fixture.list([leaving, streamEvents], changes);
-    while (leaving.requests.length === 0) await fixture.request("POST", key);
-    t.deepEqual(new Set(await ask(fixture)), new Set([200]));
-    t.is(leaving.requests.length, 1);
+    const draining = count(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
+    await fixture.list([draining, streamEvents], changes);
+    while (draining.requests.length === 0) await fixture.request("POST", key);
+    t.deepEqual(new Set(await sendRequests(fixture)), new Set([200]));
+    t.is(draining.requests.length, 1);
   });
 }
 
@@ -87,12 +87,12 @@
 const leastServed = 0.99;
 
 for (const [what, fail] of [
-  ["refuses", answer(503, "", { "x-not-run": "1" })],
-  ["resets", (_request, response) => void response.destroy()],
-  ["fails", answer(500)],
+  ["reject requests", answer(503, "", { "x-not-run": "1" })],
+  ["reset connections", (_request, response) => void response.destroy()],
+  ["fail", answer(500)],
 ] as [string, EndpointHandler][]) {
-  // Guards against an endpoint that fails at once, so always has the fewest requests in hand, and draws those that come.
-  test(`a third of the endpoints that ${what} at once costs one caller in a hundred at most`, async (t) => {
+  // Guards against an endpoint that fails immediately: it always has the fewest requests in flight, and so attracts new ones.
+  test(`if a third of the endpoints ${what} immediately, at most 1 % of the callers are affected`, async (t) => {
     const fixture = await setUp(t, { kind: "safe", maxAttempts: 3 });
     const handlers = Array.from({ length: endpointCount }, (_, index) =>
       index < failingCount ? fail : answer(200),
@@ -110,15 +110,15 @@
   ["plain requests", { kind: "safe" }, {}],
   ["streams", streaming, { layers }],
 ] as const) {
-  // Guards against requests that wait for a service of which nothing takes new work any more.
-  test(`where all endpoints leave ${what} are refused at once`, async (t) => {
+  // Guards against requests that wait for a service whose endpoints all drain.
+  test(`${what} are rejected immediately while all endpoints drain`, async (t) => {
     const fixture = await setUp(t, route);
-    const leaving = count(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
-    await fixture.list([leaving], changes);
+    const draining = count(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
+    await fixture.list([draining], changes);
     t.is((await fixture.request("POST", key)).status, 200);
-    const seen = await fixture.request("POST", key);
-    t.is(seen.status, 503);
-    t.is(seen.body, JSON.stringify({ error: "no-endpoint" }));
-    t.is(leaving.requests.length, 1);
+    const received = await fixture.request("POST", key);
+    t.is(received.status, 503);
+    t.is(received.body, JSON.stringify({ error: "no-endpoint" }));
+    t.is(draining.requests.length, 1);
   });
 }
