--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -20,8 +20,8 @@
  * capacity in several zones, and a zone whose capacity is fragmented by such chains sends more requests to other zones. Without a reserve
  * (the trunk reservation of telephone networks) a short overload becomes a lasting one.
  *
- * Measured on a day of three zones: the deployment earned 0.64 of the possible value with the reserve and 0.54 without. Without it, 150 to
- * 195 of 220 streams ran across zones for twenty seconds, at 25 to 28 ms per token instead of 13 to 18.
+ * Measured in a recorded scenario with three zones: the deployment earned 0.64 of the possible value with the reserve and 0.54 without.
+ * Without it, 150 to 195 of 220 streams ran across zones for twenty seconds, at 25 to 28 ms per token instead of 13 to 18.
  */
 const crossZoneCapacityShare = 0.5;
 
--- a/packages/gateway/src/chains/coverLayers.ts
+++ b/packages/gateway/src/chains/coverLayers.ts
@@ -29,8 +29,9 @@
 
 /**
  * Cost of each change of zones within a chain. The activations of a prompt (50 MB on the current deployments) occupy the shared link
- * between the zones for 15 ms, and a saturated link slows every chain across it. Measured on a day of three zones with losses: with this
- * cost 45 GB were transferred between the zones instead of 233, and the deployment earned 0.67 of the possible value instead of 0.39.
+ * between the zones for 15 ms, and a saturated link slows every chain across it. Measured in a recorded scenario with three zones and
+ * losses of engines: with this cost 45 GB were transferred between the zones instead of 233, and the deployment earned 0.67 of the
+ * possible value instead of 0.39.
  */
 const zoneChangeMs = 20_000;
 /** Cost of a chain that begins in another zone, to which only the text of the request and its answer is transferred. */
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet that follows large configurations, in simulated time and without a network: the real code that reads, tells and asks, on links
- * and processors of the rates that the smallest instances have.
+ * Simulation of a fleet that follows large configurations. It runs the production code that reads, broadcasts and requests them in
+ * simulated time, with the link and processor rates of the smallest instances.
  */
 import { utils } from "@shedtiller/common";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
@@ -20,36 +20,36 @@
 import { FleetNetwork } from "./FleetNetwork.js";
 import { SimulatedClock } from "./SimulatedClock.js";
 import { SimulatedLink } from "./SimulatedLink.js";
-import { QuietFeed, SimulatedStore } from "./SimulatedStore.js";
+import { SimulatedStore, UnchangedFeed } from "./SimulatedStore.js";
 
-/** A link of 14 Mbit/s, the smallest of the deployments at hand. */
+/** A link of 14 Mbit/s, the slowest of the current deployments. */
 const linkBytesPerMs = 1_750;
-/** What the store hands out to all readers together. */
+/** Output rate of the store for all readers together. */
 const storeBytesPerMs = 80_000;
-/** Measured on 0.45 MB: 43 ms to decode and 20 ms to encode at a whole core, of which the smallest instances have 0.324. */
+/** Measured with 0.45 MB: 43 ms to decode and 20 ms to encode on a whole core, of which the smallest instances have 0.324. */
 const decodeBytesPerMs = 3_500;
 const encodeBytesPerMs = 7_000;
 const deadlineMs = 3_000;
 const relayTickMs = 200;
-const askTickMs = 400;
-/** Fewer routes than a large configuration has, each as large as ten, so that simulating them takes seconds. */
+const requestTickMs = 400;
+/** Each route is as large as ten usual ones, so that a large configuration has fewer of them and the simulation takes seconds. */
 const routeBytes = 2_050;
 
-/** What a fleet is made of. */
+/** Options of a {@link ConfigurationFleet}. */
 export interface ConfigurationFleetOptions {
   readonly zones: readonly string[];
   readonly instancesPerZone: number;
   readonly seed: number;
 }
 
-/** One instance, from a start to its end. */
+/** One run of an instance, from its start to its end. */
 export interface FleetInstance {
   readonly name: string;
   readonly availabilityZone: string;
   readonly startedAtMs: number;
   readonly keeper: ConfigurationKeeper;
   readonly inLink: SimulatedLink;
-  /** When a version or a newer one came into force; infinite where that was not seen. */
+  /** Returns when a version or a newer one came into force; infinite if it did not. */
   readonly getInForceAtMs: (version: number) => number;
 }
 
@@ -57,12 +57,12 @@
   readonly stop: AbortController;
 }
 
-/** Instances, their store and their network. */
+/** Simulates instances with their store and their network. */
 export class ConfigurationFleet {
   readonly clock = new SimulatedClock();
   readonly store = new SimulatedStore(this.clock, storeBytesPerMs);
   readonly network = new FleetNetwork(this.clock);
-  /** Zones that don't reach the store. */
+  /** Zones that cannot reach the store. */
   readonly withoutStore = new Set<string>();
   private readonly _random: utils.RandomSource;
   private readonly _instances = new Map<string, Running>();
@@ -84,14 +84,14 @@
     return instance;
   }
 
-  /** Ends an instance at once. */
+  /** Kills an instance. */
   kill(name: string): void {
     this._instances.get(name)?.stop.abort();
     this._instances.delete(name);
     this.network.leave(name);
   }
 
-  /** Starts an instance that knows nothing. */
+  /** Starts an instance without any state. */
   start(name: string, availabilityZone: string): void {
     const { clock } = this;
     const keeper = new ConfigurationKeeper(clock.nowMs);
@@ -103,16 +103,16 @@
     const outLink = new SimulatedLink(clock, linkBytesPerMs);
     const identity = { name, availabilityZone };
     const membership = this.network.join({ identity, inLink, outLink, encode, decode });
-    const inForce: { version: number; atMs: number }[] = [];
-    keeper.onChanged(({ version }) => void inForce.push({ version, atMs: clock.nowMs() }));
+    const activations: { version: number; atMs: number }[] = [];
+    keeper.onChanged(({ version }) => void activations.push({ version, atMs: clock.nowMs() }));
     const getInForceAtMs = (version: number): number =>
-      inForce.find((seen) => seen.version >= version)?.atMs ?? Number.POSITIVE_INFINITY;
+      activations.find((activation) => activation.version >= version)?.atMs ?? Number.POSITIVE_INFINITY;
     const isCutOff = (): boolean => this.withoutStore.has(availabilityZone);
     const log = new DecisionLog(new SilentSink(), clock.nowMs);
     const feed = this.store.createFeed({ inLink, decode, isCutOff });
     const time = { nowMs: clock.nowMs, pause: clock.sleep };
     const watch = new ConfigurationWatch(keeper, feed, log, deadlineMs, time);
-    const endpointFeed = new QuietFeed<ListedEndpoint>(clock, isCutOff);
+    const endpointFeed = new UnchangedFeed<ListedEndpoint>(clock, isCutOff);
     const endpointWatch = new EndpointWatch(new EndpointTable(), endpointFeed, log, time);
     const relay = new StoreRelay({ membership, log, nowMs: clock.nowMs });
     relay.add(peerTopics.configurationRead, watch.follower, new ConfigurationChanges(history));
@@ -125,7 +125,7 @@
     void watch.run(stop.signal);
     void endpointWatch.run(stop.signal);
     void this._repeat(relayTickMs, stop.signal, () => relay.check());
-    void this._repeat(askTickMs, stop.signal, () => exchange.askIfStale());
+    void this._repeat(requestTickMs, stop.signal, () => exchange.askIfStale());
     const startedAtMs = clock.nowMs();
     this._instances.set(name, { name, availabilityZone, startedAtMs, keeper, inLink, getInForceAtMs, stop });
   }
@@ -170,14 +170,14 @@
   }
 }
 
-/** A configuration with a number of routes, and one account whose key follows the version. */
+/** Creates a configuration with a number of routes, and one account whose key contains the version. */
 export function createLargeConfiguration(version: number, routes: number): GatewayConfiguration {
-  while (knownRoutes.length < routes) {
-    const name = `r${knownRoutes.length}`;
-    knownRoutes.push(createRoute({ name, host: name.padEnd(routeBytes, "x") }));
+  while (cachedRoutes.length < routes) {
+    const name = `r${cachedRoutes.length}`;
+    cachedRoutes.push(createRoute({ name, host: name.padEnd(routeBytes, "x") }));
   }
-  const configuration = createConfiguration(version, knownRoutes.slice(0, routes));
+  const configuration = createConfiguration(version, cachedRoutes.slice(0, routes));
   return { ...configuration, accounts: [{ name: "farm", apiKeys: [`k${version}`] }] };
 }
 
-const knownRoutes: GatewayConfiguration["routes"] = [];
+const cachedRoutes: GatewayConfiguration["routes"] = [];
--- a/packages/gateway/src/tests/patterns/ConfigurationFleetTests.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleetTests.ts
@@ -1,17 +1,17 @@
 /**
- * Incident: an instance refused a route with "no such route", 3.4 s after a configuration that has it was acknowledged.
- * Seen: a configuration had grown to 2,200 routes (0.45 MB), a version of it followed each 1.84 s, and six in ten instances had just been
- * restarted. Links of 14 Mbit/s were full for five seconds, while what each version changed takes some hundred bytes.
- * How it came about: an instance that is behind asked two peers for the whole configuration every 400 ms and waited 400 ms for each. Over
- * one link the two answers take 0.52 s, so both came too late and were thrown away, and the next two stood behind them. The store's own
- * answer had to share that link.
- * Cause: answers that take longer than the time they are waited for, asked for again and again; what was sent in vain kept the link full.
- * Proof: the tests below, in which instances stayed behind for as long as they were watched, also 13 s after the store had come back.
+ * Guards against instances that never catch up with a large configuration. In an incident an instance rejected a request with "no such
+ * route" 3.4 s after a configuration with this route had been acknowledged. The configuration had 2,200 routes (0.45 MB), a new version
+ * followed every 1.84 s, and 60 % of the instances had just been restarted.
+ *
+ * An instance with an outdated configuration requested the whole configuration from two peers every 400 ms, with a timeout of 400 ms. On a
+ * link of 14 Mbit/s the two answers take 0.52 s, so both timed out and were discarded. The repeated transfers kept the link saturated for
+ * five seconds, although the changes of a version take a few hundred bytes, and delayed the store's own answer as well. In these tests
+ * instances stayed behind to the end, even 13 s after the store was reachable again.
  */
 import test from "ava";
 import { ConfigurationFleet, createLargeConfiguration, type FleetInstance } from "./ConfigurationFleet.js";
 
-/** Within this of its acknowledgement a configuration has to be in force, on the deployments at hand. */
+/** Maximum time from the acknowledgement of a configuration until it is in force, on the current deployments. */
 const boundMs = 3_000;
 const zones = ["east", "west", "south"];
 const smallRoutes = 25;
@@ -25,7 +25,7 @@
 const downMs = 1_500;
 const endMs = growsAtMs + (lastVersion - firstLargeVersion) * versionIntervalMs + 2 * boundMs;
 
-/** A fleet whose configuration grows and then changes again and again. */
+/** Creates a fleet whose configuration grows once and then changes periodically. */
 function createFleet(routes: number, seed: number): ConfigurationFleet {
   const fleet = new ConfigurationFleet({ zones, instancesPerZone: 28, seed });
   fleet.store.write(createLargeConfiguration(1, smallRoutes));
@@ -41,7 +41,7 @@
   return growsAtMs + (version - firstLargeVersion) * versionIntervalMs;
 }
 
-/** Restarts three in five instances at one moment. */
+/** Restarts 60 % of the instances at the same time. */
 function restartMost(fleet: ConfigurationFleet): void {
   fleet.clock.at(restartAtMs, () => {
     const restarted = fleet.instances.filter((_instance, index) => index % 5 < 3);
@@ -52,20 +52,20 @@
   });
 }
 
-/** The longest time from when an instance could know a version until it was in force there. */
+/** Returns the longest time from the moment at which an instance could receive a version until the version was in force there. */
 function getLongestMs(instances: readonly FleetInstance[], sinceMs = 0): { name: string; tookMs: number } {
   let longest = { name: "", tookMs: 0 };
   for (const instance of instances) {
     for (let version = firstLargeVersion; version <= lastVersion; version++) {
-      const knowableAtMs = Math.max(sinceMs, getWrittenAtMs(version), instance.startedAtMs);
-      const tookMs = instance.getInForceAtMs(version) - knowableAtMs;
+      const availableAtMs = Math.max(sinceMs, getWrittenAtMs(version), instance.startedAtMs);
+      const tookMs = instance.getInForceAtMs(version) - availableAtMs;
       if (tookMs > longest.tookMs) longest = { name: instance.name, tookMs };
     }
   }
   return longest;
 }
 
-test("a large configuration reaches a zone that the store turns away through its peers", async (t) => {
+test("a large configuration reaches a zone without access to the store through peers", async (t) => {
   const fleet = createFleet(largeRoutes, 1);
   fleet.clock.at(growsAtMs - 1_000, () => fleet.withoutStore.add("east"));
   await fleet.clock.run(endMs);
@@ -73,7 +73,7 @@
   t.true(tookMs <= boundMs, `${tookMs} ms at ${name}`);
 });
 
-test("after a restart of most instances while the store turns a zone away, none stays behind", async (t) => {
+test("all instances catch up after most of them restart while a zone has no access to the store", async (t) => {
   const fleet = createFleet(largeRoutes, 1);
   const backAtMs = 16_500;
   fleet.clock.at(growsAtMs - 1_000, () => fleet.withoutStore.add("east"));
@@ -84,7 +84,7 @@
   t.true(tookMs <= boundMs, `${tookMs} ms at ${name}`);
 });
 
-test("a zone that was cut off has the newest of many large versions soon after it is reached again", async (t) => {
+test("a zone gets the newest of many large versions soon after a network partition ends", async (t) => {
   const fleet = createFleet(largeRoutes, 1);
   const healedAtMs = 16_500;
   fleet.clock.at(restartAtMs - 1_000, () => {
--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -1,4 +1,4 @@
-/** Peer links in simulated time: messages take their time on the sender's and the receiver's link and on the receiver's processor. */
+/** Peer network in simulated time. A message takes time for encoding, on both links and for decoding. */
 import { errors, results } from "@shedtiller/common";
 import {
   pickContacts,
@@ -19,7 +19,7 @@
   "self" | "getDutyCandidates" | "getLinked" | "notifyAll" | "onLinked" | "onNotice" | "onRequest" | "request"
 >;
 
-/** What an instance of the network is made of. */
+/** An instance with its links and its processor. */
 export interface FleetNode {
   readonly identity: PeerIdentity;
   readonly inLink: SimulatedLink;
@@ -28,31 +28,31 @@
   readonly decode: (sizeBytes: number) => Promise<void>;
 }
 
-interface Joined extends FleetNode {
+interface JoinedNode extends FleetNode {
   readonly notices: Map<string, NoticeHandler>;
   readonly requests: Map<string, RequestHandler>;
 }
 
 const delayMs = 1;
 
-/** Links each instance to all of its zone and to a few of each other one. */
+/** Links each instance to all instances of its zone and to a few of each other zone. */
 export class FleetNetwork {
-  private readonly _joined = new Map<string, Joined>();
-  /** Messages of one connection arrive in their order. */
-  private readonly _tails = new Map<string, Promise<void>>();
-  /** Known until an instance joins or leaves. */
+  private readonly _joined = new Map<string, JoinedNode>();
+  /** The last message of each connection, whose messages arrive in order. */
+  private readonly _lastMessages = new Map<string, Promise<void>>();
+  /** Cache of the links of each instance, cleared when an instance joins or leaves. */
   private readonly _linked = new Map<string, Member[]>();
   private readonly _contacts = new Map<string, Set<string>>();
-  /** Zones that are cut off from the others. */
+  /** Zones that are partitioned from the others. */
   readonly cutOff = new Set<string>();
 
   constructor(private readonly _clock: SimulatedClock) {}
 
   join(node: FleetNode): FleetMembership {
     const self = node.identity;
-    const joined: Joined = { ...node, notices: new Map(), requests: new Map() };
+    const joined: JoinedNode = { ...node, notices: new Map(), requests: new Map() };
     this._joined.set(self.name, joined);
-    this._forgetLinks();
+    this._clearLinks();
     return {
       self,
       getDutyCandidates: () => {
@@ -73,13 +73,13 @@
     };
   }
 
-  /** The instance is gone, and its links with it. */
+  /** Removes an instance and its links. */
   leave(name: string): void {
     this._joined.delete(name);
-    this._forgetLinks();
+    this._clearLinks();
   }
 
-  /** A link carries messages both ways, whichever side dialled it. */
+  /** Returns the linked instances. A link carries messages both ways, whichever side opened it. */
   private _getLinked(self: PeerIdentity): Member[] {
     const known = this._linked.get(self.name) ?? this._findLinked(self);
     this._linked.set(self.name, known);
@@ -115,20 +115,20 @@
     return this.cutOff.has(one.availabilityZone) || this.cutOff.has(other.availabilityZone);
   }
 
-  private _forgetLinks(): void {
+  private _clearLinks(): void {
     this._linked.clear();
     this._contacts.clear();
   }
 
-  private async _notify(from: Joined, to: PeerIdentity, topic: string, body: unknown): Promise<void> {
+  private async _notify(from: JoinedNode, to: PeerIdentity, topic: string, body: unknown): Promise<void> {
     const target = this._joined.get(to.name);
     if (target === undefined) return;
     await this._send(from, target, body);
-    if (this._isHere(target)) target.notices.get(topic)?.(body, from.identity);
+    if (this._isJoined(target)) target.notices.get(topic)?.(body, from.identity);
   }
 
   private async _request(
-    from: Joined,
+    from: JoinedNode,
     name: string,
     topic: string,
     body: unknown,
@@ -137,39 +137,39 @@
     const target = this._joined.get(name);
     const isLinked = this._getLinked(from.identity).some((peer) => peer.name === name);
     if (target === undefined || !isLinked) return results.Err(new errors.ConnectionLostError(name));
-    const late = this._clock
+    const timeout = this._clock
       .sleep(timeoutMs)
       .then(() => results.Err(new errors.DeadlineError(`${topic} at ${name}`, timeoutMs)));
-    return Promise.race([this._ask(from, target, topic, body), late]);
+    return Promise.race([this._exchange(from, target, topic, body), timeout]);
   }
 
-  private async _ask(
-    from: Joined,
-    target: Joined,
+  private async _exchange(
+    from: JoinedNode,
+    target: JoinedNode,
     topic: string,
     body: unknown,
   ): Promise<results.Result<unknown, PeerError>> {
     await this._send(from, target, body);
     const answer: unknown = await target.requests.get(topic)?.(body, from.identity);
-    // An answer is sent whether or not it is still waited for.
+    // The answer is sent even after the request has timed out.
     await this._send(target, from, answer);
     return results.Ok(answer);
   }
 
-  private async _send(from: Joined, to: Joined, body: unknown): Promise<void> {
+  private async _send(from: JoinedNode, to: JoinedNode, body: unknown): Promise<void> {
     const sizeBytes = getSizeBytes(body);
     await from.encode(sizeBytes);
     const pair = `${from.identity.name} ${to.identity.name}`;
-    const sent = (this._tails.get(pair) ?? Promise.resolve()).then(async () => {
+    const sent = (this._lastMessages.get(pair) ?? Promise.resolve()).then(async () => {
       await this._clock.sleep(delayMs);
-      await transfer(from.outLink, to.inLink, sizeBytes, () => !this._isHere(from) || !this._isHere(to));
+      await transfer(from.outLink, to.inLink, sizeBytes, () => !this._isJoined(from) || !this._isJoined(to));
     });
-    this._tails.set(pair, sent);
+    this._lastMessages.set(pair, sent);
     await sent;
     await to.decode(sizeBytes);
   }
 
-  private _isHere(node: Joined): boolean {
+  private _isJoined(node: JoinedNode): boolean {
     return this._joined.get(node.identity.name) === node;
   }
 }
--- a/packages/gateway/src/tests/patterns/LimitedFleet.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleet.ts
@@ -1,6 +1,7 @@
 /**
- * Endpoints that name limits, and instances that keep them, with the real code that reads, tells, asks and hands out, in simulated time and
- * without a network. Requests come by chance at each instance; one that finds no permit waits for it for a while.
+ * Simulation of instances that share the rate limits of endpoints. It runs the production code that reads and broadcasts limits and that
+ * requests and grants permits, in simulated time and without a network. Requests arrive at random at each instance; a request without a
+ * permit waits for one for a limited time.
  */
 import { errors, results, utils } from "@shedtiller/common";
 import {
@@ -30,11 +31,11 @@
 const messageMs = 2;
 const answerMs = 60;
 const loadTickMs = 200;
-/** How often it is looked whether requests come again. */
-const idleMs = 200;
-const longestWaitMs = 1_500;
+/** Interval at which an instance without demand checks whether it has demand again. */
+const idlePollMs = 200;
+const maxWaitMs = 1_500;
 
-/** What a fleet is made of. */
+/** Options of a {@link LimitedFleet}. */
 export interface LimitedFleetOptions {
   readonly instances: number;
   readonly endpoints: number;
@@ -52,24 +53,24 @@
   readonly waiting: (() => boolean)[];
   readonly loads: LoadExchange;
   readonly permits: PermitExchange;
-  isOver: boolean;
+  isStopped: boolean;
 }
 
-/** One fleet a simulation. */
+/** Simulates a fleet of instances and its endpoints. */
 export class LimitedFleet {
-  /** Times at which each endpoint got a request. */
+  /** By endpoint: the times at which it received requests. */
   readonly arrivalsAtMs = new Map<string, number[]>();
   served = 0;
-  /** Questions for permits, of instances and of zones. */
-  questions = 0;
-  refused = 0;
+  /** Number of requests for permits, from instances and from zones. */
+  permitRequests = 0;
+  rejected = 0;
   private readonly _random: utils.RandomSource;
   private readonly _limitsPerSecond = new Map<string, number>();
   private readonly _instances: Instance[] = [];
   private readonly _cut = new Set<string>();
   private readonly _identities: readonly PeerIdentity[];
   private readonly _contacts = new Map<string, Set<string>>();
-  private readonly _wanted = new Map<string, PeerIdentity[]>();
+  private readonly _linked = new Map<string, PeerIdentity[]>();
   private _perSecond: (index: number) => number = () => 0;
 
   constructor(
@@ -83,54 +84,54 @@
     }));
     for (const { id } of this._list()) this.arrivalsAtMs.set(id, []);
     for (let index = 0; index < _options.instances; index++) this._instances.push(this._start(index));
-    for (let index = 0; index < _options.instances; index++) this._call(index);
+    for (let index = 0; index < _options.instances; index++) this._scheduleArrival(index);
   }
 
-  /** From now on an endpoint names a limit, another one, or none. */
-  name(id: string, perSecond: number | undefined): void {
+  /** Sets or removes the limit that an endpoint states in its answers. */
+  setLimit(id: string, perSecond: number | undefined): void {
     if (perSecond === undefined) this._limitsPerSecond.delete(id);
     else this._limitsPerSecond.set(id, perSecond);
   }
 
-  /** From now on this many requests a second come to each instance. */
+  /** Sets the number of requests per second that arrive at each instance. */
   setDemand(perSecond: (index: number) => number): void {
     this._perSecond = perSecond;
   }
 
-  /** Cuts instances, or whole zones, off from all others, or links them again. They still reach the endpoints. */
+  /** Partitions an instance or a zone from all others, or ends the partition. Its instances still reach the endpoints. */
   setCut(name: string, isCut: boolean): void {
     if (isCut) return void this._cut.add(name);
     this._cut.delete(name);
-    for (const instance of this._instances) this._greet(instance);
+    for (const instance of this._instances) this._notifyLinked(instance);
   }
 
-  /** Another process under the same name, which knows nothing. */
+  /** Restarts an instance under the same name and without its state. */
   restart(index: number): void {
     const before = this._instances[index];
-    if (before !== undefined) before.isOver = true;
+    if (before !== undefined) before.isStopped = true;
     const instance = this._start(index);
     this._instances[index] = instance;
-    this._greet(instance);
+    this._notifyLinked(instance);
   }
 
-  /** Names of the instances that hand out permits for a zone now, as they see it themselves. */
+  /** Returns the names of the instances that consider themselves the collector of their zone, which grants permits. */
   getCollectors(): string[] {
     return this._instances.filter(({ loads }) => loads.isCollector).map(({ identity }) => identity.name);
   }
 
-  /** The most requests that an endpoint got in a span of `windowMs` between two moments. */
-  getWorst(id: string, windowMs: number, fromMs: number, toMs: number): number {
+  /** Returns the maximum number of requests that an endpoint received in a window of `windowMs` between two times. */
+  getMaxInWindow(id: string, windowMs: number, fromMs: number, toMs: number): number {
     const times = (this.arrivalsAtMs.get(id) ?? []).filter((atMs) => atMs >= fromMs && atMs < toMs);
     let first = 0;
-    let worst = 0;
+    let max = 0;
     times.forEach((atMs, index) => {
       while ((times[first] ?? 0) <= atMs - windowMs) first += 1;
-      worst = Math.max(worst, index - first + 1);
+      max = Math.max(max, index - first + 1);
     });
-    return worst;
+    return max;
   }
 
-  /** Requests a second that an endpoint got between two moments. */
+  /** Returns the requests per second that an endpoint received between two times. */
   getPerSecond(id: string, fromMs: number, toMs: number): number {
     const times = (this.arrivalsAtMs.get(id) ?? []).filter((atMs) => atMs >= fromMs && atMs < toMs);
     return (times.length / (toMs - fromMs)) * utils.msPerSecond;
@@ -170,9 +171,9 @@
     });
     const waiting: (() => boolean)[] = [];
     const parts = { notices, requests, linkedListeners, endpoints, limits, demand, waiting, loads, permits };
-    const instance: Instance = { identity, ...parts, isOver: false };
+    const instance: Instance = { identity, ...parts, isStopped: false };
     demand.addQueue(() => waiting.length);
-    demand.onPermits(() => this._lookAgain(instance));
+    demand.onPermits(() => this._serveWaiting(instance));
     this._repeat(instance, loadTickMs, () => loads.tell());
     this._repeat(instance, permitTickMs, () => void permits.tick());
     return instance;
@@ -180,7 +181,7 @@
 
   private _repeat(instance: Instance, tickMs: number, act: () => void): void {
     const step = (): void => {
-      if (instance.isOver) return;
+      if (instance.isStopped) return;
       act();
       this._clock.at(this._clock.nowMs() + tickMs, step);
     };
@@ -196,8 +197,10 @@
     return {
       self,
       getDutyCandidates: () => {
-        const near = this._getLinked(self).filter((peer) => peer.availabilityZone === self.availabilityZone);
-        return [...near.map(({ name }) => name), self.name];
+        const inZone = this._getLinked(self).filter(
+          (peer) => peer.availabilityZone === self.availabilityZone,
+        );
+        return [...inZone.map(({ name }) => name), self.name];
       },
       getLinked: () => this._getLinked(self).map(toMember),
       onLinked: (listener) => void handlers.linkedListeners.push(listener),
@@ -212,13 +215,13 @@
   }
 
   private _getLinked(self: PeerIdentity): PeerIdentity[] {
-    const wanted = this._wanted.get(self.name) ?? this._findWanted(self);
-    this._wanted.set(self.name, wanted);
-    return wanted.filter((peer) => !this._isCut(self, peer));
+    const linked = this._linked.get(self.name) ?? this._findLinked(self);
+    this._linked.set(self.name, linked);
+    return linked.filter((peer) => !this._isCut(self, peer));
   }
 
-  /** All of the own zone, and a few of each other one; a link carries messages both ways, whichever side wants it. */
-  private _findWanted(self: PeerIdentity): PeerIdentity[] {
+  /** Returns all instances of the own zone and a few of each other zone. A link carries messages both ways, whichever side opens it. */
+  private _findLinked(self: PeerIdentity): PeerIdentity[] {
     const others = this._identities.filter(({ name }) => name !== self.name);
     const contacts = this._getContacts(self);
     return others.filter(
@@ -254,14 +257,14 @@
     });
   }
 
-  /** Over a contact of the other zone where there is no link, which takes a message more each way. */
+  /** Sends a request. It takes two message delays each way, as if it were relayed by a contact in the other zone. */
   private async _request(
     from: PeerIdentity,
     name: string,
     topic: string,
     body: unknown,
   ): Promise<results.Result<unknown, PeerError>> {
-    this.questions += 1;
+    this.permitRequests += 1;
     await this._clock.sleep(2 * messageMs);
     const target = this._find(name);
     if (target === undefined || this._isCut(from, target.identity))
@@ -271,41 +274,42 @@
     return results.Ok(answer);
   }
 
-  private _greet({ identity, linkedListeners }: Instance): void {
+  /** Notifies an instance and its peers that they are linked. */
+  private _notifyLinked({ identity, linkedListeners }: Instance): void {
     for (const peer of this._getLinked(identity)) {
       for (const listener of linkedListeners) listener(peer);
       for (const listener of this._find(peer.name)?.linkedListeners ?? []) listener(identity);
     }
   }
 
-  /** Requests come to an instance by chance, at its rate of the moment. */
-  private _call(index: number): void {
+  /** Schedules the next request at an instance, as a Poisson process with its current rate. */
+  private _scheduleArrival(index: number): void {
     const perSecond = this._perSecond(index);
     const pauseMs =
-      perSecond > 0 ? (-Math.log(1 - this._random.nextUnit()) / perSecond) * utils.msPerSecond : idleMs;
+      perSecond > 0 ? (-Math.log(1 - this._random.nextUnit()) / perSecond) * utils.msPerSecond : idlePollMs;
     this._clock.at(this._clock.nowMs() + pauseMs, () => {
       const instance = this._instances[index];
       if (perSecond > 0 && instance !== undefined) this._arrive(instance);
-      this._call(index);
+      this._scheduleArrival(index);
     });
   }
 
   private _arrive(instance: Instance): void {
     instance.demand.noteArrival(service);
     if (instance.waiting.length === 0 && this._trySend(instance)) return;
-    const tryEnd = (): boolean => this._trySend(instance);
-    instance.waiting.push(tryEnd);
+    const trySend = (): boolean => this._trySend(instance);
+    instance.waiting.push(trySend);
     instance.demand.noteWaiting();
-    this._lookAgain(instance);
-    this._clock.at(this._clock.nowMs() + longestWaitMs, () => {
-      const at = instance.waiting.indexOf(tryEnd);
+    this._serveWaiting(instance);
+    this._clock.at(this._clock.nowMs() + maxWaitMs, () => {
+      const at = instance.waiting.indexOf(trySend);
       if (at < 0) return;
       instance.waiting.splice(at, 1);
-      this.refused += 1;
+      this.rejected += 1;
     });
   }
 
-  private _lookAgain(instance: Instance): void {
+  private _serveWaiting(instance: Instance): void {
     while (instance.waiting[0]?.() === true) instance.waiting.shift();
   }
 
@@ -331,7 +335,7 @@
       this.served += 1;
       const perSecond = this._limitsPerSecond.get(endpoint.id);
       const stated: StatedLimit = perSecond === undefined ? { kind: "none" } : { kind: "named", perSecond };
-      if (!instance.isOver) instance.limits.noteAnswer(endpoint, stated, sentAtMs);
+      if (!instance.isStopped) instance.limits.noteAnswer(endpoint, stated, sentAtMs);
     });
   }
 }
--- a/packages/gateway/src/tests/patterns/SimulatedClock.ts
+++ b/packages/gateway/src/tests/patterns/SimulatedClock.ts
@@ -1,22 +1,24 @@
-/** Time that passes only when a test says so: waits end in their order, and all that they lead to is done before the next one. */
+/** Simulated time, which advances only when a test runs it. */
 import { errors, utils } from "@shedtiller/common";
 
-interface Wait {
+interface Timer {
   readonly atMs: number;
   readonly order: number;
-  readonly end: () => void;
+  readonly fire: () => void;
 }
 
-/** One clock a simulation. */
+/**
+ * Fires timers in the order of their times. All consequences of a timer are complete before the next one fires. One clock per simulation.
+ */
 export class SimulatedClock {
   private _nowMs = 0;
   private _order = 0;
-  /** A heap: the wait that ends first is at its root. */
-  private readonly _waits: Wait[] = [];
+  /** Binary heap with the next timer at its root. */
+  private readonly _timers: Timer[] = [];
 
   readonly nowMs = (): number => this._nowMs;
 
-  /** Waits for `durationMs`, or rejects with `CancelledError` once `signal` aborts. */
+  /** Resolves after `durationMs`, or rejects with `CancelledError` once `signal` aborts. */
   readonly sleep = (durationMs: number, signal?: AbortSignal): Promise<void> =>
     new Promise((resolve, reject) => {
       const cancel = (): void => reject(new errors.CancelledError("A wait"));
@@ -28,66 +30,66 @@
       });
     });
 
-  /** Calls `action` at a time. */
+  /** Schedules `action` for a time. */
   at(atMs: number, action: () => void): void {
-    this._waits.push({ atMs, order: this._order++, end: action });
-    this._rise(this._waits.length - 1);
+    this._timers.push({ atMs, order: this._order++, fire: action });
+    this._siftUp(this._timers.length - 1);
   }
 
-  /** Lets time pass until `endMs`. */
+  /** Advances the time to `endMs`. */
   async run(endMs: number): Promise<void> {
-    for (let next = this._waits[0]; next !== undefined && next.atMs <= endMs; next = this._waits[0]) {
+    for (let next = this._timers[0]; next !== undefined && next.atMs <= endMs; next = this._timers[0]) {
       this._nowMs = Math.max(this._nowMs, next.atMs);
-      this._takeFirst().end();
-      // All tasks here wait on promises only, which are settled before the loop's next turn.
+      this._takeFirst().fire();
+      // Tasks in a simulation await promises only, which are settled before the next turn of the event loop.
       await utils.yieldToEvents();
     }
     this._nowMs = endMs;
   }
 
-  private _takeFirst(): Wait {
-    const first = this._waits[0];
-    const last = this._waits.pop();
-    if (first === undefined || last === undefined) throw new RangeError("There is nothing to wait for.");
-    if (this._waits.length > 0) {
-      this._waits[0] = last;
-      this._sink(0);
+  private _takeFirst(): Timer {
+    const first = this._timers[0];
+    const last = this._timers.pop();
+    if (first === undefined || last === undefined) throw new RangeError("The clock has no timers.");
+    if (this._timers.length > 0) {
+      this._timers[0] = last;
+      this._siftDown(0);
     }
     return first;
   }
 
-  private _rise(index: number): void {
+  private _siftUp(index: number): void {
     for (let at = index; at > 0;) {
-      const above = (at - 1) >> 1;
-      if (!this._isBefore(at, above)) return;
-      this._swap(at, above);
-      at = above;
+      const parent = (at - 1) >> 1;
+      if (!this._isBefore(at, parent)) return;
+      this._swap(at, parent);
+      at = parent;
     }
   }
 
-  private _sink(index: number): void {
+  private _siftDown(index: number): void {
     for (let at = index; ;) {
       const left = 2 * at + 1;
       const right = left + 1;
-      const least = right < this._waits.length && this._isBefore(right, left) ? right : left;
-      if (least >= this._waits.length || !this._isBefore(least, at)) return;
-      this._swap(least, at);
-      at = least;
+      const child = right < this._timers.length && this._isBefore(right, left) ? right : left;
+      if (child >= this._timers.length || !this._isBefore(child, at)) return;
+      this._swap(child, at);
+      at = child;
     }
   }
 
   private _isBefore(one: number, other: number): boolean {
-    const a = this._waits[one];
-    const b = this._waits[other];
+    const a = this._timers[one];
+    const b = this._timers[other];
     if (a === undefined || b === undefined) return false;
     return a.atMs < b.atMs || (a.atMs === b.atMs && a.order < b.order);
   }
 
   private _swap(one: number, other: number): void {
-    const a = this._waits[one];
-    const b = this._waits[other];
+    const a = this._timers[one];
+    const b = this._timers[other];
     if (a === undefined || b === undefined) return;
-    this._waits[one] = b;
-    this._waits[other] = a;
+    this._timers[one] = b;
+    this._timers[other] = a;
   }
 }
--- a/packages/gateway/src/tests/patterns/SimulatedLink.ts
+++ b/packages/gateway/src/tests/patterns/SimulatedLink.ts
@@ -1,14 +1,13 @@
-/** Links and processors that several transfers share: each passes its next part in turn, so that none waits for all of another. */
+/** Simulated links and processors. Concurrent transfers share them chunk by chunk, so that none waits for the end of another. */
 import type { SimulatedClock } from "./SimulatedClock.js";
 
-/** Part of a transfer that passes at once. */
-const partBytes = 16 * 1024;
-/** Parts on their way at most, as small windows of a connection allow. */
-const windowParts = 4;
+const chunkBytes = 16 * 1024;
+/** Maximum number of chunks in transit, as with a small window of a connection. */
+const windowChunks = 4;
 
-/** Something that passes bytes at a rate, in the order of their arrival. */
+/** Passes bytes at a fixed rate in the order of their arrival. */
 export class SimulatedLink {
-  /** Bytes that have passed. */
+  /** Total number of bytes accepted. */
   passedBytes = 0;
   private _freeAtMs = 0;
 
@@ -28,20 +27,20 @@
 
 /**
  * Sends bytes over one link and then another.
- * @param isGivenUp - Asked before each part; tells whether the rest need not be sent.
+ * @param isAborted - Called before each chunk; returns whether to abort the transfer.
  */
 export async function transfer(
   from: SimulatedLink,
   to: SimulatedLink,
   sizeBytes: number,
-  isGivenUp: () => boolean = () => false,
+  isAborted: () => boolean = () => false,
 ): Promise<void> {
-  const onTheWay: Promise<void>[] = [];
-  for (let leftBytes = sizeBytes; leftBytes > 0 && !isGivenUp(); leftBytes -= partBytes) {
-    const part = Math.min(partBytes, leftBytes);
-    await from.pass(part);
-    onTheWay.push(to.pass(part));
-    if (onTheWay.length >= windowParts) await onTheWay.shift();
+  const inTransit: Promise<void>[] = [];
+  for (let remainingBytes = sizeBytes; remainingBytes > 0 && !isAborted(); remainingBytes -= chunkBytes) {
+    const chunk = Math.min(chunkBytes, remainingBytes);
+    await from.pass(chunk);
+    inTransit.push(to.pass(chunk));
+    if (inTransit.length >= windowChunks) await inTransit.shift();
   }
-  await Promise.all(onTheWay);
+  await Promise.all(inTransit);
 }
--- a/packages/gateway/src/tests/patterns/SimulatedStore.ts
+++ b/packages/gateway/src/tests/patterns/SimulatedStore.ts
@@ -1,4 +1,4 @@
-/** A store of configurations in simulated time: readers share the rate at which it hands out bytes. */
+/** A configuration store in simulated time, whose readers share its output rate. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { GatewayConfiguration } from "../../configuration/gatewayConfiguration.js";
 import { ChangeFeed, type FeedPage, type FeedSnapshot, type StoreError } from "../../discovery/ChangeFeed.js";
@@ -7,24 +7,25 @@
 
 const key = "config";
 const answerMs = 4;
-/** A store that can't be reached is given up by its client after this. */
-const refusedAfterMs = 500;
-/** A page holds at most this, but at least one record. */
+/** Time after which a read of an unreachable store fails. */
+const unreachableTimeoutMs = 500;
+/** Maximum size of a page, which contains at least one record. */
 const pageBytes = 1024 * 1024;
-/** What the store's client waits for an answer, beside the time that the read is held, and then for its body. */
+/** Timeout of the store's client for an answer and its body, in addition to the time for which the store holds a read. */
 const answerTimeoutMs = 1_500;
-/** The newest value is handed out as text, which takes four signs for three bytes. */
-const textFactor = 4 / 3;
+/** Snapshots are encoded as base64, which takes four characters for three bytes. */
+const base64Factor = 4 / 3;
 
-/** Whoever reads: its link, and its processor, which decodes what comes. */
+/** A reader of the store. */
 export interface StoreReader {
   readonly inLink: SimulatedLink;
+  /** Takes the time that the reader's processor needs for decoding. */
   readonly decode: (sizeBytes: number) => Promise<void>;
-  /** Whether the store can be reached now. */
+  /** Whether the store is unreachable for the reader now. */
   readonly isCutOff: () => boolean;
 }
 
-/** Holds the versions that were written. */
+/** Stores the written versions and serves them to readers. */
 export class SimulatedStore {
   private readonly _versions: GatewayConfiguration[] = [];
   private readonly _link: SimulatedLink;
@@ -51,7 +52,7 @@
     return new SimulatedFeed(this, this._clock, reader);
   }
 
-  /** The versions of a page that begins at `offset`. */
+  /** Returns the versions of the page that begins at `offset`. */
   getPage(offset: number): readonly GatewayConfiguration[] {
     const page: GatewayConfiguration[] = [];
     let sizeBytes = 0;
@@ -67,7 +68,7 @@
     return this._versions.length;
   }
 
-  /** Resolves once there is something at `offset`, or after `waitMs`. */
+  /** Resolves once there is a version at `offset`, or after `waitMs`. */
   async hold(offset: number, waitMs: number): Promise<void> {
     const endMs = this._clock.nowMs() + waitMs;
     while (this.end <= offset && this._clock.nowMs() < endMs) {
@@ -75,7 +76,7 @@
     }
   }
 
-  /** Hands out a body; tells whether it came in time. */
+  /** Sends a body to a reader; returns whether it arrived before the timeout. */
   async send(sizeBytes: number, reader: StoreReader): Promise<boolean> {
     await this._clock.sleep(answerMs);
     const endMs = this._clock.nowMs() + answerTimeoutMs;
@@ -98,7 +99,7 @@
 
   override async getSnapshot(): Promise<results.Result<FeedSnapshot<GatewayConfiguration>, StoreError>> {
     const { newest, end } = this._store;
-    const sizeBytes = newest === undefined ? 0 : getSizeBytes(newest) * textFactor;
+    const sizeBytes = newest === undefined ? 0 : getSizeBytes(newest) * base64Factor;
     if (!(await this._send(sizeBytes))) return this._fail();
     const values = new Map(newest === undefined ? [] : [[key, newest]]);
     return results.Ok({ values, nextOffset: end });
@@ -117,10 +118,10 @@
     return results.Ok({ changes, nextOffset: offset + page.length, isCompacted: false });
   }
 
-  /** A store that can't be reached refuses connections after a while. */
+  /** Sends a body, or fails after a timeout if the store is unreachable. */
   private async _send(sizeBytes: number): Promise<boolean> {
     if (!this._reader.isCutOff()) return this._store.send(sizeBytes, this._reader);
-    await this._clock.sleep(refusedAfterMs);
+    await this._clock.sleep(unreachableTimeoutMs);
     return false;
   }
 
@@ -129,8 +130,8 @@
   }
 }
 
-/** The list of endpoints of a fleet whose endpoints stay as they are: only its proofs matter here. */
-export class QuietFeed<T> extends ChangeFeed<T> {
+/** A feed without changes, whose answers only confirm that the data is current. */
+export class UnchangedFeed<T> extends ChangeFeed<T> {
   constructor(
     private readonly _clock: SimulatedClock,
     private readonly _isCutOff: () => boolean,
@@ -152,17 +153,17 @@
   }
 
   private async _answer(heldMs: number): Promise<boolean> {
-    await this._clock.sleep(this._isCutOff() ? refusedAfterMs : heldMs + answerMs);
+    await this._clock.sleep(this._isCutOff() ? unreachableTimeoutMs : heldMs + answerMs);
     return !this._isCutOff();
   }
 }
 
-const knownSizes = new WeakMap<object, number>();
+const cachedSizes = new WeakMap<object, number>();
 
-/** Size of a value as text, which is close to that of the packed form. */
+/** Returns the size of a value as JSON, which is close to its size on the wire. */
 export function getSizeBytes(value: unknown): number {
   if (typeof value !== "object" || value === null) return String(value).length;
-  const sizeBytes = knownSizes.get(value) ?? JSON.stringify(value).length;
-  knownSizes.set(value, sizeBytes);
+  const sizeBytes = cachedSizes.get(value) ?? JSON.stringify(value).length;
+  cachedSizes.set(value, sizeBytes);
   return sizeBytes;
 }
--- a/packages/gateway/src/tests/patterns/largeFleet.ts
+++ b/packages/gateway/src/tests/patterns/largeFleet.ts
@@ -1,7 +1,7 @@
-/** A model and accelerators of a fleet of hundreds of instances, for tests of patterns of load. */
+/** Profile and zones of a fleet of hundreds of instances, for simulations of load. */
 import type { EngineProfile } from "../../configuration/gatewayConfiguration.js";
 
-/** 80 layers of 1,750 MB; three kinds of accelerators, the slowest seven times slower than the fastest. */
+/** 80 layers of 1,750 MB, and three kinds of accelerators, the slowest of which is seven times slower than the fastest. */
 export const largeProfile: EngineProfile = {
   slots: 134,
   layerCount: 80,
@@ -26,7 +26,7 @@
   modelNames: ["m"],
 };
 
-/** Zones by their engines: one of many medium accelerators, one of many small ones. */
+/** Zones with their number of engines per accelerator kind: one with many medium accelerators, one with many small ones. */
 export const largeZones = [
   { name: "medium", engines: { a100: 2, l40s: 18, l4: 15 }, instances: 35, requestsPerSecond: 77 },
   { name: "small", engines: { a100: 4, l40s: 11, l4: 28 }, instances: 42, requestsPerSecond: 68 },
