--- a/packages/admission/src/AccountLimits.ts
+++ b/packages/admission/src/AccountLimits.ts
@@ -116,7 +116,7 @@
   }
 
   /** Forgets sources that are gone for good. */
-  keepSources(sources: ReadonlySet<string>): void {
+  retainSources(sources: ReadonlySet<string>): void {
     for (const name of this._otherDemands.keys()) if (!sources.has(name)) this._otherDemands.delete(name);
   }
 
--- a/packages/admission/src/ArrivalOrderAdmission.ts
+++ b/packages/admission/src/FifoAdmission.ts
@@ -4,7 +4,7 @@
 import { AdmissionRefusedError } from "./refusals.js";
 
 /** First come, first served, without shedding: the baseline that the bench compares against. */
-export class ArrivalOrderAdmission extends Admission {
+export class FifoAdmission extends Admission {
   private readonly _queue: {
     request: AdmissionRequest;
     sinceMs: number;
--- a/packages/admission/src/permits/LentParts.ts
+++ b/packages/admission/src/permits/LentQuotas.ts
@@ -3,7 +3,7 @@
  * with each ask, and counts once no other coordinator can have it any more.
  */
 import { utils } from "@shedtiller/common";
-import type { PermitAsk } from "./permitMessages.js";
+import type { PermitRequest } from "./permitMessages.js";
 
 /** A part that is lent comes back after this without another ask. */
 export const loanMs = 1_000;
@@ -16,28 +16,28 @@
 const assumedInstances = 100;
 
 /** What the parts are found by. */
-export interface LentPartsStructure {
+export interface LentQuotasStructure {
   /** Since when an instance is known to take this one for its coordinator; undefined where it is not. */
   readonly getKnownSinceMs: (name: string) => number | undefined;
   readonly nowMs: () => number;
 }
 
 /** An instance of the own zone, or the coordinator of another one. */
-interface Lender extends Omit<PermitAsk, "wants"> {
+interface Lender extends Omit<PermitRequest, "wants"> {
   /** Since when it asks this coordinator and no other. */
   readonly sinceMs: number;
   readonly heardAtMs: number;
 }
 
 /** One for each coordinator. */
-export class LentParts {
+export class LentQuotas {
   private readonly _lenders = new Map<string, Lender>();
   /** When the parts of this zone were last lent to the coordinator that hands out for another one. */
   private readonly _lentAtMs = new Map<string, number>();
   /** Since when less than the whole is present, by the zone of endpoints. */
   private readonly _lackingSinceMs = new Map<string, number>();
 
-  constructor(private readonly _structure: LentPartsStructure) {}
+  constructor(private readonly _structure: LentQuotasStructure) {}
 
   /** Whether somebody lends its part now. */
   has(name: string): boolean {
@@ -45,7 +45,7 @@
   }
 
   /** Takes what somebody lends with an ask. */
-  note(name: string, { lending, known, zones }: Omit<PermitAsk, "wants">): void {
+  note(name: string, { lending, known, zones }: Omit<PermitRequest, "wants">): void {
     this._forgetSilent();
     const heardAtMs = this._structure.nowMs();
     const sinceMs = this._lenders.get(name)?.sinceMs ?? this._structure.getKnownSinceMs(name) ?? heardAtMs;
@@ -53,7 +53,7 @@
   }
 
   /** Lends the parts of the own zone to another coordinator, for endpoints of some zones; gives what is lent. */
-  lend(zones: readonly string[]): Pick<PermitAsk, "lending" | "known"> {
+  lend(zones: readonly string[]): Pick<PermitRequest, "lending" | "known"> {
     this._forgetSilent();
     const nowMs = this._structure.nowMs();
     for (const zone of zones) this._lentAtMs.set(zone, nowMs);
--- a/packages/admission/src/permits/PermitCoordinator.ts
+++ b/packages/admission/src/permits/PermitCoordinator.ts
@@ -4,8 +4,8 @@
  * that of the endpoint's own zone in the same way. A part is with one of them at a time, so that what all hand out sums to the limit
  * whatever they believe of each other.
  */
-import { LentParts, type LentPartsStructure } from "./LentParts.js";
-import type { GrantedPermits, PermitAsk, WantedPermits } from "./permitMessages.js";
+import { LentQuotas, type LentQuotasStructure } from "./LentQuotas.js";
+import type { GrantedPermits, PermitRequest, LimitDemand } from "./permitMessages.js";
 import { PermitPool } from "./PermitPool.js";
 
 /** Requests before a limit was known count against it only beyond what the limit allows in this time. */
@@ -20,7 +20,7 @@
 }
 
 /** What a coordinator works with. */
-export interface PermitCoordinatorStructure extends LentPartsStructure {
+export interface PermitCoordinatorStructure extends LentQuotasStructure {
   readonly availabilityZone: string;
   readonly getLimit: (key: string) => ZonedLimit | undefined;
   /** Zones of all endpoints with a limit in force. */
@@ -30,13 +30,13 @@
 }
 
 /** What became of permits, and of sends without one. */
-type PermitAccount = Pick<WantedPermits, "used" | "returned" | "charged">;
+type PermitAccount = Pick<LimitDemand, "used" | "returned" | "charged">;
 
 const emptyAccount: PermitAccount = { used: 0, returned: 0, charged: 0 };
 
 /** One an instance; it is asked only while others take it for their coordinator. */
 export class PermitCoordinator {
-  private readonly _parts: LentParts;
+  private readonly _parts: LentQuotas;
   private readonly _pools = new Map<string, PermitPool>();
   /** What the coordinator of the endpoint's zone is still to be told of, by limit. */
   private readonly _accounts = new Map<string, PermitAccount>();
@@ -45,11 +45,11 @@
   private _asks = 0;
 
   constructor(private readonly _structure: PermitCoordinatorStructure) {
-    this._parts = new LentParts(_structure);
+    this._parts = new LentQuotas(_structure);
   }
 
   /** Answers an instance of this zone, or the coordinator of another one. */
-  answer(name: string, ask: PermitAsk): GrantedPermits {
+  answer(name: string, ask: PermitRequest): GrantedPermits {
     this._forgetEnded();
     this._parts.note(name, ask);
     const wantedKeys = new Set(ask.wants.map(({ key }) => key));
@@ -74,9 +74,9 @@
   }
 
   /** What is due from the coordinators of other zones, by their names. */
-  getOutgoingAsks(): Map<string, PermitAsk> {
+  getOutgoingAsks(): Map<string, PermitRequest> {
     this._forgetEnded();
-    const asks = new Map<string, PermitAsk>();
+    const asks = new Map<string, PermitRequest>();
     for (const [zone, name] of this._structure.getCoordinators()) {
       const zones = this._getZonesHandedOutBy(zone);
       if (zones.length === 0) continue;
@@ -85,7 +85,7 @@
     return asks;
   }
 
-  private _take(name: string, wanted: WantedPermits, pool: PermitPool, weight: number): void {
+  private _take(name: string, wanted: LimitDemand, pool: PermitPool, weight: number): void {
     const limit = this._structure.getLimit(wanted.key);
     if (limit === undefined) return;
     pool.keep((participant) => this._parts.has(participant));
@@ -96,7 +96,7 @@
   }
 
   /** Permits are accounted for where they were handed out first. */
-  private _settle(wanted: WantedPermits, pool: PermitPool, limit: ZonedLimit, weight: number): void {
+  private _settle(wanted: LimitDemand, pool: PermitPool, limit: ZonedLimit, weight: number): void {
     const { key, used, returned, charged } = wanted;
     if (this._isHandedOutHere(limit.availabilityZone)) {
       pool.settle(used, returned);
@@ -134,8 +134,8 @@
     return pool;
   }
 
-  private _getWants(zones: readonly string[]): WantedPermits[] {
-    const wants: WantedPermits[] = [];
+  private _getWants(zones: readonly string[]): LimitDemand[] {
+    const wants: LimitDemand[] = [];
     for (const [key, pool] of this._pools) {
       const zone = this._structure.getLimit(key)?.availabilityZone;
       if (zone === undefined || !zones.includes(zone)) continue;
--- a/packages/admission/src/permits/PermitPool.ts
+++ b/packages/admission/src/permits/PermitPool.ts
@@ -16,14 +16,14 @@
 const longestDebtSeconds = 2;
 
 /** Permits that somebody wants. */
-export interface PermitWant {
+export interface PermitDemand {
   readonly count: number;
   /** Of these, for requests that wait for one. */
   readonly waiting: number;
 }
 
 interface Participant {
-  want: PermitWant;
+  want: PermitDemand;
   /** What it wanted when it last asked, and how many of its requests waited then. */
   demand: number;
   waiting: number;
@@ -110,7 +110,7 @@
   }
 
   /** Takes what a participant wants now, in place of what it wanted before. */
-  setWant(name: string, want: PermitWant): void {
+  setWant(name: string, want: PermitDemand): void {
     const known = this._participants.get(name) ?? this._createParticipant();
     // One that wanted nothing for a while has saved up no turns.
     if (known.want.count === 0) known.startTag = Math.max(known.startTag, this._virtualTime);
@@ -151,7 +151,7 @@
   }
 
   /** What is wanted beyond the permits at hand. */
-  getUnfilled(): PermitWant {
+  getUnfilled(): PermitDemand {
     let count = 0;
     let waiting = 0;
     for (const { want } of this._participants.values()) {
--- a/packages/admission/src/permits/permitMessages.ts
+++ b/packages/admission/src/permits/permitMessages.ts
@@ -7,7 +7,7 @@
 const count = zod.number().int().nonnegative().max(mostPermits);
 
 /** What an instance, or a zone, wants of one limit. */
-export const wantedPermitsSchema = zod.object({
+export const limitDemandSchema = zod.object({
   key,
   /** Limits of one group serve the same requests: of all of them together no more is handed out than is wanted of one. */
   group: zod.string().max(256),
@@ -22,19 +22,19 @@
   /** Sends that had no permit, since the limit was not known yet. */
   charged: count,
 });
-export type WantedPermits = zod.infer<typeof wantedPermitsSchema>;
+export type LimitDemand = zod.infer<typeof limitDemandSchema>;
 
 /** A question for permits. Whoever asks lends what it has of the limits to the one that it asks, until its loan runs out. */
-export const permitAskSchema = zod.object({
+export const permitRequestSchema = zod.object({
   /** Instances whose equal parts of the limits it lends. */
   lending: count,
   /** Number of all instances, as far as it knows; 0 where it does not. */
   known: count,
   /** Availability zones of the endpoints whose limits it lends; all where it is left out. */
   zones: zod.array(zod.string()).max(mostLimits).optional(),
-  wants: zod.array(wantedPermitsSchema).max(mostLimits),
+  wants: zod.array(limitDemandSchema).max(mostLimits),
 });
-export type PermitAsk = zod.infer<typeof permitAskSchema>;
+export type PermitRequest = zod.infer<typeof permitRequestSchema>;
 
 /** Permits handed out. */
 export const grantedPermitsSchema = zod.array(zod.object({ key, count })).max(mostLimits);
--- a/packages/admission/src/refusals.ts
+++ b/packages/admission/src/refusals.ts
@@ -1,5 +1,5 @@
 /** Refusals before any work was done. All of them are truthful: nothing ran. */
-import { errors, type Ran } from "@shedtiller/common";
+import { errors, type ExecutionStatus } from "@shedtiller/common";
 
 /** Why a request was not admitted; the label of the refusal metric. */
 export type RefusalReason = "account-concurrency" | "account-tokens" | "overload" | "deadline" | "cancelled";
@@ -7,7 +7,7 @@
 /** The request was not admitted. */
 export class AdmissionRefusedError extends errors.ShedtillerError {
   readonly code = "not_admitted";
-  readonly ran: Ran = "no";
+  readonly ran: ExecutionStatus = "no";
 
   /**
    * @param reason - Why.
--- a/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
+++ b/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
@@ -1,7 +1,7 @@
 /** Parts of limits are with one coordinator at a time, whoever believes to be one. */
 import test from "ava";
-import type { PermitAsk } from "../../permits/permitMessages.js";
-import { loanMs } from "../../permits/LentParts.js";
+import type { PermitRequest } from "../../permits/permitMessages.js";
+import { loanMs } from "../../permits/LentQuotas.js";
 import { PermitCoordinator } from "../../permits/PermitCoordinator.js";
 
 const tickMs = 100;
@@ -43,7 +43,7 @@
     return got;
   }
 
-  ask(name: string, known: number, more: Partial<PermitAsk> = {}): number {
+  ask(name: string, known: number, more: Partial<PermitRequest> = {}): number {
     const wants = [{ key, group: "g", count: 20, waiting: 20, used: 0, returned: 0, charged: 0 }];
     const granted = this.coordinator.answer(name, { lending: 1, known, wants, ...more });
     return granted.reduce((sum, { count }) => sum + count, 0);
--- a/packages/claims/src/AtMostOnce.ts
+++ b/packages/claims/src/AtMostOnce.ts
@@ -1,14 +1,14 @@
 /** Runs work at most once for each key, over all instances and for ever. */
-import { errors, results, utils, type Ran } from "@shedtiller/common";
+import { errors, results, utils, type ExecutionStatus } from "@shedtiller/common";
 import type { Timeline } from "@shedtiller/timeline";
 import type { ClaimBatcher } from "./ClaimBatcher.js";
-import type { ClaimFold, Verdict } from "./ClaimFold.js";
+import type { ClaimProjection, Verdict } from "./ClaimProjection.js";
 import type { Claim } from "./claimRecords.js";
 
 /** The claim could not be made, and nothing ran for this call. */
 export class ClaimRefusedError extends errors.ShedtillerError {
   readonly code = "claim_refused";
-  readonly ran: Ran = "no";
+  readonly ran: ExecutionStatus = "no";
 
   constructor(readonly reason: string) {
     super(`The call was not run: ${reason}.`);
@@ -18,7 +18,7 @@
 /** The key was used before, and its first answer is not known here. */
 export class OutcomeUnknownError extends errors.ShedtillerError {
   readonly code = "outcome_unknown";
-  readonly ran: Ran = "unknown";
+  readonly ran: ExecutionStatus = "unknown";
 
   constructor(readonly reason: string) {
     super(`The outcome of this key is unknown: ${reason}.`);
@@ -27,7 +27,7 @@
 
 /** Failure of the work itself, with what is known of its having run. */
 export interface WorkError extends errors.ShedtillerError {
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
 }
 
 export type OnceError = ClaimRefusedError | OutcomeUnknownError | WorkError;
@@ -35,7 +35,7 @@
 
 /** What the parts around it do for `AtMostOnce`. */
 export interface AtMostOnceStructure<A> {
-  readonly fold: ClaimFold;
+  readonly projection: ClaimProjection;
   readonly batcher: ClaimBatcher;
   readonly timeline: Timeline;
   /** Name of this instance. */
@@ -59,10 +59,10 @@
 
 /** Claims keys, runs the work of those that were won, and keeps answers for later calls with the same key. */
 export class AtMostOnce<A> {
-  private readonly _outcomes: utils.KeyedCache<Promise<Once<A>>>;
+  private readonly _outcomes: utils.BoundedMap<Promise<Once<A>>>;
 
   constructor(private readonly _structure: AtMostOnceStructure<A>) {
-    this._outcomes = new utils.KeyedCache(_structure.answersKept);
+    this._outcomes = new utils.BoundedMap(_structure.answersKept);
   }
 
   /** Runs the work of a key, or gives the outcome of its earlier call. */
@@ -88,7 +88,7 @@
   }
 
   private async _claimAndRun(key: string, options: OnceOptions<A>, onWon: () => void): Promise<Once<A>> {
-    const holder = this._structure.fold.getHolder(key);
+    const holder = this._structure.projection.getHolder(key);
     const isFree = holder === undefined || this._structure.batcher.isAbandoning(key);
     if (!isFree) return this._askHolder(holder, key);
     const claim: Claim = { key, claimId: utils.newId() };
@@ -114,7 +114,7 @@
   }
 
   private async _claim(claim: Claim, options: OnceOptions<A>): Promise<Verdict | undefined> {
-    const { fold, batcher } = this._structure;
+    const { projection: fold, batcher } = this._structure;
     const verdict = fold.waitForVerdict(claim.claimId);
     batcher.addClaim(claim);
     const waitMs = Math.min(longestClaimMs, options.deadlineMs - utils.monotonicMs());
--- a/packages/claims/src/ClaimFold.ts
+++ b/packages/claims/src/ClaimProjection.ts
@@ -26,7 +26,7 @@
  * for ever. The horizon is the latest time that the log gave a record, less the window: no instance's clock counts.
  * It is safe as long as the log keeps records for longer than window + `largestSkewMs`.
  */
-export class ClaimFold implements LogSink {
+export class ClaimProjection implements LogSink {
   /** Records that could not be read. */
   unknownRecords = 0;
   private readonly _keys = new Map<string, HeldKey>();
--- a/packages/claims/src/service/ServiceCaller.ts
+++ b/packages/claims/src/service/ServiceCaller.ts
@@ -1,10 +1,10 @@
 /** Calls to plain services, retried only where that is safe. */
-import { errors, results, utils, type Ran } from "@shedtiller/common";
+import { errors, results, utils, type ExecutionStatus } from "@shedtiller/common";
 import { classifyHttpError } from "@shedtiller/logservice";
 import {
-  EndpointRest,
-  longestRestMs,
-  turnedAwayStatuses,
+  EndpointBackoff,
+  maxBackoffMs,
+  backoffStatuses,
   type EndpointDirectory,
   type EndpointEntry,
   type RetryBudget,
@@ -42,7 +42,7 @@
 
   constructor(
     readonly service: string,
-    readonly ran: Ran,
+    readonly ran: ExecutionStatus,
     cause?: unknown,
   ) {
     super(
@@ -59,7 +59,7 @@
 export class ServiceCaller {
   private _turn = 0;
   /** Rests that endpoints asked for, by their names; those that are over are dropped. */
-  private readonly _rests = new Map<string, EndpointRest>();
+  private readonly _rests = new Map<string, EndpointBackoff>();
 
   constructor(
     private readonly _directory: EndpointDirectory,
@@ -69,7 +69,7 @@
   async call(call: ServiceCall): Promise<results.Result<ServiceAnswer, ServiceError>> {
     this._retries.recordRequest();
     const tried = new Set<string>();
-    let ran: Ran = "no";
+    let ran: ExecutionStatus = "no";
     for (;;) {
       const endpoint = this._pickEndpoint(call.service, tried);
       if (endpoint === undefined) return results.Err(new ServiceError(call.service, ran));
@@ -93,7 +93,7 @@
     const nowMs = utils.monotonicMs();
     const open = this._directory
       .getServiceEndpoints(service)
-      .filter(({ name }) => !tried.has(name) && this._rests.get(name)?.mayBegin(nowMs) !== false);
+      .filter(({ name }) => !tried.has(name) && this._rests.get(name)?.maySend(nowMs) !== false);
     this._turn += 1;
     return open[this._turn % Math.max(1, open.length)];
   }
@@ -105,14 +105,14 @@
     sentAtMs: number,
   ): void {
     const nowMs = utils.monotonicMs();
-    const rest = this._rests.get(name) ?? new EndpointRest();
-    if (!turnedAwayStatuses.includes(status)) {
+    const rest = this._rests.get(name) ?? new EndpointBackoff();
+    if (!backoffStatuses.includes(status)) {
       rest.noteAnswered(sentAtMs);
       if (!rest.isUnproven(nowMs)) this._rests.delete(name);
       return;
     }
     if (retryAfterMs === undefined) return;
-    rest.note(nowMs + Math.min(retryAfterMs, longestRestMs), nowMs);
+    rest.extendTo(nowMs + Math.min(retryAfterMs, maxBackoffMs), nowMs);
     this._rests.set(name, rest);
   }
 
--- a/packages/claims/src/tests/atMostOnceTests.ts
+++ b/packages/claims/src/tests/atMostOnceTests.ts
@@ -6,7 +6,7 @@
 import * as fc from "fast-check";
 import { AtMostOnce, OutcomeUnknownError } from "../AtMostOnce.js";
 import { ClaimBatcher } from "../ClaimBatcher.js";
-import { ClaimFold } from "../ClaimFold.js";
+import { ClaimProjection } from "../ClaimProjection.js";
 import { claimsStream } from "../claimRecords.js";
 import { FakeLog, type AppendFault } from "./FakeLog.js";
 
@@ -22,14 +22,14 @@
   constructor(readonly log: FakeLog) {}
 
   add(name: string): AtMostOnce<string> {
-    const fold = new ClaimFold(windowMs);
+    const fold = new ClaimProjection(windowMs);
     void new LogFollower(this.log, claimsStream, fold).run(this.shutdown.signal);
     const batcher = new ClaimBatcher(
       { log: this.log, holder: name, appendsPerSecond: 2_000, countAppenders: () => 1 },
       this.shutdown.signal,
     );
     const once = new AtMostOnce<string>({
-      fold,
+      projection: fold,
       batcher,
       timeline: new Timeline(name),
       holder: name,
@@ -139,7 +139,7 @@
 });
 
 test("keys behind the horizon are dropped, so that memory stays bounded", (t) => {
-  const fold = new ClaimFold(1_000);
+  const fold = new ClaimProjection(1_000);
   const startMs = utils.wallMs();
   for (let offset = 0; offset < 5_000; offset++) {
     const atMs = startMs + offset * 10;
--- a/packages/common/src/errors/ShedtillerError.ts
+++ b/packages/common/src/errors/ShedtillerError.ts
@@ -1,7 +1,7 @@
 /** Base of every typed failure in the project. */
 
 /** Whether the work a failure is about can have run: `no` only where that is provable. */
-export type Ran = "no" | "unknown";
+export type ExecutionStatus = "no" | "unknown";
 
 /** A failure with a type. Subclasses name what went wrong; callers match on the class or on `code`. */
 export abstract class ShedtillerError extends Error {
--- a/packages/common/src/tests/PauseWatchTests.ts
+++ b/packages/common/src/tests/PauseDetectorTests.ts
@@ -5,7 +5,7 @@
 
 function create() {
   const clock = { nowMs: 0 };
-  const watch = new utils.PauseWatch(intervalMs, () => clock.nowMs);
+  const watch = new utils.PauseDetector(intervalMs, () => clock.nowMs);
   const tick = (afterMs: number): number => {
     clock.nowMs += afterMs;
     return watch.noteTick();
--- a/packages/common/src/utils/Patience.ts
+++ b/packages/common/src/utils/AdaptiveTimeout.ts
@@ -8,7 +8,7 @@
  * Waits by name. A wait that never grows makes a slow peer a dead one for good: where a process gets a tenth of a core, a report takes
  * longer than 400 ms, so that each was given up, asked for again and given up, and instances knew no engine for 17 s.
  */
-export class Patience {
+export class AdaptiveTimeout {
   private readonly _waitsMs = new Map<string, number>();
 
   constructor(
@@ -17,14 +17,14 @@
   ) {}
 
   /** How long to wait for a peer now. */
-  getMs(name: string): number {
+  getTimeoutMs(name: string): number {
     return this._waitsMs.get(name) ?? this._firstMs;
   }
 
   /** Notes a wait in vain; tells whether it was a repeated one, which is evidence against the peer. */
   noteTimeout(name: string): boolean {
     const isRepeated = this._waitsMs.has(name);
-    this._waitsMs.set(name, Math.min(this._longestMs, this.getMs(name) * growthFactor));
+    this._waitsMs.set(name, Math.min(this._longestMs, this.getTimeoutMs(name) * growthFactor));
     return isRepeated;
   }
 
--- a/packages/common/src/utils/KeyedCache.ts
+++ b/packages/common/src/utils/BoundedMap.ts
@@ -1,5 +1,5 @@
 /** A map that forgets its oldest entries beyond a fixed count. */
-export class KeyedCache<V> {
+export class BoundedMap<V> {
   private readonly _entries = new Map<string, V>();
 
   /** @param capacity - How many entries are kept at the most. */
--- a/packages/common/src/utils/PauseWatch.ts
+++ b/packages/common/src/utils/PauseDetector.ts
@@ -10,7 +10,7 @@
 const readWithinMs = 250;
 
 /** One watch a task that ticks at an interval. */
-export class PauseWatch {
+export class PauseDetector {
   private _tickedAtMs: number;
   private _pauseMs = 0;
   private _endedAtMs = Number.NEGATIVE_INFINITY;
--- a/packages/common/src/utils/pickSome.ts
+++ b/packages/common/src/utils/sample.ts
@@ -1,7 +1,7 @@
 /** Picks by chance. */
 
 /** Gives `count` different items, or all where there are fewer; `random` gives numbers from 0 to 1. */
-export function pickSome<T>(items: readonly T[], count: number, random: () => number): T[] {
+export function sample<T>(items: readonly T[], count: number, random: () => number): T[] {
   const left = [...items];
   const picked: T[] = [];
   while (picked.length < count && left.length > 0) {
--- a/packages/crashes/src/CompletedRequests.ts
+++ b/packages/crashes/src/CompletedRequests.ts
@@ -2,7 +2,7 @@
  * The requests that ended well of late. Nothing is computed for them until a crash makes requests suspects: then those that are equal to
  * one that ended well are known to be sound.
  */
-import { digestRequest, type DigestedRequest } from "./digestRequest.js";
+import { digestRequest, type RequestIdentity } from "./digestRequest.js";
 
 /** Kept of each kind; a request that many callers send is among them. */
 const mostKept = 48;
@@ -10,7 +10,7 @@
 const largestBodyBytes = 8 * 1024;
 
 interface Completed {
-  readonly asked: DigestedRequest;
+  readonly asked: RequestIdentity;
   readonly atMs: number;
   digest?: string;
 }
@@ -20,7 +20,7 @@
   private readonly _byKind = new Map<string, Completed[]>();
 
   /** @param kind - Requests of one kind don't displace those of another. */
-  add(kind: string, asked: DigestedRequest, atMs: number): void {
+  add(kind: string, asked: RequestIdentity, atMs: number): void {
     if (asked.body.length > largestBodyBytes) return;
     const kept = this._byKind.get(kind) ?? [];
     this._byKind.set(kind, kept);
--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -37,7 +37,7 @@
 /** After a trial that crashed an endpoint again. */
 const laterHoldMs = 600_000;
 /** When a request may come back that another instance tries now. */
-export const trialElsewhereMs = 5_000;
+export const trialElsewhereRetryAfterMs = 5_000;
 /** A trial that led to nothing, since the request found no room, keeps others back for this long. */
 const trialMs = 3_000;
 /**
@@ -86,12 +86,12 @@
   }
 
   /** Requests that are held back now. */
-  get heldCount(): number {
+  get quarantinedCount(): number {
     const nowMs = this._nowMs();
     return [...this._holds.values()].filter((hold) => nowMs < hold.untilMs).length;
   }
 
-  onHold(listener: HoldListener): void {
+  onQuarantineChanged(listener: HoldListener): void {
     this._listeners.push(listener);
   }
 
@@ -117,7 +117,7 @@
   }
 
   /** How long a request is still held back; 0 where it is not. */
-  getHoldLeftMs(digest: string): number {
+  getQuarantineLeftMs(digest: string): number {
     return Math.max(0, (this._holds.get(digest)?.untilMs ?? 0) - this._nowMs());
   }
 
@@ -196,7 +196,7 @@
   }
 
   /** Notes that a run of a request outlived its beginning; gives what is to be told, where anything spoke against the request. */
-  noteOutlived(digest: string, atMs: number): ToldClearing | undefined {
+  noteSurvived(digest: string, atMs: number): ToldClearing | undefined {
     const isNews = this._holds.has(digest) || this._hasSuspect(digest);
     return isNews ? this.noteSound(digest, atMs) : undefined;
   }
@@ -213,7 +213,7 @@
 
   /** Lets a request go by an operator's word. */
   release(digest: string): ToldClearing | undefined {
-    return this.noteOutlived(digest, this._nowMs());
+    return this.noteSurvived(digest, this._nowMs());
   }
 
   /** Takes a hold that a peer or the store knows. */
@@ -227,7 +227,7 @@
   }
 
   /** All that is known, for an instance that knows nothing yet. */
-  tellAll(): ToldCrashes {
+  getAllReports(): ToldCrashes {
     this._forgetOld();
     return {
       crashes: [...this._crashes].map(([lifeId, { atMs, suspects }]) => ({
@@ -242,7 +242,7 @@
   }
 
   /** Takes what a peer told; gives what of it was news. */
-  take(told: ToldCrashes): ToldCrashes {
+  mergeReports(told: ToldCrashes): ToldCrashes {
     const nowMs = this._nowMs();
     // A hold that is known already is not begun anew by the crashes that led to it.
     return {
--- a/packages/crashes/src/CrashExchange.ts
+++ b/packages/crashes/src/CrashReportBroadcast.ts
@@ -1,12 +1,12 @@
 /** What instances tell each other of crashes. */
-import { NewsExchange, type NewsExchangeStructure } from "@shedtiller/membership";
+import { PeerBroadcast, type PeerBroadcastStructure } from "@shedtiller/membership";
 import { isAnythingTold, toldCrashesSchema, type ToldCrashes } from "./crashMessages.js";
 
 const crashTopic = "crashes";
 
 /** What an exchange works with. */
-export interface CrashExchangeStructure extends Pick<
-  NewsExchangeStructure<ToldCrashes>,
+export interface CrashReportBroadcastStructure extends Pick<
+  PeerBroadcastStructure<ToldCrashes>,
   "membership" | "onInvalid" | "random"
 > {
   /** Takes what a peer told; gives what of it was news. */
@@ -16,22 +16,22 @@
 }
 
 /** One exchange an instance. */
-export class CrashExchange {
-  private readonly _news: NewsExchange<ToldCrashes>;
+export class CrashReportBroadcast {
+  private readonly _news: PeerBroadcast<ToldCrashes>;
 
-  constructor(structure: CrashExchangeStructure) {
-    this._news = new NewsExchange({
+  constructor(structure: CrashReportBroadcastStructure) {
+    this._news = new PeerBroadcast({
       ...structure,
       topic: crashTopic,
       schema: toldCrashesSchema,
-      take: (told) => getAnything(structure.take(told)),
-      tellAll: () => getAnything(structure.tellAll()),
+      applyUpdate: (told) => getAnything(structure.take(told)),
+      getFullState: () => getAnything(structure.tellAll()),
     });
   }
 
   /** Tells what was found here. */
-  tell(news: ToldCrashes): void {
-    this._news.tell(news);
+  broadcast(news: ToldCrashes): void {
+    this._news.broadcast(news);
   }
 }
 
--- a/packages/crashes/src/crashMessages.ts
+++ b/packages/crashes/src/crashMessages.ts
@@ -44,7 +44,7 @@
 export type ToldCrashes = zod.infer<typeof toldCrashesSchema>;
 
 /** Nothing to tell. */
-export const nothingTold: ToldCrashes = { crashes: [], clearings: [], holds: [], trials: [] };
+export const noCrashReports: ToldCrashes = { crashes: [], clearings: [], holds: [], trials: [] };
 
 /** Whether there is anything in it. */
 export function isAnythingTold({ crashes, clearings, holds, trials }: ToldCrashes): boolean {
--- a/packages/crashes/src/digestRequest.ts
+++ b/packages/crashes/src/digestRequest.ts
@@ -2,7 +2,7 @@
 import * as crypto from "node:crypto";
 
 /** What makes two requests the same to the endpoints that run them. */
-export interface DigestedRequest {
+export interface RequestIdentity {
   readonly method: string;
   /** Path with query. */
   readonly path: string;
@@ -18,7 +18,7 @@
  * Gives the digest of a request. Host and route are left out: endpoints see neither route nor service, and a caller that comes back over
  * another name of the same place asks the same.
  */
-export function digestRequest({ method, path, accountName, body }: DigestedRequest): string {
+export function digestRequest({ method, path, accountName, body }: RequestIdentity): string {
   const hash = crypto.createHash("sha256");
   hash.update(JSON.stringify([method, path, accountName ?? null]));
   hash.update(body);
--- a/packages/crashes/src/index.ts
+++ b/packages/crashes/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./CompletedRequests.js";
-export * from "./CrashExchange.js";
+export * from "./CrashReportBroadcast.js";
 export * from "./CrashLedger.js";
 export * from "./crashMessages.js";
 export * from "./digestRequest.js";
--- a/packages/crashes/src/tests/CrashLedgerTests.ts
+++ b/packages/crashes/src/tests/CrashLedgerTests.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { CrashLedger } from "../CrashLedger.js";
-import { mostToldSuspects, nothingTold } from "../crashMessages.js";
+import { mostToldSuspects, noCrashReports } from "../crashMessages.js";
 
 function create() {
   const clock = { nowMs: 1_000_000 };
@@ -30,7 +30,7 @@
   const { clock, ledger, crash } = create();
   crash("a");
   crash("a");
-  t.truthy(ledger.noteOutlived("a", clock.nowMs));
+  t.truthy(ledger.noteSurvived("a", clock.nowMs));
   t.is(ledger.getStanding("a"), "unknown");
   crash("a");
   crash("a");
@@ -72,14 +72,14 @@
 test("after its hold a request is due for a trial: a crash holds it back for longer, a run that lives lets it go", (t) => {
   const { clock, ledger, crash } = create();
   for (let index = 0; index < 3; index++) crash("a");
-  const firstMs = ledger.getHoldLeftMs("a");
+  const firstMs = ledger.getQuarantineLeftMs("a");
   clock.nowMs += firstMs;
   t.is(ledger.getStanding("a"), "due-for-trial");
   crash("a");
   t.is(ledger.getStanding("a"), "held");
-  t.true(ledger.getHoldLeftMs("a") > 10 * firstMs);
-  clock.nowMs += ledger.getHoldLeftMs("a");
-  ledger.noteOutlived("a", clock.nowMs);
+  t.true(ledger.getQuarantineLeftMs("a") > 10 * firstMs);
+  clock.nowMs += ledger.getQuarantineLeftMs("a");
+  ledger.noteSurvived("a", clock.nowMs);
   t.is(ledger.getStanding("a"), "unknown");
 });
 
@@ -90,25 +90,25 @@
   crash("a", "b");
   clock.nowMs += 500;
   const other = new CrashLedger(() => 77_000);
-  const news = other.take(ledger.tellAll());
+  const news = other.mergeReports(ledger.getAllReports());
   t.is(news.crashes.length, 3);
   t.is(other.getStanding("a"), "held");
-  t.is(Math.round(other.getHoldLeftMs("a")), Math.round(ledger.getHoldLeftMs("a")));
+  t.is(Math.round(other.getQuarantineLeftMs("a")), Math.round(ledger.getQuarantineLeftMs("a")));
   t.is(other.getStanding("b"), "suspected");
-  t.deepEqual(other.take(ledger.tellAll()), nothingTold);
+  t.deepEqual(other.mergeReports(ledger.getAllReports()), noCrashReports);
 });
 
 test("late word of crashes before a clearing does no harm", (t) => {
   const { clock, ledger } = create();
   ledger.noteCrash("i-1", clock.nowMs, new Map([["a", 1]]));
-  ledger.noteOutlived("a", clock.nowMs + 10);
+  ledger.noteSurvived("a", clock.nowMs + 10);
   clock.nowMs += 2_000;
   const late = ["i-2", "i-3", "i-4"].map((lifeId) => ({
     lifeId,
     ageMs: 2_100,
     suspects: [["a", 1]] as [string, number][],
   }));
-  ledger.take({ ...nothingTold, crashes: late });
+  ledger.mergeReports({ ...noCrashReports, crashes: late });
   t.is(ledger.getStanding("a"), "unknown");
 });
 
@@ -119,7 +119,7 @@
     const digests = Array.from({ length: 200 }, (_, at) => [`${index}-${at}`, 0.5] as const);
     ledger.noteCrash(`i-${index}`, clock.nowMs, new Map([...digests, ["crashing", 1]]));
   }
-  const told = ledger.tellAll();
+  const told = ledger.getAllReports();
   t.true(told.crashes.length <= 256);
   t.true(told.crashes.every((crash) => crash.suspects.length <= mostToldSuspects));
   t.is(ledger.getStanding("crashing"), "held", "the strongest evidence is kept");
--- a/packages/crashes/src/tests/CrashExchangeTests.ts
+++ b/packages/crashes/src/tests/CrashReportBroadcastTests.ts
@@ -1,9 +1,9 @@
 /** Word of a crash goes to the own zone and a few of each other one, and these pass on what was news. */
 import test from "ava";
 import type { Member, NoticeHandler, PeerIdentity } from "@shedtiller/membership";
-import { CrashExchange } from "../CrashExchange.js";
+import { CrashReportBroadcast } from "../CrashReportBroadcast.js";
 import { CrashLedger } from "../CrashLedger.js";
-import { nothingTold, type ToldCrashes } from "../crashMessages.js";
+import { noCrashReports, type ToldCrashes } from "../crashMessages.js";
 
 const self = { name: "a1", availabilityZone: "a" };
 const peers: readonly PeerIdentity[] = ["a2", "a3", "b1", "b2", "b3", "b4"].map((name) => ({
@@ -28,7 +28,7 @@
   const handlers = new Map<string, NoticeHandler>();
   const linked: ((peer: PeerIdentity) => void)[] = [];
   const ledger = new CrashLedger(() => 1_000_000);
-  const exchange = new CrashExchange({
+  const exchange = new CrashReportBroadcast({
     membership: {
       self,
       getLinked: () => peers.map(toMember),
@@ -39,8 +39,8 @@
       onNotice: (topic, handler) => void handlers.set(topic, handler),
     },
     onInvalid: (_topic, from) => invalid.push(from.name),
-    take: (news) => ledger.take(news),
-    tellAll: () => ledger.tellAll(),
+    take: (news) => ledger.mergeReports(news),
+    tellAll: () => ledger.getAllReports(),
     random: () => 0,
   });
   const receive = (body: unknown, from: PeerIdentity | undefined): void => {
@@ -50,13 +50,13 @@
 }
 
 const news: ToldCrashes = {
-  ...nothingTold,
+  ...noCrashReports,
   crashes: [{ lifeId: "i-1", ageMs: 5, suspects: [["d", 1]] }],
 };
 
 test("what is found here goes to all of the own zone and to two of each other one", (t) => {
   const { exchange, told } = create();
-  exchange.tell(news);
+  exchange.broadcast(news);
   t.deepEqual(told, ["a2", "a3", "b1", "b2"]);
 });
 
--- a/packages/crashes/src/tests/digestRequestTests.ts
+++ b/packages/crashes/src/tests/digestRequestTests.ts
@@ -1,7 +1,7 @@
 import test from "ava";
-import { digestRequest, type DigestedRequest } from "../digestRequest.js";
+import { digestRequest, type RequestIdentity } from "../digestRequest.js";
 
-const request: DigestedRequest = {
+const request: RequestIdentity = {
   method: "POST",
   path: "/a/x?page=2",
   accountName: "farm",
@@ -11,7 +11,7 @@
 test("requests are the same by method, path with query, account and body, and by nothing else", (t) => {
   const digest = digestRequest(request);
   t.is(digestRequest({ ...request, body: Buffer.from('{"text":"one"}') }), digest);
-  const others: readonly Partial<DigestedRequest>[] = [
+  const others: readonly Partial<RequestIdentity>[] = [
     { method: "PUT" },
     { path: "/a/x?page=3" },
     { path: "/a/x" },
--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -16,7 +16,7 @@
 import { ListFeed } from "./feeds/ListFeed.js";
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
-import { ZoneFeed } from "./feeds/ZoneFeed.js";
+import { ZoneStateExchange } from "./feeds/ZoneStateExchange.js";
 import { getZoneSource } from "./feeds/zoneFeedMessages.js";
 import { AccountDirectory } from "./http/authenticate.js";
 import { addCallerRoutes } from "./http/callerRoutes.js";
@@ -25,16 +25,16 @@
 import { addOperatorRoutes } from "./http/operatorRoutes.js";
 import { ServiceHandler } from "./http/ServiceHandler.js";
 import type { StoredAnswer } from "./http/StoredAnswer.js";
-import { InFlight } from "./InFlight.js";
-import type { Logs, PartLog } from "./logs/createLogs.js";
+import { InFlightRequests } from "./InFlightRequests.js";
+import type { Logs, ComponentLog } from "./logs/createLogs.js";
 import { InstanceMetrics } from "./metrics/InstanceMetrics.js";
 import { ModelQueues } from "./ModelQueues.js";
-import { PlanDesk } from "./operators/PlanDesk.js";
+import { PlanService } from "./operators/PlanService.js";
 import { Planner } from "./operators/Planner.js";
 import { StatusGatherer } from "./operators/StatusGatherer.js";
 import { TimelineGatherer } from "./operators/TimelineGatherer.js";
-import { OrderKeeper, updateRetiring } from "./orders/OrderKeeper.js";
-import { parts } from "./parts.js";
+import { OrderReconciler, markRetiringEngines } from "./orders/OrderReconciler.js";
+import { serviceIdentifiers } from "./serviceIdentifiers.js";
 import type { InstanceSecrets } from "./secrets.js";
 import { Tokenizer } from "./text/Tokenizer.js";
 
@@ -46,21 +46,21 @@
 /** What a drain came to. */
 export interface DrainReport {
   /** Ids of requests that were cut short, after a hurry. */
-  readonly cut: readonly string[];
+  readonly abortedRequestIds: readonly string[];
 }
 
 /** The daemon's core, embeddable. Made by `composeEntry`. */
 export class EntryInstance {
   readonly settings: InstanceSettings;
   readonly timeline: timeline.Timeline;
-  readonly fold: intent.ConfigurationFold;
+  readonly configuration: intent.ConfigurationProjection;
   readonly membership: membership.Membership;
   readonly directory: routing.EndpointDirectory;
   readonly pipeline: pipeline.PipelineContext;
   readonly metrics: InstanceMetrics;
-  private readonly _log: PartLog;
+  private readonly _log: ComponentLog;
   private readonly _shutdown: AbortController;
-  private readonly _inFlight: InFlight;
+  private readonly _inFlight: InFlightRequests;
   private readonly _callers: HttpListener;
   private readonly _operators: HttpListener;
   private _isDraining = false;
@@ -70,16 +70,16 @@
   private _tasks: Promise<unknown>[] = [];
 
   constructor(private readonly _parts: Pick<inversify.ResolutionContext, "get">) {
-    this.settings = _parts.get<InstanceSettings>(parts.settings);
+    this.settings = _parts.get<InstanceSettings>(serviceIdentifiers.settings);
     this.timeline = _parts.get(timeline.Timeline);
-    this.fold = _parts.get(intent.ConfigurationFold);
+    this.configuration = _parts.get(intent.ConfigurationProjection);
     this.membership = _parts.get(membership.Membership);
     this.directory = _parts.get(routing.EndpointDirectory);
     this.pipeline = _parts.get(pipeline.PipelineContext);
     this.metrics = _parts.get(InstanceMetrics);
-    this._log = _parts.get<Logs>(parts.logs).forPart("entry");
-    this._shutdown = _parts.get<AbortController>(parts.shutdown);
-    this._inFlight = _parts.get(InFlight);
+    this._log = _parts.get<Logs>(serviceIdentifiers.logs).forComponent("entry");
+    this._shutdown = _parts.get<AbortController>(serviceIdentifiers.shutdown);
+    this._inFlight = _parts.get(InFlightRequests);
     this._callers = this._createListener("callers", this.settings.instance.callerAddress);
     this._operators = this._createListener("operators", this.settings.instance.operatorAddress);
   }
@@ -119,7 +119,7 @@
     await this.membership.listen();
     await this._callers.listen();
     await this._operators.listen();
-    this.fold.onChanged(() => this._noteConfiguration());
+    this.configuration.onChanged(() => this._noteConfiguration());
     this._startTasks(this._shutdown.signal);
     const ports = `callers on port ${this.callerPort}, operators on port ${this.operatorPort}, peers on port ${this.membership.port}`;
     this._log.info(`Listening for ${ports}.`);
@@ -142,18 +142,18 @@
     this.timeline.add("drain-ended");
     await this._end();
     this._log.info("Drained.");
-    return { cut: this._cut };
+    return { abortedRequestIds: this._cut };
   }
 
   /** Cuts short what a drain still waits for. */
-  hurry(): void {
-    this._cut = this._inFlight.cutAll();
+  abortInFlightRequests(): void {
+    this._cut = this._inFlight.abortAll();
     for (const requestId of this._cut) this._log.warn(`Cut the request ${requestId} short.`);
   }
 
   /** Vanishes at once, as a killed process does. */
   async kill(): Promise<void> {
-    this._inFlight.cutAll();
+    this._inFlight.abortAll();
     await this._end();
   }
 
@@ -177,26 +177,30 @@
   }
 
   private _checkReady(): boolean {
-    const follower = this._parts.get<platform.LogFollower>(parts.configurationFollower);
-    if (this.fold.offset < 0 || this.fold.isMissingPast) return false;
+    const follower = this._parts.get<platform.LogFollower>(serviceIdentifiers.configurationFollower);
+    if (this.configuration.offset < 0 || this.configuration.hasHistoryGap) return false;
     if (follower.isCaughtUp) return true;
     const hasWaited = utils.monotonicMs() - this._startedAtMs > peerGraceMs;
     return hasWaited && this._parts.get(ConfigurationSync).hasAskedPeers;
   }
 
   private _startTasks(signal: AbortSignal): void {
-    const logParts = [parts.configurationFollower, parts.claimFollower, parts.leaseFollower];
+    const logParts = [
+      serviceIdentifiers.configurationFollower,
+      serviceIdentifiers.claimFollower,
+      serviceIdentifiers.leaseFollower,
+    ];
     const followers = logParts.map((part) => this._parts.get<platform.LogFollower>(part));
     const list = new ListFeed(this._parts.get(platform.InstanceList), (page) => this._takeList(page));
-    const retire = (): void => updateRetiring(this.fold, this.directory);
+    const retire = (): void => markRetiringEngines(this.configuration, this.directory);
     this._tasks = [
       ...followers.map((follower) => follower.run(signal)),
       list.run(signal),
       this.membership.run(signal),
       this._parts.get(ConfigurationSync).run(signal),
-      this._parts.get(ZoneFeed).run(signal),
+      this._parts.get(ZoneStateExchange).run(signal),
       this._parts.get(ModelQueues).run(signal),
-      this._parts.get(OrderKeeper).run(signal),
+      this._parts.get(OrderReconciler).run(signal),
       utils.repeat(retiringTickMs, signal, retire, (error) => this._log.error(errors.describeError(error))),
     ];
     for (const task of this._tasks)
@@ -211,20 +215,20 @@
     const sources = new Set(entries.filter((e) => e.availabilityZone === own).map((e) => e.name));
     for (const entry of entries)
       if (entry.availabilityZone !== own) sources.add(getZoneSource(entry.availabilityZone));
-    this._parts.get(admission.AccountLimits).keepSources(sources);
-    this._parts.get(PipelineDemands).keepSources(sources);
-    this._parts.get(VersionsInUse).keepSources(sources);
+    this._parts.get(admission.AccountLimits).retainSources(sources);
+    this._parts.get(PipelineDemands).retainSources(sources);
+    this._parts.get(VersionsInUse).retainSources(sources);
   }
 
   private _noteConfiguration(): void {
-    this.timeline.add("configuration-in-force", { detail: `offset ${this.fold.offset}` });
+    this.timeline.add("configuration-in-force", { detail: `offset ${this.configuration.offset}` });
   }
 
   private _addRoutes(): void {
     const p = this._parts;
     const shared = {
       settings: this.settings,
-      fold: this.fold,
+      fold: this.configuration,
       accounts: p.get(AccountDirectory),
       once: p.get(claims.AtMostOnce) as claims.AtMostOnce<StoredAnswer>,
       timeline: this.timeline,
@@ -244,15 +248,15 @@
     const isDraining = (): boolean => this._isDraining;
     addCallerRoutes(this._callers, { ...shared, completions, services, isReady, isDraining });
     addOperatorRoutes(this._operators, {
-      tokenHash: p.get<InstanceSecrets>(parts.secrets).operatorTokenHash,
-      fold: this.fold,
+      tokenHash: p.get<InstanceSecrets>(serviceIdentifiers.secrets).operatorTokenHash,
+      fold: this.configuration,
       planner: p.get(Planner),
-      desk: p.get(PlanDesk),
+      desk: p.get(PlanService),
       status: p.get(StatusGatherer),
       timelines: p.get(TimelineGatherer),
       timeline: this.timeline,
       metrics: this.metrics,
-      logs: p.get<Logs>(parts.logs),
+      logs: p.get<Logs>(serviceIdentifiers.logs),
     });
   }
 
@@ -261,10 +265,10 @@
     this.metrics.addSources({
       membership: this.membership,
       pipeline: this.pipeline,
-      getConfigurationOffset: () => this.fold.offset,
+      getConfigurationOffset: () => this.configuration.offset,
       getActive: () => this._inFlight.size,
       getWaiting: () => queues.waiting,
-      getClaimKeys: () => this._parts.get(claims.ClaimFold).size,
+      getClaimKeys: () => this._parts.get(claims.ClaimProjection).size,
     });
   }
 
--- a/packages/entry/src/InFlight.ts
+++ b/packages/entry/src/InFlightRequests.ts
@@ -2,7 +2,7 @@
 import { utils } from "@shedtiller/common";
 
 /** Knows each request under way and can cut it short. */
-export class InFlight {
+export class InFlightRequests {
   private readonly _requests = new Map<string, AbortController>();
   private _idle: utils.Deferred<void> | undefined;
 
@@ -11,7 +11,7 @@
   }
 
   /** Notes a request; the function that comes back notes its end. */
-  enter(requestId: string, controller: AbortController): () => void {
+  add(requestId: string, controller: AbortController): () => void {
     this._requests.set(requestId, controller);
     return () => {
       this._requests.delete(requestId);
@@ -27,7 +27,7 @@
   }
 
   /** Cuts everything short and gives the ids of what was cut. */
-  cutAll(): string[] {
+  abortAll(): string[] {
     const cut = [...this._requests.keys()];
     for (const controller of this._requests.values()) controller.abort();
     return cut;
--- a/packages/entry/src/bin/shedtillerd.ts
+++ b/packages/entry/src/bin/shedtillerd.ts
@@ -26,9 +26,11 @@
   const instance = composeEntry(settings.val, secrets.val).get(EntryInstance);
   let isStopping = false;
   const stop = (): void => {
-    if (isStopping) return instance.hurry();
+    if (isStopping) return instance.abortInFlightRequests();
     isStopping = true;
-    void instance.drain().then((report) => process.exit(report.cut.length === 0 ? 0 : cutStatus));
+    void instance
+      .drain()
+      .then((report) => process.exit(report.abortedRequestIds.length === 0 ? 0 : cutStatus));
   };
   process.on("SIGTERM", stop);
   process.on("SIGINT", stop);
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -14,24 +14,24 @@
 import * as timeline from "@shedtiller/timeline";
 import * as inversify from "inversify";
 import { ConfigurationSync } from "./configuration/ConfigurationSync.js";
-import { RequestCrashes } from "./crashes/RequestCrashes.js";
+import { PeerCrashQuarantine } from "./crashes/PeerCrashQuarantine.js";
 import { EntryInstance } from "./EntryInstance.js";
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
-import { ZoneFeed } from "./feeds/ZoneFeed.js";
+import { ZoneStateExchange } from "./feeds/ZoneStateExchange.js";
 import { AccountDirectory } from "./http/authenticate.js";
 import { storedAnswerSchema, type StoredAnswer } from "./http/StoredAnswer.js";
 import { splitAddress } from "./http/HttpListener.js";
-import { InFlight } from "./InFlight.js";
+import { InFlightRequests } from "./InFlightRequests.js";
 import { createLogs, type LogOptions, type Logs } from "./logs/createLogs.js";
 import { InstanceMetrics } from "./metrics/InstanceMetrics.js";
 import { ModelQueues } from "./ModelQueues.js";
-import { PlanDesk } from "./operators/PlanDesk.js";
+import { PlanService } from "./operators/PlanService.js";
 import { Planner } from "./operators/Planner.js";
 import { StatusGatherer } from "./operators/StatusGatherer.js";
 import { TimelineGatherer } from "./operators/TimelineGatherer.js";
-import { parts } from "./parts.js";
-import { OrderKeeper } from "./orders/OrderKeeper.js";
+import { serviceIdentifiers } from "./serviceIdentifiers.js";
+import { OrderReconciler } from "./orders/OrderReconciler.js";
 import { VersionRetirement } from "./orders/VersionRetirement.js";
 import type { InstanceSecrets } from "./secrets.js";
 import { Tokenizer, WordTokenizer } from "./text/Tokenizer.js";
@@ -54,13 +54,13 @@
   options: ComposeOptions = {},
 ): inversify.Container {
   const container = new inversify.Container({ defaultScope: "Singleton" });
-  container.bind(parts.settings).toConstantValue(settings);
-  container.bind(parts.secrets).toConstantValue(secrets);
-  container.bind(parts.shutdown).toConstantValue(new AbortController());
+  container.bind(serviceIdentifiers.settings).toConstantValue(settings);
+  container.bind(serviceIdentifiers.secrets).toConstantValue(secrets);
+  container.bind(serviceIdentifiers.shutdown).toConstantValue(new AbortController());
   const seed = options.seed ?? utils.hash32(`${settings.instance.name}${utils.wallMs()}`);
-  container.bind(parts.random).toConstantValue(new utils.RandomSource(seed));
+  container.bind(serviceIdentifiers.random).toConstantValue(new utils.RandomSource(seed));
   const logOptions = { instance: settings.instance.name, ...settings.logs, ...options.logs };
-  container.bind(parts.logs).toConstantValue(createLogs(logOptions));
+  container.bind(serviceIdentifiers.logs).toConstantValue(createLogs(logOptions));
   bindPlatform(container, settings);
   bindConfiguration(container, settings, secrets);
   bindRequests(container, settings, options);
@@ -95,15 +95,15 @@
 ): void {
   const { name, availabilityZone, peerAddress } = settings.instance;
   container.bind(timeline.Timeline).toConstantValue(new timeline.Timeline(name));
-  container.bind(intent.ConfigurationFold).toConstantValue(new intent.ConfigurationFold());
+  container.bind(intent.ConfigurationProjection).toConstantValue(new intent.ConfigurationProjection());
   container
-    .bind(parts.configurationFollower)
+    .bind(serviceIdentifiers.configurationFollower)
     .toDynamicValue(
       (c) =>
         new platform.LogFollower(
           c.get(platform.LogService),
           intent.configurationStream,
-          c.get(intent.ConfigurationFold),
+          c.get(intent.ConfigurationProjection),
         ),
     )
     .inSingletonScope();
@@ -125,7 +125,7 @@
     .bind(ConfigurationSync)
     .toDynamicValue((c) => {
       return new ConfigurationSync({
-        fold: c.get(intent.ConfigurationFold),
+        fold: c.get(intent.ConfigurationProjection),
         membership: c.get(membership.Membership),
         log: c.get(platform.LogService),
         logRetentionMs: settings.platform.logRetentionMs,
@@ -143,14 +143,16 @@
   container.bind(routing.RetryBudget).toConstantValue(new routing.RetryBudget());
   container
     .bind(routing.ChainChooser)
-    .toDynamicValue((c) => new routing.ExpectedTimeChooser(c.get<utils.RandomSource>(parts.random)))
+    .toDynamicValue(
+      (c) => new routing.ExpectedTimeChooser(c.get<utils.RandomSource>(serviceIdentifiers.random)),
+    )
     .inSingletonScope();
   container
-    .bind(RequestCrashes)
+    .bind(PeerCrashQuarantine)
     .toDynamicValue((c) => {
       const peers = c.get(membership.Membership);
-      const log = c.get<Logs>(parts.logs).forPart("callers");
-      return new RequestCrashes({
+      const log = c.get<Logs>(serviceIdentifiers.logs).forComponent("callers");
+      return new PeerCrashQuarantine({
         membership: peers,
         getInstanceNames: () => [peers.self.name, ...peers.getMembers().map((member) => member.name)],
         probe: crashes.probeConnection,
@@ -166,7 +168,7 @@
         availabilityZone: settings.instance.availabilityZone,
         directory,
         connector: new pipeline.WsEngineConnector({
-          onLeaving: (endpoint) => directory.markLeaving(endpoint),
+          onDraining: (endpoint) => directory.markDraining(endpoint),
           onStrayReply: () => {
             context.counters.strayReplies += 1;
           },
@@ -174,10 +176,10 @@
         }),
         chooser: c.get(routing.ChainChooser),
         timeline: c.get(timeline.Timeline),
-        random: c.get<utils.RandomSource>(parts.random),
+        random: c.get<utils.RandomSource>(serviceIdentifiers.random),
         silence: options.silence,
         getInstanceCount: () => c.get(membership.Membership).getMembers().length + 1,
-        crashes: c.get(RequestCrashes),
+        crashes: c.get(PeerCrashQuarantine),
       });
       return context;
     })
@@ -206,7 +208,7 @@
   container
     .bind(VersionsInUse)
     .toDynamicValue((c) => {
-      const fold = c.get(intent.ConfigurationFold);
+      const fold = c.get(intent.ConfigurationProjection);
       return new VersionsInUse(c.get(routing.EndpointDirectory), () => fold.getObjects("pipeline"));
     })
     .inSingletonScope();
@@ -215,8 +217,8 @@
     .toDynamicValue(() => new WordTokenizer())
     .inSingletonScope();
   container
-    .bind(InFlight)
-    .toDynamicValue(() => new InFlight())
+    .bind(InFlightRequests)
+    .toDynamicValue(() => new InFlightRequests())
     .inSingletonScope();
   container
     .bind(InstanceMetrics)
@@ -224,14 +226,14 @@
     .inSingletonScope();
   container
     .bind(AccountDirectory)
-    .toDynamicValue((c) => new AccountDirectory(c.get(intent.ConfigurationFold)))
+    .toDynamicValue((c) => new AccountDirectory(c.get(intent.ConfigurationProjection)))
     .inSingletonScope();
-  container.bind(ZoneFeed).toDynamicValue(createZoneFeed).inSingletonScope();
+  container.bind(ZoneStateExchange).toDynamicValue(createZoneFeed).inSingletonScope();
 }
 
-function createZoneFeed(c: Context): ZoneFeed {
+function createZoneFeed(c: Context): ZoneStateExchange {
   const metrics = c.get(InstanceMetrics);
-  return new ZoneFeed({
+  return new ZoneStateExchange({
     membership: c.get(membership.Membership),
     directory: c.get(routing.EndpointDirectory),
     limits: c.get(admission.AccountLimits),
@@ -243,12 +245,18 @@
 
 function bindClaims(container: inversify.Container, settings: InstanceSettings): void {
   const { name } = settings.instance;
-  container.bind(claims.ClaimFold).toConstantValue(new claims.ClaimFold(settings.claims.horizonMs));
   container
-    .bind(parts.claimFollower)
+    .bind(claims.ClaimProjection)
+    .toConstantValue(new claims.ClaimProjection(settings.claims.horizonMs));
+  container
+    .bind(serviceIdentifiers.claimFollower)
     .toDynamicValue(
       (c) =>
-        new platform.LogFollower(c.get(platform.LogService), claims.claimsStream, c.get(claims.ClaimFold)),
+        new platform.LogFollower(
+          c.get(platform.LogService),
+          claims.claimsStream,
+          c.get(claims.ClaimProjection),
+        ),
     )
     .inSingletonScope();
   container
@@ -261,7 +269,7 @@
         appendsPerSecond: settings.platform.appendsPerSecond,
         countAppenders: () => members.getMembers().length + 1,
       };
-      return new claims.ClaimBatcher(structure, c.get<AbortController>(parts.shutdown).signal);
+      return new claims.ClaimBatcher(structure, c.get<AbortController>(serviceIdentifiers.shutdown).signal);
     })
     .inSingletonScope();
   container
@@ -279,7 +287,7 @@
 function createAtMostOnce(c: Context, settings: InstanceSettings): claims.AtMostOnce<StoredAnswer> {
   const members = c.get(membership.Membership);
   const once = new claims.AtMostOnce<StoredAnswer>({
-    fold: c.get(claims.ClaimFold),
+    projection: c.get(claims.ClaimProjection),
     batcher: c.get(claims.ClaimBatcher),
     timeline: c.get(timeline.Timeline),
     holder: settings.instance.name,
@@ -296,11 +304,16 @@
 
 function bindOrders(container: inversify.Container, settings: InstanceSettings): void {
   const { name, availabilityZone } = settings.instance;
-  container.bind(lease.LeaseFold).toConstantValue(new lease.LeaseFold());
+  container.bind(lease.LeaseProjection).toConstantValue(new lease.LeaseProjection());
   container
-    .bind(parts.leaseFollower)
+    .bind(serviceIdentifiers.leaseFollower)
     .toDynamicValue(
-      (c) => new platform.LogFollower(c.get(platform.LogService), lease.leasesStream, c.get(lease.LeaseFold)),
+      (c) =>
+        new platform.LogFollower(
+          c.get(platform.LogService),
+          lease.leasesStream,
+          c.get(lease.LeaseProjection),
+        ),
     )
     .inSingletonScope();
   container
@@ -311,8 +324,8 @@
         holder: name,
         durationMs: leaseDurationMs,
         log: c.get(platform.LogService),
-        fold: c.get(lease.LeaseFold),
-        follower: c.get<platform.LogFollower>(parts.leaseFollower),
+        projection: c.get(lease.LeaseProjection),
+        follower: c.get<platform.LogFollower>(serviceIdentifiers.leaseFollower),
         timeline: c.get(timeline.Timeline),
       });
     })
@@ -320,7 +333,7 @@
   container
     .bind(VersionRetirement)
     .toDynamicValue((c) => {
-      const fold = c.get(intent.ConfigurationFold);
+      const fold = c.get(intent.ConfigurationProjection);
       return new VersionRetirement({
         membership: c.get(membership.Membership),
         versions: c.get(VersionsInUse),
@@ -329,17 +342,17 @@
     })
     .inSingletonScope();
   container
-    .bind(OrderKeeper)
+    .bind(OrderReconciler)
     .toDynamicValue((c) => {
-      return new OrderKeeper({
-        fold: c.get(intent.ConfigurationFold),
+      return new OrderReconciler({
+        configuration: c.get(intent.ConfigurationProjection),
         directory: c.get(routing.EndpointDirectory),
         membership: c.get(membership.Membership),
         versions: c.get(VersionsInUse),
         retirement: c.get(VersionRetirement),
         holder: c.get(lease.LeaseHolder),
         timeline: c.get(timeline.Timeline),
-        log: c.get<Logs>(parts.logs).forPart("orders"),
+        log: c.get<Logs>(serviceIdentifiers.logs).forComponent("orders"),
       });
     })
     .inSingletonScope();
@@ -351,7 +364,7 @@
     .toDynamicValue(
       (c) =>
         new Planner(
-          c.get(intent.ConfigurationFold),
+          c.get(intent.ConfigurationProjection),
           c.get(routing.EndpointDirectory),
           settings.instance.name,
         ),
@@ -359,7 +372,9 @@
     .inSingletonScope();
   container
     .bind(intent.Confirmer)
-    .toDynamicValue((c) => new intent.Confirmer(c.get(platform.LogService), c.get(intent.ConfigurationFold)))
+    .toDynamicValue(
+      (c) => new intent.Confirmer(c.get(platform.LogService), c.get(intent.ConfigurationProjection)),
+    )
     .inSingletonScope();
   container
     .bind(TimelineGatherer)
@@ -368,23 +383,23 @@
   container
     .bind(StatusGatherer)
     .toDynamicValue((c) => {
-      const follower = c.get<platform.LogFollower>(parts.configurationFollower);
+      const follower = c.get<platform.LogFollower>(serviceIdentifiers.configurationFollower);
       return new StatusGatherer({
         membership: c.get(membership.Membership),
-        fold: c.get(intent.ConfigurationFold),
+        configuration: c.get(intent.ConfigurationProjection),
         getLogAgeMs: () =>
           follower.lastContactMs === undefined ? undefined : utils.monotonicMs() - follower.lastContactMs,
         isReady: () => c.get(EntryInstance).isReady,
         isDraining: () => c.get(EntryInstance).isDraining,
-        getActiveRequests: () => c.get(InFlight).size,
+        getActiveRequests: () => c.get(InFlightRequests).size,
       });
     })
     .inSingletonScope();
   container
-    .bind(PlanDesk)
+    .bind(PlanService)
     .toDynamicValue((c) => {
-      return new PlanDesk({
-        fold: c.get(intent.ConfigurationFold),
+      return new PlanService({
+        configuration: c.get(intent.ConfigurationProjection),
         membership: c.get(membership.Membership),
         confirmer: c.get(intent.Confirmer),
         status: c.get(StatusGatherer),
--- a/packages/entry/src/configuration/ConfigurationSync.ts
+++ b/packages/entry/src/configuration/ConfigurationSync.ts
@@ -4,7 +4,7 @@
   configurationStateSchema,
   configurationStream,
   recordVersion,
-  type ConfigurationFold,
+  type ConfigurationProjection,
   type SnapshotRecord,
 } from "@shedtiller/intent";
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
@@ -29,7 +29,7 @@
 
 /** What the sync works on. */
 export interface ConfigurationSyncStructure {
-  readonly fold: ConfigurationFold;
+  readonly fold: ConfigurationProjection;
   readonly membership: Membership;
   readonly log: LogService;
   readonly logRetentionMs: number;
@@ -102,7 +102,7 @@
 
   private async _keepSnapshot(): Promise<void> {
     const { fold, membership, log, logRetentionMs } = this._structure;
-    if (fold.offset < 0 || fold.isMissingPast || !membership.ownsDuty("snapshot")) return;
+    if (fold.offset < 0 || fold.hasHistoryGap || !membership.ownsZoneRole("snapshot")) return;
     const last = fold.lastSnapshot;
     const ageMs = last === undefined ? Number.POSITIVE_INFINITY : utils.wallMs() - last.atMs;
     const isDue =
--- a/packages/entry/src/crashes/RequestCrashes.ts
+++ b/packages/entry/src/crashes/PeerCrashQuarantine.ts
@@ -1,22 +1,22 @@
 /** Holds back requests that crash engines, at all instances; what counts is decided by the ledger. */
 import { utils } from "@shedtiller/common";
 import {
-  CrashExchange,
+  CrashReportBroadcast,
   CrashLedger,
   getTrialRank,
-  nothingTold,
-  trialElsewhereMs,
-  type CrashExchangeStructure,
+  noCrashReports,
+  trialElsewhereRetryAfterMs,
+  type CrashReportBroadcastStructure,
   type ProbeResult,
 } from "@shedtiller/crashes";
-import { CrashGuard, type LostEngine } from "@shedtiller/pipeline";
+import { CrashQuarantine, type LostEngine } from "@shedtiller/pipeline";
 
 const probeTimeoutMs = 300;
 /** Two words of one engine within this are of one crash: engines are listed under one name through all their lives. */
 const oneCrashMs = 2_000;
 /** What the guard works with. */
-export interface RequestCrashesStructure {
-  readonly membership: CrashExchangeStructure["membership"];
+export interface PeerCrashQuarantineStructure {
+  readonly membership: CrashReportBroadcastStructure["membership"];
   readonly getInstanceNames: () => readonly string[];
   readonly probe: (address: string, timeoutMs: number) => Promise<ProbeResult>;
   readonly warn: (message: string) => void;
@@ -25,37 +25,37 @@
 }
 
 /** One guard an instance. */
-export class RequestCrashes extends CrashGuard {
+export class PeerCrashQuarantine extends CrashQuarantine {
   readonly ledger: CrashLedger;
-  private readonly _exchange: CrashExchange;
+  private readonly _exchange: CrashReportBroadcast;
   private readonly _nowMs: () => number;
 
-  constructor(private readonly _structure: RequestCrashesStructure) {
+  constructor(private readonly _structure: PeerCrashQuarantineStructure) {
     super();
     const { membership, warn } = _structure;
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
     this.ledger = new CrashLedger(this._nowMs);
-    this.ledger.onHold((digest, hold) =>
+    this.ledger.onQuarantineChanged((digest, hold) =>
       warn(
         `Request ${digest} is ${hold === undefined ? "let go" : `held back for ${Math.round(hold.leftMs)} ms`}.`,
       ),
     );
-    this._exchange = new CrashExchange({
+    this._exchange = new CrashReportBroadcast({
       membership,
       onInvalid: (topic, from) => warn(`A message of ${from.name} on ${topic} is not in its form.`),
-      take: (told) => this.ledger.take(told),
-      tellAll: () => this.ledger.tellAll(),
+      take: (told) => this.ledger.mergeReports(told),
+      tellAll: () => this.ledger.getAllReports(),
     });
   }
 
-  override getHeldBackMs(digest: string): number | undefined {
+  override getQuarantineMs(digest: string): number | undefined {
     if (this.ledger.isEmpty) return undefined;
     const standing = this.ledger.getStanding(digest);
-    if (standing === "held") return this.ledger.getHoldLeftMs(digest);
+    if (standing === "held") return this.ledger.getQuarantineLeftMs(digest);
     if (standing !== "due-for-trial") return undefined;
-    if (!this._isOurTurn(digest)) return trialElsewhereMs;
+    if (!this._isOurTurn(digest)) return trialElsewhereRetryAfterMs;
     const trial = this.ledger.noteTrial({ digest, ageMs: 0 });
-    if (trial !== undefined) this._exchange.tell({ ...nothingTold, trials: [trial] });
+    if (trial !== undefined) this._exchange.broadcast({ ...noCrashReports, trials: [trial] });
     return undefined;
   }
 
@@ -66,13 +66,13 @@
     const crash = this.ledger.noteCrash(this._getCrashName(name), atMs, new Map([[digest, 1]]));
     if (crash === undefined) return;
     this._structure.warn(`The engine ${name} crashed at the beginning of request ${digest}.`);
-    this._exchange.tell({ ...nothingTold, crashes: [crash] });
+    this._exchange.broadcast({ ...noCrashReports, crashes: [crash] });
   }
 
-  override noteOutlived(digest: string): void {
+  override noteSurvived(digest: string): void {
     if (this.ledger.isEmpty) return;
-    const cleared = this.ledger.noteOutlived(digest, this._nowMs());
-    if (cleared !== undefined) this._exchange.tell({ ...nothingTold, clearings: [cleared] });
+    const cleared = this.ledger.noteSurvived(digest, this._nowMs());
+    if (cleared !== undefined) this._exchange.broadcast({ ...noCrashReports, clearings: [cleared] });
   }
 
   private _isOurTurn(digest: string): boolean {
--- a/packages/entry/src/feeds/VersionsInUse.ts
+++ b/packages/entry/src/feeds/VersionsInUse.ts
@@ -100,7 +100,7 @@
   }
 
   /** Forgets sources that are gone for good. */
-  keepSources(sources: ReadonlySet<string>): void {
+  retainSources(sources: ReadonlySet<string>): void {
     for (const name of this._others.keys()) if (!sources.has(name)) this._others.delete(name);
   }
 
--- a/packages/entry/src/feeds/ZoneFeed.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -38,7 +38,7 @@
 const staleRounds = 5;
 
 /** What the feed works on. */
-export interface ZoneFeedStructure {
+export interface ZoneStateExchangeStructure {
   readonly membership: Membership;
   readonly directory: EndpointDirectory;
   readonly limits: AccountLimits;
@@ -48,24 +48,24 @@
 }
 
 /** Sends and takes reports, digests and demands. */
-export class ZoneFeed {
+export class ZoneStateExchange {
   private _round = 0;
   private readonly _fetching = new Set<string>();
-  private readonly _patience = new utils.Patience(reportTimeoutMs, longestReportTimeoutMs);
+  private readonly _patience = new utils.AdaptiveTimeout(reportTimeoutMs, longestReportTimeoutMs);
   private _digestRound = 0;
   private _demandsToldAtMs = 0;
   private readonly _knownFixed = new Map<string, number>();
   private readonly _lastFull = new Map<string, string>();
 
-  constructor(private readonly _structure: ZoneFeedStructure) {
+  constructor(private readonly _structure: ZoneStateExchangeStructure) {
     const { membership, directory } = _structure;
     membership.onNotice(reportsTopic, (body, from) => this._takeReports(body, from.name));
     membership.onNotice(digestTopic, (body) => this._takeDigest(body));
     membership.onRequest(digestTopic, (body) => this._createDigest(body));
     membership.onNotice(leavingTopic, (body) => {
-      if (typeof body === "string") directory.markLeaving(body);
+      if (typeof body === "string") directory.markDraining(body);
     });
-    directory.onLeaving((entry) => membership.notifyAll(leavingTopic, entry.name));
+    directory.onDraining((entry) => membership.notifyAll(leavingTopic, entry.name));
   }
 
   /** Runs until `signal` aborts. */
@@ -88,7 +88,7 @@
 
   private _getReportIntervalMs(): number {
     const { membership } = this._structure;
-    const receivers = membership.getDutyCandidates().length - 1;
+    const receivers = membership.getZoneRoleCandidates().length - 1;
     const owned = this._getStewarded().length;
     return getBudgetIntervalMs({
       messageBytes: 60 + owned * (loadBytes + fixedShareBytes),
@@ -106,7 +106,7 @@
     return this._structure.directory.getEntries().filter((entry) => {
       if (entry.role !== "engine") return false;
       if (entry.isUnreachable || entry.report === undefined) return true;
-      if (entry.availabilityZone === zone && this._structure.membership.ownsDuty(`report:${entry.name}`))
+      if (entry.availabilityZone === zone && this._structure.membership.ownsZoneRole(`report:${entry.name}`))
         return true;
       return nowMs - entry.reportAtMs > staleMs;
     });
@@ -118,7 +118,8 @@
     return directory
       .getEntries()
       .filter(
-        (e) => e.role === "engine" && e.availabilityZone === zone && membership.ownsDuty(`report:${e.name}`),
+        (e) =>
+          e.role === "engine" && e.availabilityZone === zone && membership.ownsZoneRole(`report:${e.name}`),
       );
   }
 
@@ -136,7 +137,7 @@
       const body: unknown = await got
         .get(`http://${entry.address}/v1/state`, {
           retry: { limit: 0 },
-          timeout: { request: this._patience.getMs(entry.address) },
+          timeout: { request: this._patience.getTimeoutMs(entry.address) },
         })
         .json();
       this._patience.noteAnswer(entry.address, utils.monotonicMs() - startMs);
@@ -176,7 +177,7 @@
     const { membership } = this._structure;
     const intervalMs = getBudgetIntervalMs({
       messageBytes: demandCount * demandBytes,
-      receivers: membership.getDutyCandidates().length - 1,
+      receivers: membership.getZoneRoleCandidates().length - 1,
       bytesPerSecond: demandBytesPerSecond,
       floorMs: reportFloorMs,
     });
@@ -232,7 +233,7 @@
     const zoneEndpoints = directory.getEntries().length / Math.max(1, zones);
     return getBudgetIntervalMs({
       messageBytes: (100 + zoneEndpoints * (loadBytes + fixedShareBytes)) * this._getOtherZones().length,
-      receivers: membership.getDutyCandidates().length - 1,
+      receivers: membership.getZoneRoleCandidates().length - 1,
       bytesPerSecond: digestBytesPerSecond,
       floorMs: digestFloorMs,
     });
@@ -243,7 +244,7 @@
     const { membership } = this._structure;
     const zones = new Set(membership.getLinked().map((member) => member.availabilityZone));
     zones.delete(membership.self.availabilityZone);
-    return [...zones].filter((zone) => membership.ownsDuty(`digest:${zone}`));
+    return [...zones].filter((zone) => membership.ownsZoneRole(`digest:${zone}`));
   }
 
   private async _fetchDigest(zone: string): Promise<void> {
@@ -272,7 +273,7 @@
     const isKnown = known === fixedHash;
     return {
       availabilityZone: zone,
-      instanceCount: membership.getDutyCandidates().length,
+      instanceCount: membership.getZoneRoleCandidates().length,
       fixedHash,
       full: isKnown ? [] : reports,
       loads: isKnown ? reports.map((report) => [report.name, report.activeStreams]) : [],
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -24,7 +24,7 @@
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
 import type { ModelQueues } from "../ModelQueues.js";
 import type { Tokenizer } from "../text/Tokenizer.js";
-import type { InFlight } from "../InFlight.js";
+import type { InFlightRequests } from "../InFlightRequests.js";
 import { AnswerWriter, type CompletionForm } from "./AnswerWriter.js";
 import { ApiError, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
@@ -40,7 +40,7 @@
 /** What the handler works with. */
 export interface CompletionStructure {
   readonly settings: InstanceSettings;
-  readonly fold: intent.ConfigurationFold;
+  readonly fold: intent.ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly limits: AccountLimits;
   readonly queues: ModelQueues;
@@ -50,7 +50,7 @@
   readonly tokenizer: Tokenizer;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightRequests;
 }
 
 /** One parsed and authenticated request. */
@@ -89,7 +89,7 @@
     // A keyed request goes on when its caller goes away: the caller's next try finds the answer.
     if (completion.key === undefined) guard.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, completion.requestId);
-    const leave = inFlight.enter(completion.requestId, controller);
+    const leave = inFlight.add(completion.requestId, controller);
     try {
       const outcome = await this._answer(completion, response);
       metrics.requests.inc({ kind: "model", outcome });
--- a/packages/entry/src/http/ServiceHandler.ts
+++ b/packages/entry/src/http/ServiceHandler.ts
@@ -1,30 +1,30 @@
 /** Calls to plain services under `/services/{service}/…`. */
 import { errors, results, utils } from "@shedtiller/common";
 import { ServiceError, type AtMostOnce, type ServiceCall, type ServiceCaller } from "@shedtiller/claims";
-import type { ConfigurationFold, ServiceObject } from "@shedtiller/intent";
+import type { ConfigurationProjection, ServiceObject } from "@shedtiller/intent";
 import type { InstanceSettings } from "@shedtiller/settings";
 import type { Timeline } from "@shedtiller/timeline";
 import type * as restify from "restify";
 import type * as http from "node:http";
-import type { InFlight } from "../InFlight.js";
+import type { InFlightRequests } from "../InFlightRequests.js";
 import type { InstanceMetrics } from "../metrics/InstanceMetrics.js";
 import { ApiError, ranHeader, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
 import * as guard from "./requestGuard.js";
-import { toStored, type StoredAnswer, type StoredServiceAnswer } from "./StoredAnswer.js";
+import { toStoredAnswer, type StoredAnswer, type StoredServiceAnswer } from "./StoredAnswer.js";
 
 const notFoundStatus = 404;
 
 /** What the handler works with. */
 export interface ServiceStructure {
   readonly settings: InstanceSettings;
-  readonly fold: ConfigurationFold;
+  readonly fold: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly caller: ServiceCaller;
   readonly once: AtMostOnce<StoredAnswer>;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
-  readonly inFlight: InFlight;
+  readonly inFlight: InFlightRequests;
 }
 
 type ServiceOutcome = results.Result<StoredAnswer, errors.ShedtillerError & { ran: "no" | "unknown" }>;
@@ -42,7 +42,7 @@
     // Once claimed, a call goes on when its caller goes away: the caller's next try finds the answer.
     if (call.isRepeatable || call.idempotencyKey === undefined) guard.abortWithCaller(response, controller);
     response.setHeader(requestIdHeader, call.requestId);
-    const leave = inFlight.enter(call.requestId, controller);
+    const leave = inFlight.add(call.requestId, controller);
     try {
       const outcome = await this._run(call);
       metrics.requests.inc({ kind: "service", outcome: this._send(response, call, outcome) });
@@ -94,7 +94,7 @@
 
   private async _call(call: ServiceCall): Promise<results.Result<StoredAnswer, ServiceError>> {
     const answer = await this._structure.caller.call(call);
-    return answer.ok ? results.Ok(toStored(answer.val)) : answer;
+    return answer.ok ? results.Ok(toStoredAnswer(answer.val)) : answer;
   }
 
   private _send(response: http.ServerResponse, call: ServiceCall, outcome: ServiceOutcome): string {
--- a/packages/entry/src/http/StoredAnswer.ts
+++ b/packages/entry/src/http/StoredAnswer.ts
@@ -25,6 +25,6 @@
 export type StoredServiceAnswer = Extract<StoredAnswer, { kind: "service" }>;
 
 /** A service's answer in its stored form. */
-export function toStored(answer: ServiceAnswer): StoredAnswer {
+export function toStoredAnswer(answer: ServiceAnswer): StoredAnswer {
   return { kind: "service", ...answer, contentType: answer.contentType ?? null };
 }
--- a/packages/entry/src/http/apiErrors.ts
+++ b/packages/entry/src/http/apiErrors.ts
@@ -1,6 +1,6 @@
 /** Errors as callers and operators see them: OpenAI's error object, with what is known of the request's having run. */
 import type * as http from "node:http";
-import { errors, type Ran } from "@shedtiller/common";
+import { errors, type ExecutionStatus } from "@shedtiller/common";
 
 export type ApiErrorType =
   | "invalid_request_error"
@@ -18,7 +18,7 @@
     readonly type: ApiErrorType,
     readonly code: string,
     message: string,
-    readonly ran: Ran = "no",
+    readonly ran: ExecutionStatus = "no",
     readonly retryAfterMs?: number,
   ) {
     super(message);
@@ -32,7 +32,7 @@
 
 /** Body of an error. */
 export function toErrorBody(error: ApiError): {
-  error: { type: string; code: string; message: string; ran: Ran };
+  error: { type: string; code: string; message: string; ran: ExecutionStatus };
 } {
   return { error: { type: error.type, code: error.code, message: error.message, ran: error.ran } };
 }
@@ -72,7 +72,9 @@
 const comeBackMs = 1_000;
 
 /** Turns a typed failure of a part into what the caller is told. */
-export function toApiError(error: errors.ShedtillerError & { ran: Ran; retryAfterMs?: number }): ApiError {
+export function toApiError(
+  error: errors.ShedtillerError & { ran: ExecutionStatus; retryAfterMs?: number },
+): ApiError {
   const [status, type] = statusByCode[error.code] ?? [500, "api_error"];
   const retryAfterMs = error.retryAfterMs ?? (status === 503 ? comeBackMs : undefined);
   return new ApiError(status, type, error.code, error.message, error.ran, retryAfterMs);
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -10,7 +10,7 @@
 export function requireAccount(request: restify.Request, accounts: AccountDirectory): intent.AccountObject {
   const key = intent.parseAccountKey(getBearer(request) ?? "");
   const found = key === undefined ? undefined : accounts.find(key.keyId);
-  if (key === undefined || found === undefined || !intent.isSecret(found.stored, key.secret)) {
+  if (key === undefined || found === undefined || !intent.isMatchingSecret(found.stored, key.secret)) {
     throw new ApiError(
       unauthorizedStatus,
       "authentication_error",
@@ -24,7 +24,7 @@
 /** Passes only with the operators' token. */
 export function requireOperator(request: restify.Request, stored: intent.AccountKey): void {
   const key = intent.parseAccountKey(getBearer(request) ?? "");
-  if (key?.keyId === stored.keyId && intent.isSecret(stored, key.secret)) return;
+  if (key?.keyId === stored.keyId && intent.isMatchingSecret(stored, key.secret)) return;
   throw new ApiError(
     unauthorizedStatus,
     "authentication_error",
@@ -47,7 +47,7 @@
   private readonly _byKeyId = new Map<string, FoundAccount>();
   private readonly _keyIds = new Map<string, readonly string[]>();
 
-  constructor(private readonly _fold: intent.ConfigurationFold) {
+  constructor(private readonly _fold: intent.ConfigurationProjection) {
     _fold.onChanged((changedKeys) => this._update(changedKeys));
   }
 
--- a/packages/entry/src/http/callerRoutes.ts
+++ b/packages/entry/src/http/callerRoutes.ts
@@ -1,5 +1,5 @@
 /** The callers' interface. Its paths and fields are stated in docs/INTERFACES.md. */
-import type { ConfigurationFold } from "@shedtiller/intent";
+import type { ConfigurationProjection } from "@shedtiller/intent";
 import { ApiError, sendJson } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
 import type { CompletionHandler } from "./CompletionHandler.js";
@@ -12,7 +12,7 @@
 
 /** What the routes work with. */
 export interface CallerStructure {
-  readonly fold: ConfigurationFold;
+  readonly fold: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly completions: CompletionHandler;
   readonly services: ServiceHandler;
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -7,7 +7,7 @@
 import * as zod from "zod";
 import type { Logs } from "../logs/createLogs.js";
 import type { InstanceMetrics } from "../metrics/InstanceMetrics.js";
-import type { PlanDesk } from "../operators/PlanDesk.js";
+import type { PlanService } from "../operators/PlanService.js";
 import type { Planner } from "../operators/Planner.js";
 import type { StatusGatherer } from "../operators/StatusGatherer.js";
 import type { TimelineGatherer } from "../operators/TimelineGatherer.js";
@@ -26,9 +26,9 @@
 /** What the routes work with. */
 export interface OperatorStructure {
   readonly tokenHash: intent.AccountKey;
-  readonly fold: intent.ConfigurationFold;
+  readonly fold: intent.ConfigurationProjection;
   readonly planner: Planner;
-  readonly desk: PlanDesk;
+  readonly desk: PlanService;
   readonly status: StatusGatherer;
   readonly timelines: TimelineGatherer;
   readonly timeline: Timeline;
@@ -78,7 +78,7 @@
   response: http.ServerResponse,
 ): void {
   const objects = Object.fromEntries(
-    [...fold.getHeldObjects()].map(([key, held]) => [key, { ...held, value: withoutSecrets(held.value) }]),
+    [...fold.getStoredObjects()].map(([key, held]) => [key, { ...held, value: withoutSecrets(held.value) }]),
   );
   sendJson(response, okStatus, { offset: fold.offset, objects, unknownRecords: fold.unknownRecords });
 }
--- a/packages/entry/src/logs/createLogs.ts
+++ b/packages/entry/src/logs/createLogs.ts
@@ -2,10 +2,11 @@
 import * as winston from "winston";
 
 /** Parts that log, by their prefix. */
-export type LogPart = "entry" | "callers" | "operators" | "peers" | "configuration" | "orders" | "platform";
+export type LogComponent =
+  "entry" | "callers" | "operators" | "peers" | "configuration" | "orders" | "platform";
 
 /** What a part writes with. */
-export interface PartLog {
+export interface ComponentLog {
   info(sentence: string): void;
   warn(sentence: string): void;
   error(sentence: string): void;
@@ -14,7 +15,7 @@
 
 /** The logs of one instance. */
 export interface Logs {
-  forPart(part: LogPart): PartLog;
+  forComponent(part: LogComponent): ComponentLog;
   /** Changes the level for all parts from now on. */
   setLevel(level: string): void;
   readonly level: string;
@@ -39,7 +40,7 @@
     transports: [new winston.transports.Console({ stderrLevels: ["error", "warn", "info", "debug"] })],
   });
   return {
-    forPart: (part) => createPartLog(logger, part),
+    forComponent: (part) => createPartLog(logger, part),
     setLevel: (level) => {
       logger.level = level;
     },
@@ -49,7 +50,7 @@
   };
 }
 
-function createPartLog(logger: winston.Logger, part: LogPart): PartLog {
+function createPartLog(logger: winston.Logger, part: LogComponent): ComponentLog {
   const write = (level: string) => (sentence: string) => void logger.log({ level, message: sentence, part });
   return { info: write("info"), warn: write("warn"), error: write("error"), debug: write("debug") };
 }
--- a/packages/entry/src/operators/PlanDesk.ts
+++ b/packages/entry/src/operators/PlanService.ts
@@ -3,7 +3,7 @@
 import {
   planSchema,
   type Confirmer,
-  type ConfigurationFold,
+  type ConfigurationProjection,
   type Plan,
   type PlanOutcome,
 } from "@shedtiller/intent";
@@ -33,10 +33,10 @@
 
   constructor(
     readonly planId: string,
-    readonly silent: readonly string[],
+    readonly unresponsiveInstances: readonly string[],
   ) {
     super(
-      `No instance that answered knows the plan ${planId}; without an answer: ${silent.join(", ")}. Ask again.`,
+      `No instance that answered knows the plan ${planId}; without an answer: ${unresponsiveInstances.join(", ")}. Ask again.`,
     );
   }
 }
@@ -53,18 +53,18 @@
 }
 
 /** What the desk works with. */
-export interface PlanDeskStructure {
-  readonly fold: ConfigurationFold;
+export interface PlanServiceStructure {
+  readonly configuration: ConfigurationProjection;
   readonly membership: Membership;
   readonly confirmer: Confirmer;
   readonly status: StatusGatherer;
 }
 
 /** Keeps plans and confirms them. */
-export class PlanDesk {
-  private readonly _plans = new utils.KeyedCache<Plan>(plansKept);
+export class PlanService {
+  private readonly _plans = new utils.BoundedMap<Plan>(plansKept);
 
-  constructor(private readonly _structure: PlanDeskStructure) {
+  constructor(private readonly _structure: PlanServiceStructure) {
     _structure.membership.onRequest(planTopic, (body) =>
       typeof body === "string" ? this._plans.get(body) : undefined,
     );
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -13,7 +13,7 @@
 /** Makes plans against the configuration in force and the engines that are known. */
 export class Planner {
   constructor(
-    private readonly _fold: intent.ConfigurationFold,
+    private readonly _fold: intent.ConfigurationProjection,
     private readonly _directory: EndpointDirectory,
     private readonly _instance: string,
   ) {}
@@ -47,7 +47,7 @@
 
   private _addRemoval(draft: intent.Plan, key: string): void {
     const baseOffset = this._fold.getBaseOffset(key);
-    if (!this._fold.getHeldObjects().has(key)) draft.warnings.push(`${key} is not there to be removed.`);
+    if (!this._fold.getStoredObjects().has(key)) draft.warnings.push(`${key} is not there to be removed.`);
     draft.changes.push({ key, baseOffset, value: null });
     const [kind, name = ""] = key.split("/");
     const pipeline = kind === "pipeline" ? this._fold.getObject("pipeline", name) : undefined;
@@ -194,7 +194,7 @@
   private _getReports(): EngineReport[] {
     return this._directory
       .getEntries()
-      .filter((entry) => !entry.isLeaving && !entry.isUnreachable)
+      .filter((entry) => !entry.isDraining && !entry.isUnreachable)
       .flatMap((entry) => entry.report ?? []);
   }
 
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -1,6 +1,6 @@
 /** What all instances say of themselves, gathered by the one that is asked. */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationFold } from "@shedtiller/intent";
+import type { ConfigurationProjection } from "@shedtiller/intent";
 import type { Member, Membership } from "@shedtiller/membership";
 import * as zod from "zod";
 
@@ -39,7 +39,7 @@
 /** Where an instance's own status comes from. */
 export interface StatusSources {
   readonly membership: Membership;
-  readonly fold: ConfigurationFold;
+  readonly configuration: ConfigurationProjection;
   readonly getLogAgeMs: () => number | undefined;
   readonly isReady: () => boolean;
   readonly isDraining: () => boolean;
@@ -49,17 +49,17 @@
 /** Answers for this instance and asks the others. */
 export class StatusGatherer {
   private _offsetSinceMs = utils.wallMs();
-  private readonly _patience = new utils.Patience(firstTimeoutMs, longestTimeoutMs);
+  private readonly _patience = new utils.AdaptiveTimeout(firstTimeoutMs, longestTimeoutMs);
 
   constructor(private readonly _sources: StatusSources) {
     _sources.membership.onRequest(statusTopic, () => this.getOwn());
-    _sources.fold.onChanged(() => {
+    _sources.configuration.onChanged(() => {
       this._offsetSinceMs = utils.wallMs();
     });
   }
 
   getOwn(): InstanceStatus {
-    const { membership, fold } = this._sources;
+    const { membership, configuration: fold } = this._sources;
     return {
       ...membership.self,
       offset: fold.offset,
@@ -88,7 +88,12 @@
   private async _ask(member: Member): Promise<InstanceStatus | undefined> {
     const { name } = member;
     const askedAtMs = utils.monotonicMs();
-    const reply = await this._sources.membership.request(name, statusTopic, null, this._patience.getMs(name));
+    const reply = await this._sources.membership.request(
+      name,
+      statusTopic,
+      null,
+      this._patience.getTimeoutMs(name),
+    );
     if (reply.ok) this._patience.noteAnswer(name, utils.monotonicMs() - askedAtMs);
     else if (reply.val.code === "deadline_passed") this._patience.noteTimeout(name);
     const status = reply.ok ? instanceStatusSchema.safeParse(reply.val) : undefined;
--- a/packages/entry/src/orders/OrderKeeper.ts
+++ b/packages/entry/src/orders/OrderReconciler.ts
@@ -1,6 +1,6 @@
 /** Brings engines to the placement in force: one instance a zone, under a lease, a few engines at a time. */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationFold, PipelineObject } from "@shedtiller/intent";
+import type { ConfigurationProjection, PipelineObject } from "@shedtiller/intent";
 import { sendOrder, type LeaseHolder, type Order } from "@shedtiller/lease";
 import type { Member, Membership } from "@shedtiller/membership";
 import type { EndpointDirectory, EndpointEntry } from "@shedtiller/routing";
@@ -8,37 +8,37 @@
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
 import { getZoneSource } from "../feeds/zoneFeedMessages.js";
 import type { VersionRetirement } from "./VersionRetirement.js";
-import type { PartLog } from "../logs/createLogs.js";
+import type { ComponentLog } from "../logs/createLogs.js";
 import { getWholeVersions } from "./servedVersions.js";
 
 const tickMs = 250;
 /** Life of an order, after which engines that check it drop it. Shorter than the unusable part of a lease. */
-export const orderLifeMs = 2_000;
+export const orderValidityMs = 2_000;
 const drainTimeoutMs = 30_000;
 /** An engine that has not reported for this long after an order counts as loading no more. */
 const longestOrderMs = 30_000;
 
 /** What an engine is to hold, by the configuration in force. */
-export interface WantedHolding {
+export interface DesiredLayers {
   readonly model: string;
   readonly version: string;
   readonly layers: [number, number];
 }
 
 /** What the keeper works on. */
-export interface OrderKeeperStructure {
-  readonly fold: ConfigurationFold;
+export interface OrderReconcilerStructure {
+  readonly configuration: ConfigurationProjection;
   readonly directory: EndpointDirectory;
   readonly membership: Membership;
   readonly versions: VersionsInUse;
   readonly retirement: VersionRetirement;
   readonly holder: LeaseHolder;
   readonly timeline: Timeline;
-  readonly log: PartLog;
+  readonly log: ComponentLog;
 }
 
 /** Sends orders while it holds its zone's lease. */
-export class OrderKeeper {
+export class OrderReconciler {
   private readonly _drainingSinceMs = new Map<string, number>();
   /** Engines that don't check orders get none before an older lease's orders have died out. */
   private _quietUntilMs = 0;
@@ -48,7 +48,7 @@
   /** Why each engine that is to hold something else has got no order yet, as it was last logged. */
   private readonly _holds = new Map<string, string>();
 
-  constructor(private readonly _structure: OrderKeeperStructure) {}
+  constructor(private readonly _structure: OrderReconcilerStructure) {}
 
   /** Runs until `signal` aborts, then gives the lease back. */
   async run(signal: AbortSignal): Promise<void> {
@@ -62,17 +62,17 @@
   }
 
   private async _tick(): Promise<void> {
-    const { membership, holder, fold, directory } = this._structure;
+    const { membership, holder, configuration: fold, directory } = this._structure;
     const due = this._findDue();
     this._forgetSettled();
     if (due.length === 0) return;
-    if (!membership.ownsDuty("orders")) return this._noteHolds(due, "another instance gives the orders");
-    if (!(await holder.keep())) return this._noteHolds(due, "the lease is not ours");
+    if (!membership.ownsZoneRole("orders")) return this._noteHolds(due, "another instance gives the orders");
+    if (!(await holder.acquireOrRenew())) return this._noteHolds(due, "the lease is not ours");
     this._noteToken(holder.getToken());
     // Where no engine can be spared, there is no way to the wanted placement but through a gap; but engines that load may soon make one.
     const isGapNeeded = !this._isLoading() && due.every((entry) => !keepsChain(fold, directory, entry));
     for (const entry of due) {
-      const wanted = getWanted(fold, entry.name);
+      const wanted = getDesiredLayers(fold, entry.name);
       if (wanted === undefined) continue;
       const hold = this._getHold(entry, isGapNeeded) ?? (await this._askToRetire(entry, isGapNeeded));
       this._noteHolds([entry], hold);
@@ -84,11 +84,11 @@
 
   /** Forgets what was noted of engines that hold what they are to hold: the next order to them is another matter. */
   private _forgetSettled(): void {
-    const { directory, fold } = this._structure;
+    const { directory, configuration: fold } = this._structure;
     for (const noted of [this._drainingSinceMs, this._holds]) {
       for (const name of noted.keys()) {
         const entry = directory.getEntry(name);
-        const isSettled = entry?.report !== undefined && isAsWanted(entry, getWanted(fold, name));
+        const isSettled = entry?.report !== undefined && isAsWanted(entry, getDesiredLayers(fold, name));
         if (entry === undefined || isSettled) noted.delete(name);
       }
     }
@@ -100,7 +100,7 @@
     const zone = membership.self.availabilityZone;
     const earliestMs = utils.monotonicMs() - longestOrderMs;
     return directory.getEntries().some((entry) => {
-      if (entry.availabilityZone !== zone || entry.isLeaving || entry.isUnreachable) return false;
+      if (entry.availabilityZone !== zone || entry.isDraining || entry.isUnreachable) return false;
       if (entry.report !== undefined) return entry.report.state === "loading";
       return (this._orderedAtMs.get(entry.name) ?? Number.NEGATIVE_INFINITY) >= earliestMs;
     });
@@ -122,7 +122,7 @@
 
   /** The version of which an engine is part of the last whole chain; undefined where there is another. */
   private _getLastHeld(entry: EndpointEntry): { pipeline: PipelineObject; version: string } | undefined {
-    const { fold, directory } = this._structure;
+    const { configuration: fold, directory } = this._structure;
     const { report } = entry;
     const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
     if (report?.layers === undefined || pipeline === undefined) return undefined;
@@ -152,17 +152,17 @@
 
   private _noteToken(token: number | undefined): void {
     if (token === undefined || token === this._lastToken) return;
-    if (this._lastToken === undefined) this._quietUntilMs = utils.monotonicMs() + orderLifeMs;
+    if (this._lastToken === undefined) this._quietUntilMs = utils.monotonicMs() + orderValidityMs;
     this._lastToken = token;
   }
 
   /** Engines of our zone that do not hold what they are to hold. */
   private _findDue(): EndpointEntry[] {
-    const { directory, membership, fold } = this._structure;
+    const { directory, membership, configuration: fold } = this._structure;
     const zone = membership.self.availabilityZone;
     return directory.getEntries().filter((entry) => {
-      if (entry.availabilityZone !== zone || entry.isLeaving || entry.isUnreachable) return false;
-      return entry.report?.state === "live" && !isAsWanted(entry, getWanted(fold, entry.name));
+      if (entry.availabilityZone !== zone || entry.isDraining || entry.isUnreachable) return false;
+      return entry.report?.state === "live" && !isAsWanted(entry, getDesiredLayers(fold, entry.name));
     });
   }
 
@@ -201,12 +201,12 @@
     }
   }
 
-  private async _order(entry: EndpointEntry, wanted: WantedHolding): Promise<void> {
+  private async _order(entry: EndpointEntry, wanted: DesiredLayers): Promise<void> {
     const { holder, timeline, log } = this._structure;
     // Asked again just before the order goes out: this process may have stood still since the last time.
     const fencingToken = holder.getToken();
     if (fencingToken === undefined) return;
-    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderLifeMs, ...wanted };
+    const order: Order = { fencingToken, expiresAtMs: utils.wallMs() + orderValidityMs, ...wanted };
     timeline.add("order-sent", {
       subject: entry.name,
       detail: `${wanted.model}@${wanted.version} [${wanted.layers.join(",")})`,
@@ -225,7 +225,7 @@
 }
 
 /** What the configuration wants an engine to hold; undefined where it says nothing of it. */
-export function getWanted(fold: ConfigurationFold, endpoint: string): WantedHolding | undefined {
+export function getDesiredLayers(fold: ConfigurationProjection, endpoint: string): DesiredLayers | undefined {
   for (const pipeline of fold.getObjects("pipeline")) {
     const layers = pipeline.placement?.[endpoint];
     if (layers !== undefined) return toHolding(pipeline, layers);
@@ -233,11 +233,11 @@
   return undefined;
 }
 
-function toHolding(pipeline: PipelineObject, layers: [number, number]): WantedHolding {
+function toHolding(pipeline: PipelineObject, layers: [number, number]): DesiredLayers {
   return { model: pipeline.name, version: pipeline.version, layers };
 }
 
-function isAsWanted(entry: EndpointEntry, wanted: WantedHolding | undefined): boolean {
+function isAsWanted(entry: EndpointEntry, wanted: DesiredLayers | undefined): boolean {
   const report = entry.report;
   if (wanted === undefined || report === undefined) return true;
   const isSameModel = report.model === wanted.model && report.version === wanted.version;
@@ -245,7 +245,11 @@
 }
 
 /** Whether the model that an engine serves now keeps a whole chain, of some version, without that engine. */
-function keepsChain(fold: ConfigurationFold, directory: EndpointDirectory, entry: EndpointEntry): boolean {
+function keepsChain(
+  fold: ConfigurationProjection,
+  directory: EndpointDirectory,
+  entry: EndpointEntry,
+): boolean {
   const { report } = entry;
   const pipeline = report === undefined ? undefined : fold.getObject("pipeline", report.model);
   if (report?.layers === undefined || pipeline === undefined) return true;
@@ -253,7 +257,7 @@
 }
 
 /** Marks the engines that are to hold something else. */
-export function updateRetiring(fold: ConfigurationFold, directory: EndpointDirectory): void {
+export function markRetiringEngines(fold: ConfigurationProjection, directory: EndpointDirectory): void {
   for (const entry of directory.getEntries())
-    entry.isRetiring = !isAsWanted(entry, getWanted(fold, entry.name));
+    entry.isRetiring = !isAsWanted(entry, getDesiredLayers(fold, entry.name));
 }
--- a/packages/entry/src/parts.ts
+++ b/packages/entry/src/serviceIdentifiers.ts
@@ -1,7 +1,7 @@
 /** Service identifiers of parts that are no classes, for composition. */
 
 /** Service identifiers of parts that are no classes. */
-export const parts = {
+export const serviceIdentifiers = {
   settings: Symbol.for("shedtiller.settings"),
   secrets: Symbol.for("shedtiller.secrets"),
   logs: Symbol.for("shedtiller.logs"),
--- a/packages/gateway/src/GatewayInstance.ts
+++ b/packages/gateway/src/GatewayInstance.ts
@@ -1,31 +1,31 @@
 /** One gateway instance: its tasks from start to the end of a planned stop. */
 import { setMaxListeners } from "node:events";
 import { errors, utils } from "@shedtiller/common";
-import { ConfigurationKeeper } from "./configuration/ConfigurationKeeper.js";
-import { DenialProof } from "./configuration/DenialProof.js";
+import { ActiveConfiguration } from "./configuration/ActiveConfiguration.js";
+import { DenialFreshness } from "./configuration/DenialFreshness.js";
 import type { GatewayConfiguration } from "./configuration/gatewayConfiguration.js";
 import type { ChangeFeed } from "./discovery/ChangeFeed.js";
-import { CrashGuard } from "./crashes/CrashGuard.js";
-import type { HeldRequestStore } from "./crashes/HeldRequestStore.js";
+import { RequestQuarantine } from "./crashes/RequestQuarantine.js";
+import type { QuarantineStore } from "./crashes/QuarantineStore.js";
 import { probeConnection } from "@shedtiller/crashes";
 import { ConfigurationWatch } from "./configuration/ConfigurationWatch.js";
 import type { Endpoint } from "./discovery/Endpoint.js";
 import { EndpointLimits } from "./discovery/EndpointLimits.js";
 import { EndpointStatements } from "./discovery/EndpointStatements.js";
-import { EndpointSuspicions } from "./discovery/EndpointSuspicions.js";
+import { FailureDetector } from "./discovery/FailureDetector.js";
 import { EndpointTable } from "./discovery/EndpointTable.js";
 import { EndpointWatch } from "./discovery/EndpointWatch.js";
 import type { ListedEndpoint } from "./discovery/ListedEndpoint.js";
 import { GatewayMetrics } from "./GatewayMetrics.js";
 import type { GatewaySettings } from "./gatewaySettings.js";
-import { HttpCaller } from "./http/HttpCaller.js";
+import { HttpClient } from "./http/HttpClient.js";
 import type { MessageCodec } from "./http/MessageCodec.js";
 import type { DecisionLog } from "./logs/DecisionLog.js";
 import type { EngineOrders } from "./orders/EngineOrders.js";
 import { EnginePoll } from "./orders/EnginePoll.js";
-import { LayerKeeper } from "./orders/LayerKeeper.js";
+import { LayerReconciler } from "./orders/LayerReconciler.js";
 import type { LeaderElection } from "./orders/LeaderElection.js";
-import { LeaderSeat } from "./orders/LeaderSeat.js";
+import { Leadership } from "./orders/Leadership.js";
 import { LifeCheckedOrders } from "./orders/LifeCheckedOrders.js";
 import { GatewayPeers } from "./peers/GatewayPeers.js";
 import type { PeerRegistry } from "./peers/PeerRegistry.js";
@@ -62,31 +62,31 @@
   readonly registry: PeerRegistry;
   readonly election: LeaderElection;
   readonly orders: EngineOrders;
-  readonly heldRequests: HeldRequestStore;
+  readonly heldRequests: QuarantineStore;
   readonly codec: MessageCodec;
 }
 
 /** Wires the parts and runs them. */
 export class GatewayInstance {
-  readonly keeper = new ConfigurationKeeper();
+  readonly activeConfiguration = new ActiveConfiguration();
   readonly endpoints = new EndpointTable();
   readonly metrics = new GatewayMetrics();
-  readonly crashes: CrashGuard;
+  readonly crashes: RequestQuarantine;
   private readonly _configurationWatch: ConfigurationWatch;
   private readonly _endpointWatch: EndpointWatch;
   private readonly _peers: GatewayPeers;
-  private readonly _seat: LeaderSeat;
-  private readonly _layers: LayerKeeper;
+  private readonly _seat: Leadership;
+  private readonly _layers: LayerReconciler;
   private readonly _poll: EnginePoll;
   private readonly _budgets: RetryBudgets;
   private readonly _limits: EndpointLimits;
   private readonly _statements: EndpointStatements;
-  private readonly _suspicions: EndpointSuspicions;
+  private readonly _suspicions: FailureDetector;
   private readonly _demand = new RequestDemand();
   private readonly _forwarders: ForwarderSet;
   private readonly _callers: CallerListener;
   private readonly _readiness: ReadinessListener;
-  private readonly _httpCaller = new HttpCaller();
+  private readonly _httpCaller = new HttpClient();
   private readonly _stop = new AbortController();
   private _isDraining = false;
 
@@ -104,7 +104,7 @@
     this._statements = this._createStatements();
     platform.orders.onAnswer((target, answer) => this._statements.noteOrderAnswer(target, answer));
     this._configurationWatch = new ConfigurationWatch(
-      this.keeper,
+      this.activeConfiguration,
       platform.configurationFeed,
       _log,
       _settings.configuration.deadlineMs,
@@ -113,8 +113,8 @@
     this._peers = this._createPeers(platform.registry);
     const { relay, exchange } = this._peers;
     this.crashes = this._createCrashes(platform.heldRequests);
-    this._seat = new LeaderSeat(platform.election, _log, { mayCampaign: () => relay.isReader });
-    const tellRestart = (id: string, bornAtMs: number): void => exchange.tellRestart(id, bornAtMs);
+    this._seat = new Leadership(platform.election, _log, { mayCampaign: () => relay.isReader });
+    const tellRestart = (id: string, bornAtMs: number): void => exchange.broadcastRestart(id, bornAtMs);
     const orders = new LifeCheckedOrders(platform.orders, this.endpoints, tellRestart);
     this._suspicions = this._createSuspicions(orders);
     this._layers = this._createLayers(orders);
@@ -123,12 +123,12 @@
     const { host, port } = callers.readiness;
     this._readiness = new ReadinessListener(host, port, () => this._isReady());
     this._poll = this._createPoll(orders);
-    this.keeper.onChanged((table) => {
-      if (relay.isReader) exchange.tellVersion(table.version);
+    this.activeConfiguration.onChanged((table) => {
+      if (relay.isReader) exchange.broadcastVersion(table.version);
     });
     // A connection to a process that is gone answers nothing, or resets what is sent over it.
     this.endpoints.onChanged((endpoint, event) => {
-      if (event === "restarted") this._httpCaller.dropRested(endpoint.listed.address);
+      if (event === "restarted") this._httpCaller.closeIdleConnections(endpoint.listed.address);
     });
     this._demand.onPermits((service, count) => this.metrics.permits.inc({ service }, count));
     this._addGauges();
@@ -170,7 +170,7 @@
     this._budgets.setOptions(toBudgetOptions(retries));
     const needsRestart = getChangedSections(this._settings, settings);
     this._log.info("settings-reloaded", { changed, needsRestart });
-    void this.crashes.compareWithStore();
+    void this.crashes.reconcileWithStore();
   }
 
   /** Finishes what is in hand, within the grace, and ends. */
@@ -179,12 +179,12 @@
     this._isDraining = true;
     this._callers.drain();
     this._peers.membership.leave();
-    this._log.info("drain-began", { inHand: this._callers.inHand });
+    this._log.info("drain-began", { inHand: this._callers.inFlight });
     await deadline.pause(balancerNoticeMs);
-    this._callers.refuseLasting(deadline.endsAtMs);
+    this._callers.setStopDeadline(deadline.endsAtMs);
     this._callers.closeIdle();
-    while (this._callers.inHand > 0 && !deadline.isReached) await deadline.pause(drainPollMs);
-    this._log.info("instance-stopped", { inHand: this._callers.inHand });
+    while (this._callers.inFlight > 0 && !deadline.isReached) await deadline.pause(drainPollMs);
+    this._log.info("instance-stopped", { inHand: this._callers.inFlight });
     this._stop.abort();
     this._callers.close();
     this._readiness.close();
@@ -206,7 +206,7 @@
     return new GatewayPeers({
       settings: this._settings,
       registry,
-      keeper: this.keeper,
+      activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
       configurationWatch: this._configurationWatch,
       endpointWatch: this._endpointWatch,
@@ -214,13 +214,13 @@
       statements: this._statements,
       demand: this._demand,
       log: this._log,
-      onSize: (size) => this._budgets.setInstances(size),
+      onSize: (size) => this._budgets.setInstanceCount(size),
     });
   }
 
-  private _createCrashes(store: HeldRequestStore): CrashGuard {
+  private _createCrashes(store: QuarantineStore): RequestQuarantine {
     const { membership, relay } = this._peers;
-    return new CrashGuard({
+    return new RequestQuarantine({
       membership,
       endpoints: this.endpoints,
       store,
@@ -239,31 +239,31 @@
     if (isKnown) this._suspicions.noteSilent(endpoint.id, "crashed");
   }
 
-  private _createLayers(orders: EngineOrders): LayerKeeper {
-    return new LayerKeeper({
-      keeper: this.keeper,
+  private _createLayers(orders: EngineOrders): LayerReconciler {
+    return new LayerReconciler({
+      activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
       orders,
       log: this._log,
-      mayOrder: () => this._seat.isHeld(),
+      mayOrder: () => this._seat.isLeader(),
     });
   }
 
   private _createCallers(codec: MessageCodec): CallerListener {
     return new CallerListener({
       ...this._settings.callers.listen,
-      keeper: this.keeper,
+      activeConfiguration: this.activeConfiguration,
       codec,
       log: this._log,
       areKeysFresh: () => this._areKeysFresh(),
-      denials: this._createDenialProof(),
+      denialFreshness: this._createDenialProof(),
       forward: (request) => this._forward(request),
     });
   }
 
-  private _createDenialProof(): DenialProof {
-    return new DenialProof({
-      keeper: this.keeper,
+  private _createDenialProof(): DenialFreshness {
+    return new DenialFreshness({
+      activeConfiguration: this.activeConfiguration,
       getBehindMs: () => this._configurationWatch.follower.getBehindMs(),
       getDeadlineMs: () => this._settings.configuration.deadlineMs,
     });
@@ -271,31 +271,32 @@
 
   private _createPoll(orders: EngineOrders): EnginePoll {
     return new EnginePoll({
-      keeper: this.keeper,
+      activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
       orders,
       log: this._log,
       availabilityZone: this._settings.instance.availabilityZone,
       mayAsk: () => this._peers.loads.isCollector,
-      tell: (endpointId, slowness) => this._peers.exchange.tellSlowness(endpointId, slowness),
+      broadcastSlowness: (endpointId, slowness) =>
+        this._peers.exchange.broadcastSlowness(endpointId, slowness),
     });
   }
 
   private _createContext(codec: MessageCodec): ForwardContext {
     return {
-      keeper: this.keeper,
+      activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
-      caller: this._httpCaller,
+      httpClient: this._httpCaller,
       codec,
       budgets: this._budgets,
       log: this._log,
       availabilityZone: this._settings.instance.availabilityZone,
       suspicions: this._suspicions,
-      crashes: this.crashes.watch,
+      crashes: this.crashes.detector,
       statements: this._statements,
       demand: this._demand,
       forecast: this._createForecast(),
-      tellFull: (endpointId) => this._peers.exchange.tellFull(endpointId),
+      broadcastFull: (endpointId) => this._peers.exchange.broadcastFull(endpointId),
     };
   }
 
@@ -304,13 +305,13 @@
     return new PermitForecast({ endpoints: this.endpoints, demand: this._demand, getInstanceCount });
   }
 
-  private _createSuspicions(orders: EngineOrders): EndpointSuspicions {
-    return new EndpointSuspicions({
+  private _createSuspicions(orders: EngineOrders): FailureDetector {
+    return new FailureDetector({
       endpoints: this.endpoints,
       orders,
       log: this._log,
-      tellPeers: (endpointId) => this._peers.exchange.tellSuspicion(endpointId),
-      tellLayers: (endpointId, layers) => this._peers.exchange.tellLayers(endpointId, layers),
+      broadcastSuspicion: (endpointId) => this._peers.exchange.broadcastSuspicion(endpointId),
+      broadcastLayers: (endpointId, layers) => this._peers.exchange.broadcastLayers(endpointId, layers),
       count: (cause) => this.metrics.suspicions.inc({ cause }),
     });
   }
@@ -324,12 +325,16 @@
 
   private _areKeysFresh(): boolean {
     const { isRevocationStrict, revocationBoundMs } = this._settings.keys;
-    return !isRevocationStrict || this.keeper.getProofAgeMs() < revocationBoundMs - revocationMarginMs;
+    return (
+      !isRevocationStrict ||
+      this.activeConfiguration.getFreshnessAgeMs() < revocationBoundMs - revocationMarginMs
+    );
   }
 
   private _isReady(): boolean {
-    if (this._isDraining || this.keeper.table === undefined || !this.endpoints.isKnown) return false;
-    return !this.keeper.table.hasAccounts || this._areKeysFresh();
+    if (this._isDraining || this.activeConfiguration.table === undefined || !this.endpoints.isKnown)
+      return false;
+    return !this.activeConfiguration.table.hasAccounts || this._areKeysFresh();
   }
 
   private _noteTask(error: unknown): void {
@@ -338,19 +343,28 @@
   }
 
   private _addGauges(): void {
-    this.metrics.addGauge("requests_in_hand", "Requests without a final answer", () => this._callers.inHand);
+    this.metrics.addGauge(
+      "requests_in_hand",
+      "Requests without a final answer",
+      () => this._callers.inFlight,
+    );
     this.metrics.addGauge("requests_waiting", "Requests that wait for room", () => this._forwarders.waiting);
     this.metrics.addGauge(
       "requests_held",
       "Different requests that are held back since they crash endpoints",
-      () => this.crashes.watch.ledger.heldCount,
+      () => this.crashes.detector.ledger.quarantinedCount,
     );
     this.metrics.addGauge("streams", "Streams at chains", () => this._forwarders.monitor.size);
-    this.metrics.addGauge("configuration_version", "Version in force", () => this.keeper.version);
+    this.metrics.addGauge(
+      "configuration_version",
+      "Version in force",
+      () => this.activeConfiguration.version,
+    );
     this.metrics.addGauge(
       "configuration_proof_age_seconds",
       "Age of the proof that nothing newer exists",
-      () => Math.min(this.keeper.getProofAgeMs() / utils.msPerSecond, Number.MAX_SAFE_INTEGER),
+      () =>
+        Math.min(this.activeConfiguration.getFreshnessAgeMs() / utils.msPerSecond, Number.MAX_SAFE_INTEGER),
     );
     this.metrics.addGauge("peers", "Peers linked", () => this._peers.membership.getLinked().length);
     this.metrics.addGauge(
@@ -361,7 +375,8 @@
     this.metrics.addGauge(
       "endpoints_resting",
       "Endpoints in a rest that they asked this instance for",
-      () => this.endpoints.getAll().filter(({ rest }) => rest.getLeftMs(utils.monotonicMs()) > 0).length,
+      () =>
+        this.endpoints.getAll().filter(({ backoff: rest }) => rest.getLeftMs(utils.monotonicMs()) > 0).length,
     );
     this.metrics.addGauge(
       "endpoints_leaving",
--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -1,12 +1,12 @@
 /** Admission control for streamed requests: reserves chains with free capacity, and queues the requests that find none. */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { PermitForecast } from "../requests/PermitForecast.js";
 import type { RequestDemand } from "../requests/RequestDemand.js";
 import type { ChainChooser } from "./ChainChooser.js";
 import { ChainReservation } from "./ChainReservation.js";
-import type { ChainDemand } from "./coverLayers.js";
+import type { ChainDemand } from "./findCheapestChain.js";
 
 /** Capacity also becomes free when streams of peers end, which this instance learns from the load that they report. */
 const pollIntervalMs = 50;
@@ -22,19 +22,19 @@
 const shortestRetryAfterMs = 500;
 
 /** A request for a reserved chain. */
-export interface ChainApplicant {
+export interface ChainAcquisition {
   readonly service: string;
   readonly demand: ChainDemand;
   /** 0 is the most urgent. */
   readonly priority: number;
-  readonly patienceMs: number;
+  readonly maxWaitMs: number;
   /** Latest monotonic time of a start that meets the target latency; infinite if the stream has begun. */
-  readonly inTimeUntilMs: number;
+  readonly latestStartAtMs: number;
   readonly signal: AbortSignal;
 }
 
 interface Waiter {
-  readonly acquisition: ChainApplicant;
+  readonly acquisition: ChainAcquisition;
   readonly done: utils.Deferred<ChainReservation | undefined>;
   /** Monotonic time at which the maximum wait ends. */
   readonly timeoutAtMs: number;
@@ -54,7 +54,7 @@
   private _releaseIntervalMs = initialReleaseIntervalMs;
 
   constructor(
-    private readonly _keeper: ConfigurationKeeper,
+    private readonly _keeper: ActiveConfiguration,
     private readonly _endpoints: EndpointTable,
     private readonly _chooser: ChainChooser,
     private readonly _demand: RequestDemand,
@@ -72,15 +72,15 @@
   }
 
   /** Reserves a chain, waiting for capacity; returns undefined after the maximum wait or if the caller has disconnected. */
-  async acquire(acquisition: ChainApplicant): Promise<ChainReservation | undefined> {
+  async acquire(acquisition: ChainAcquisition): Promise<ChainReservation | undefined> {
     if (!this.hasEndpoints(acquisition.service)) return undefined;
     const ahead = this._countAhead(acquisition);
     const reservation = ahead === 0 ? this._tryReserve(acquisition) : undefined;
     if (reservation !== undefined) return reservation;
     // A second engine with the first layers appears only after a load of layers, which takes seconds, so waiting is useless.
-    if (acquisition.demand.spares === "only") return undefined;
+    if (acquisition.demand.redundantFirstEngine === "only") return undefined;
     // An immediate rejection leaves the caller time for a retry; a rejection after a useless wait does not.
-    if (this._getWaitMs(acquisition.service, ahead) > acquisition.patienceMs) return undefined;
+    if (this._getWaitMs(acquisition.service, ahead) > acquisition.maxWaitMs) return undefined;
     return this._wait(acquisition);
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Returns the number of waiting requests that go before one that arrives now. */
-  private _countAhead(acquisition: ChainApplicant): number {
+  private _countAhead(acquisition: ChainAcquisition): number {
     const nowMs = utils.monotonicMs();
     return this._waiters.filter((waiter) => compareTurns(waiter.acquisition, acquisition, nowMs) <= 0).length;
   }
@@ -155,15 +155,15 @@
     }
   }
 
-  private async _wait(acquisition: ChainApplicant): Promise<ChainReservation | undefined> {
+  private async _wait(acquisition: ChainAcquisition): Promise<ChainReservation | undefined> {
     const done = new utils.Deferred<ChainReservation | undefined>();
     const cancel = (): void => {
       this._remove(waiter);
       done.resolve(undefined);
     };
-    const timeoutAtMs = utils.monotonicMs() + acquisition.patienceMs;
+    const timeoutAtMs = utils.monotonicMs() + acquisition.maxWaitMs;
     const waiter: Waiter = { acquisition, done, timeoutAtMs, cancel };
-    const timer = setTimeout(cancel, acquisition.patienceMs);
+    const timer = setTimeout(cancel, acquisition.maxWaitMs);
     acquisition.signal.addEventListener("abort", cancel, { once: true });
     this._waiters.push(waiter);
     this._pollTimer ??= setInterval(() => this._serveWaiters(), pollIntervalMs);
@@ -183,7 +183,7 @@
   }
 
   /** Reserves a chain with free capacity whose first engine has a permit; returns undefined if there is none. */
-  private _tryReserve(acquisition: ChainApplicant): ChainReservation | undefined {
+  private _tryReserve(acquisition: ChainAcquisition): ChainReservation | undefined {
     const profile = this._keeper.table?.getEngineProfile(acquisition.service);
     if (profile === undefined) return undefined;
     const endpoints = this._endpoints.getUsable(acquisition.service);
@@ -196,7 +196,7 @@
   }
 }
 
-function countTokens({ demand }: ChainApplicant): number {
+function countTokens({ demand }: ChainAcquisition): number {
   return demand.promptTokens + demand.answerTokens;
 }
 
@@ -204,7 +204,7 @@
  * Orders requests by priority, then those that can still meet their target latency before those that are late. Returns 0 for requests
  * that keep their order of arrival. Under overload an order by arrival alone would make all requests late.
  */
-function compareTurns(a: ChainApplicant, b: ChainApplicant, nowMs: number): number {
-  const isLate = (acquisition: ChainApplicant): number => (nowMs > acquisition.inTimeUntilMs ? 1 : 0);
+function compareTurns(a: ChainAcquisition, b: ChainAcquisition, nowMs: number): number {
+  const isLate = (acquisition: ChainAcquisition): number => (nowMs > acquisition.latestStartAtMs ? 1 : 0);
   return a.priority - b.priority || isLate(a) - isLate(b);
 }
--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -4,7 +4,7 @@
 import type { AcceleratorKind, EngineProfile } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { ChainStage } from "../http/MessageCodec.js";
-import { coverLayers, type ChainCandidate, type ChainDemand } from "./coverLayers.js";
+import { findCheapestChain, type ChainCandidate, type ChainDemand } from "./findCheapestChain.js";
 import { getCapacityTokenLayers, getKind, getStepMs, getUnqueuedRequests } from "./engineModel.js";
 
 /** Share of an engine's capacity that is assigned to requests; the remainder covers answers that are longer than estimated. */
@@ -61,8 +61,8 @@
     demand: ChainDemand,
   ): ChainStage[] | undefined {
     const chain = this._chooseAmong(endpoints, profile, demand);
-    if (chain !== undefined || demand.spares !== "rather") return chain;
-    return this._chooseAmong(endpoints, profile, { ...demand, spares: undefined });
+    if (chain !== undefined || demand.redundantFirstEngine !== "rather") return chain;
+    return this._chooseAmong(endpoints, profile, { ...demand, redundantFirstEngine: undefined });
   }
 
   private _chooseAmong(
@@ -72,15 +72,16 @@
   ): ChainStage[] | undefined {
     const { layerCount } = profile;
     const completeZones = getCompleteZones(endpoints, layerCount, this._nowMs());
-    const excluded = demand.spares === undefined ? undefined : getSoleFirstEngines(endpoints, this._nowMs());
+    const excluded =
+      demand.redundantFirstEngine === undefined ? undefined : getSoleFirstEngines(endpoints, this._nowMs());
     const candidates = endpoints.flatMap((endpoint) =>
       this._toCandidates(endpoint, profile, demand, completeZones).map((candidate) =>
-        excluded?.has(endpoint) === true ? { ...candidate, mayBegin: false } : candidate,
+        excluded?.has(endpoint) === true ? { ...candidate, canBeFirst: false } : candidate,
       ),
     );
     return (
-      coverLayers(candidates, layerCount, demand, "one-zone") ??
-      coverLayers(candidates, layerCount, demand, "several-zones")
+      findCheapestChain(candidates, layerCount, demand, "one-zone") ??
+      findCheapestChain(candidates, layerCount, demand, "several-zones")
     );
   }
 
@@ -92,9 +93,9 @@
   ): ChainCandidate[] {
     const nowMs = this._nowMs();
     if (endpoint.isSuspect(nowMs) || nowMs < endpoint.refusedUntilMs) return [];
-    if (endpoint.failures.isAvoided(nowMs)) return [];
+    if (endpoint.circuitBreaker.isOpen(nowMs)) return [];
     // A moved stream keeps its first engine, whose back-off applies to new requests only.
-    if (endpoint.rest.getLeftMs(nowMs) > 0 && endpoint.id !== demand.firstEndpointId) return [];
+    if (endpoint.backoff.getLeftMs(nowMs) > 0 && endpoint.id !== demand.firstEndpointId) return [];
     if (demand.refusedBy?.has(endpoint.listed.address) === true) return [];
     const kind = getKind(endpoint, profile);
     if (kind === undefined) return [];
@@ -107,7 +108,7 @@
     const tokenUtilization = capacity <= 0 ? 1 : load.tokenLayers / capacity;
     const utilization = Math.max(tokenUtilization, load.requests / getUnqueuedRequests(endpoint, profile));
     const state = { sequences: load.requests + 1, slowness: endpoint.slowness };
-    const randomFactor = demand.isSpread === true ? 1 + randomFactorRange * (this._random() - 0.5) : 1;
+    const randomFactor = demand.isRandomized === true ? 1 + randomFactorRange * (this._random() - 0.5) : 1;
     const utilizationFactor = 1 + utilizationCostFactor * utilization ** 2;
     const msPerLayer = getMsPerLayer(profile, kind, demand, state) * utilizationFactor * randomFactor;
     const countFree = (share: number): number =>
@@ -145,7 +146,7 @@
 function getSoleFirstEngines(endpoints: readonly Endpoint[], nowMs: number): Set<Endpoint> {
   // An engine that has just failed a request may have crashed, so it does not count as a replacement.
   const healthy = endpoints.filter(
-    (endpoint) => !endpoint.isSuspect(nowMs) && !endpoint.failures.isAvoided(nowMs),
+    (endpoint) => !endpoint.isSuspect(nowMs) && !endpoint.circuitBreaker.isOpen(nowMs),
   );
   const firsts = healthy.filter(({ listed }) => listed.layers.some(({ start }) => start === 0));
   const zones = utils.groupBy(firsts, (endpoint) => endpoint.listed.availabilityZone);
--- a/packages/gateway/src/chains/describeRoom.ts
+++ b/packages/gateway/src/chains/describeFreeCapacity.ts
@@ -2,13 +2,13 @@
 import { utils } from "@shedtiller/common";
 import type { EngineProfile } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
-import { getCapacityTokenLayers, getHeldLayers } from "./engineModel.js";
+import { getCapacityTokenLayers, countLoadedLayers } from "./engineModel.js";
 
 /**
  * Returns for each zone the layers with the least free capacity and the number of tokens that fit there: `zone:46-63=1200` means 1,200
  * tokens at the layers from 46 to before 63.
  */
-export function describeRoom(
+export function describeFreeCapacity(
   endpoints: readonly Endpoint[],
   profile: EngineProfile,
   nowMs: number,
@@ -27,7 +27,7 @@
 function getFreeTokensByLayer(members: readonly Endpoint[], profile: EngineProfile): number[] {
   const tokens = new Array<number>(profile.layerCount).fill(0);
   for (const member of members) {
-    const loadedLayers = getHeldLayers(member);
+    const loadedLayers = countLoadedLayers(member);
     const free = Math.max(0, getCapacityTokenLayers(member, profile) - member.getLoad().tokenLayers);
     for (const { start, end } of member.listed.layers) {
       for (let layer = start; layer < end; layer++)
--- a/packages/gateway/src/chains/engineModel.ts
+++ b/packages/gateway/src/chains/engineModel.ts
@@ -15,7 +15,7 @@
 }
 
 /** Returns the number of layers that an engine has loaded. */
-export function getHeldLayers(endpoint: Endpoint): number {
+export function countLoadedLayers(endpoint: Endpoint): number {
   return utils.getSum(endpoint.listed.layers.map((span) => span.end - span.start));
 }
 
@@ -28,7 +28,7 @@
  * 17 % at 1.4 times and 45 % at 1.7 times.
  */
 export function getUnqueuedRequests(endpoint: Endpoint, profile: EngineProfile): number {
-  const loadedLayers = Math.max(1, getHeldLayers(endpoint));
+  const loadedLayers = Math.max(1, countLoadedLayers(endpoint));
   const passes = (profile.usualAnswerTokens / profile.stepsPerPass) * (profile.layerCount / loadedLayers);
   return passes * (profile.promptTokensPerPass / profile.usualPromptTokens);
 }
@@ -37,7 +37,7 @@
 export function getCapacityTokenLayers(endpoint: Endpoint, profile: EngineProfile): number {
   const kind = getKind(endpoint, profile);
   if (kind === undefined) return 0;
-  const freeMb = kind.memoryMb - getHeldLayers(endpoint) * profile.layerMb;
+  const freeMb = kind.memoryMb - countLoadedLayers(endpoint) * profile.layerMb;
   return (Math.max(0, freeMb) * bytesPerMb) / (profile.kvBytesPerToken / profile.layerCount);
 }
 
--- a/packages/gateway/src/chains/coverLayers.ts
+++ b/packages/gateway/src/chains/findCheapestChain.ts
@@ -16,13 +16,13 @@
    * Whether costs are randomized, which distributes requests over engines of similar cost. Used for streams that many instances move at
    * the same time, since each instance knows the load of the others only as it was before.
    */
-  readonly isSpread?: boolean | undefined;
+  readonly isRandomized?: boolean | undefined;
   /**
    * Whether the first engine must be redundant ("only"), or is so preferably ("rather"): another engine of its zone has the first layers,
    * too. Set for a request that may have crashed an engine. A zone that loses its last engine with the first layers serves no requests
    * until another one has loaded them.
    */
-  readonly spares?: "rather" | "only" | undefined;
+  readonly redundantFirstEngine?: "rather" | "only" | undefined;
   /** Addresses of engines that rejected this request; the cause of a rejection rarely ends within milliseconds. */
   readonly refusedBy?: ReadonlySet<string> | undefined;
 }
@@ -49,9 +49,9 @@
   /** Number of layers for which the tokens of the request still fit into memory. */
   readonly freeLayers: number;
   /** Number of these layers that a cross-zone chain may use. */
-  readonly freeLayersAcross: number;
+  readonly freeLayersCrossZone: number;
   /** Whether the engine can be the first of a chain; its slots and its rate limit apply to the requests that begin there. */
-  readonly mayBegin: boolean;
+  readonly canBeFirst: boolean;
 }
 
 /** Whether all stages of a chain must be in one zone. */
@@ -70,7 +70,7 @@
 type Labels = Map<number, Map<string, Label>>;
 
 /** Returns the cheapest chain that runs all layers, or undefined if there is none. Uses dynamic programming over the layer boundaries. */
-export function coverLayers(
+export function findCheapestChain(
   candidates: readonly ChainCandidate[],
   layerCount: number,
   demand: ChainDemand,
@@ -121,7 +121,7 @@
     const isFirst = label.candidate === undefined;
     if (isFirst && firstEndpointId !== undefined && candidate.endpoint.id !== firstEndpointId) return false;
     // A moved request already has a slot at its first engine.
-    if (isFirst && firstEndpointId === undefined && !candidate.mayBegin) return false;
+    if (isFirst && firstEndpointId === undefined && !candidate.canBeFirst) return false;
     if (this._reach === "one-zone" && !isFirst && changesZone(label, candidate)) return false;
     return !isUsed(label, candidate);
   }
@@ -147,7 +147,7 @@
   }
 
   private _getFreeLayers(candidate: ChainCandidate): number {
-    return this._reach === "one-zone" ? candidate.freeLayers : candidate.freeLayersAcross;
+    return this._reach === "one-zone" ? candidate.freeLayers : candidate.freeLayersCrossZone;
   }
 
   private _getZoneMs(label: Label, candidate: ChainCandidate): number {
--- a/packages/gateway/src/configuration/ConfigurationKeeper.ts
+++ b/packages/gateway/src/configuration/ActiveConfiguration.ts
@@ -7,7 +7,7 @@
 export type ConfigurationSource = "store" | "peer";
 
 /** Holds the newest configuration seen. Versions never go back within the life of a process. */
-export class ConfigurationKeeper {
+export class ActiveConfiguration {
   private _table: RouteTable | undefined;
   private _provenAtMs = Number.NEGATIVE_INFINITY;
   private readonly _listeners: ((table: RouteTable, source: ConfigurationSource) => void)[] = [];
@@ -27,7 +27,7 @@
   }
 
   /** How long ago the store is known to have held nothing newer; infinite before the first proof. */
-  getProofAgeMs(): number {
+  getFreshnessAgeMs(): number {
     return this._nowMs() - this._provenAtMs;
   }
 
@@ -38,7 +38,7 @@
   }
 
   /** Resolves with the next configuration or younger proof, or after `patienceMs`. */
-  waitForNews(patienceMs: number): Promise<void> {
+  waitForUpdate(patienceMs: number): Promise<void> {
     return waitFor(this._news.promise, patienceMs);
   }
 
@@ -61,7 +61,7 @@
    * Notes a proof that `version` was the newest at `atMs`. A proof for another version than ours proves nothing.
    * @param atMs - Monotonic time before which the question was asked.
    */
-  confirm(version: number, atMs: number): void {
+  confirmFreshness(version: number, atMs: number): void {
     if (version !== this.version || atMs <= this._provenAtMs) return;
     this._provenAtMs = atMs;
     this._tellNews();
--- a/packages/gateway/src/configuration/ConfigurationHistory.ts
+++ b/packages/gateway/src/configuration/ConfigurationHistory.ts
@@ -1,6 +1,6 @@
 /** The last configurations in force at this instance, and what changed since each of them. */
 import { countParts, getDelta, type ConfigurationDelta } from "./configurationDelta.js";
-import type { ConfigurationKeeper } from "./ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "./ActiveConfiguration.js";
 import type { GatewayConfiguration } from "./gatewayConfiguration.js";
 
 /**
@@ -21,7 +21,7 @@
   /** Changes to the newest one that were asked for, by version: many peers ask for the same at once, and one takes 4 ms of a small core. */
   private readonly _known = new Map<number, ConfigurationDelta | undefined>();
 
-  constructor(keeper: ConfigurationKeeper) {
+  constructor(keeper: ActiveConfiguration) {
     keeper.onChanged(({ configuration }) => this._add(configuration));
   }
 
--- a/packages/gateway/src/configuration/ConfigurationWatch.ts
+++ b/packages/gateway/src/configuration/ConfigurationWatch.ts
@@ -2,8 +2,8 @@
 import type { Change, ChangeFeed, StoreError } from "../discovery/ChangeFeed.js";
 import { FeedFollower, type FollowOptions } from "../discovery/FeedFollower.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import type { ConfigurationKeeper, ConfigurationSource } from "./ConfigurationKeeper.js";
-import { getHeldReadMs } from "./DenialProof.js";
+import type { ActiveConfiguration, ConfigurationSource } from "./ActiveConfiguration.js";
+import { getLongPollMs } from "./DenialFreshness.js";
 import type { GatewayConfiguration } from "./gatewayConfiguration.js";
 import type { RouteTable } from "./RouteTable.js";
 
@@ -18,7 +18,7 @@
    * @param clock - Monotonic clock and waits, replaced in tests.
    */
   constructor(
-    private readonly _keeper: ConfigurationKeeper,
+    private readonly _keeper: ActiveConfiguration,
     feed: ChangeFeed<GatewayConfiguration>,
     private readonly _log: DecisionLog,
     deadlineMs: number,
@@ -36,7 +36,7 @@
       onRegained: () => _log.info("configuration-store-regained", { version: _keeper.version }),
     };
     this.follower = new FeedFollower(feed, listener, {
-      waitMs: getHeldReadMs(deadlineMs),
+      waitMs: getLongPollMs(deadlineMs),
       retryMs,
       ...clock,
     });
@@ -50,13 +50,13 @@
 
   private _take(configurations: readonly GatewayConfiguration[], provenAtMs: number): void {
     for (const configuration of configurations) this._keeper.accept(configuration);
-    this._keeper.confirm(this._keeper.version, provenAtMs);
+    this._keeper.confirmFreshness(this._keeper.version, provenAtMs);
   }
 
   /** A held read without changes is no decision, and takes as long as it is held. */
   private _logRead(changes: number, nextOffset: number): void {
     if (changes === 0) return;
-    const tookMs = Math.round(this.follower.getProofAgeMs());
+    const tookMs = Math.round(this.follower.getFreshnessAgeMs());
     this._log.info("configuration-read", { tookMs, nextOffset, version: this._keeper.version });
   }
 
--- a/packages/gateway/src/configuration/DenialProof.ts
+++ b/packages/gateway/src/configuration/DenialFreshness.ts
@@ -4,7 +4,7 @@
  * is told to come back. In the incident that led to this, callers got "no such route" 3.4 s after a configuration that has it.
  */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationKeeper } from "./ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "./ActiveConfiguration.js";
 
 /** For the time between the check of a proof and the arrival of the answer, on links that are full. */
 const marginMs = 500;
@@ -14,8 +14,8 @@
 const longestHeldReadMs = 1_500;
 
 /** What a proof of denials is made of. */
-export interface DenialProofStructure {
-  readonly keeper: Pick<ConfigurationKeeper, "getProofAgeMs" | "waitForNews">;
+export interface DenialFreshnessStructure {
+  readonly activeConfiguration: Pick<ActiveConfiguration, "getProofAgeMs" | "waitForNews">;
   /** For how long a newer configuration has been known to exist that is not in force here. */
   readonly getBehindMs: () => number;
   /** Within this of its acknowledgement a configuration has to be in force. */
@@ -25,28 +25,28 @@
 }
 
 /** One an instance. */
-export class DenialProof {
+export class DenialFreshness {
   private readonly _nowMs: () => number;
 
-  constructor(private readonly _structure: DenialProofStructure) {
+  constructor(private readonly _structure: DenialFreshnessStructure) {
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
   /** Whether what is not in the configuration in force does not exist. */
-  isProven(): boolean {
-    const { keeper, getBehindMs } = this._structure;
-    return getBehindMs() === 0 && keeper.getProofAgeMs() < this._getLongestAgeMs();
+  isFresh(): boolean {
+    const { activeConfiguration: keeper, getBehindMs } = this._structure;
+    return getBehindMs() === 0 && keeper.getFreshnessAgeMs() < this._getLongestAgeMs();
   }
 
   /** Waits for a proof, or for a newer configuration, and tells whether there is a proof now. One that is long overdue isn't waited for. */
-  async wait(patienceMs: number): Promise<boolean> {
-    const { keeper } = this._structure;
+  async waitUntilFresh(patienceMs: number): Promise<boolean> {
+    const { activeConfiguration: keeper } = this._structure;
     const endMs = this._nowMs() + patienceMs;
-    const isOverdue = keeper.getProofAgeMs() > this._getLongestAgeMs() + patienceMs;
-    while (!isOverdue && !this.isProven() && this._nowMs() < endMs) {
-      await keeper.waitForNews(endMs - this._nowMs());
+    const isOverdue = keeper.getFreshnessAgeMs() > this._getLongestAgeMs() + patienceMs;
+    while (!isOverdue && !this.isFresh() && this._nowMs() < endMs) {
+      await keeper.waitForUpdate(endMs - this._nowMs());
     }
-    return this.isProven();
+    return this.isFresh();
   }
 
   private _getLongestAgeMs(): number {
@@ -58,7 +58,7 @@
  * How long the store may hold a read of the configuration. A held read proves what was so when it was sent, so that a proof gets twice as
  * old as that: held for this long, proofs stay young enough for denials, and no request has to wait for one.
  */
-export function getHeldReadMs(deadlineMs: number): number {
+export function getLongPollMs(deadlineMs: number): number {
   return Math.min(longestHeldReadMs, Math.max(0, getLongestProofAgeMs(deadlineMs) - tellingMs) / 2);
 }
 
--- a/packages/gateway/src/crashes/CrashWatch.ts
+++ b/packages/gateway/src/crashes/CrashDetector.ts
@@ -7,11 +7,11 @@
   CompletedRequests,
   CrashLedger,
   heldFromWeight,
-  trialElsewhereMs,
-  nothingTold,
+  trialElsewhereRetryAfterMs,
+  noCrashReports,
   type ToldCrashes,
   type ToldHold,
-  type DigestedRequest,
+  type RequestIdentity,
   type ProbeResult,
 } from "@shedtiller/crashes";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -33,7 +33,7 @@
 const turnPollMs = 10;
 
 /** One run of a request, as long as it is in hand. */
-export interface WatchedRun {
+export interface TrackedRun {
   readonly request: { readonly digest: string };
   /** The endpoint that it was sent to. */
   readonly endpointId: string;
@@ -52,14 +52,14 @@
   readonly log: DecisionLog;
   readonly probe: (address: string, timeoutMs: number) => Promise<ProbeResult>;
   /** Tells the peers. */
-  readonly tell: (news: ToldCrashes) => void;
+  readonly broadcast: (news: ToldCrashes) => void;
   /** How many other instances may try a request before this one after its hold. */
   readonly getTrialRank: (digest: string) => number;
   readonly count?: (what: "crash" | "held-back") => void;
   /** Told of each endpoint that turned out to have crashed. */
   readonly onCrash?: ((endpoint: Endpoint) => void) | undefined;
   /** Keeps a hold beyond the end of all instances; undefined drops it. */
-  readonly keep?: (digest: string, hold: ToldHold | undefined) => void;
+  readonly persist?: (digest: string, hold: ToldHold | undefined) => void;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: () => number;
   /** Waits, replaced in tests. */
@@ -68,7 +68,7 @@
 
 interface AskedRequest {
   readonly digest: string;
-  readonly asked: DigestedRequest;
+  readonly identity: RequestIdentity;
 }
 
 /** A run that ended well, until its endpoint has outlived it. */
@@ -89,9 +89,9 @@
 }
 
 /** One watch an instance. */
-export class CrashWatch {
+export class CrashDetector {
   readonly ledger: CrashLedger;
-  private readonly _runs = new Set<WatchedRun>();
+  private readonly _runs = new Set<TrackedRun>();
   private readonly _open = new Map<string, OpenCase>();
   /** Lives of endpoints whose crash this instance found. */
   private readonly _foundHere = new Set<string>();
@@ -104,7 +104,7 @@
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
     this._pause = _structure.pause ?? utils.sleep;
     this.ledger = new CrashLedger(this._nowMs);
-    this.ledger.onHold((digest, hold) => this._noteHold(digest, hold));
+    this.ledger.onQuarantineChanged((digest, hold) => this._noteHold(digest, hold));
     _structure.endpoints.onChanged((endpoint, event) => {
       if (event === "gone" || event === "restarted") this._endLife(endpoint);
     });
@@ -116,29 +116,29 @@
   }
 
   /** Notes that a run is sent now. */
-  begin(run: WatchedRun): void {
+  begin(run: TrackedRun): void {
     this._runs.add(run);
     if (this.isQuiet || this.ledger.getStanding(run.request.digest) !== "due-for-trial") return;
     const trial = this.ledger.noteTrial({ digest: run.request.digest, ageMs: 0 });
-    if (trial !== undefined) this._structure.tell({ ...nothingTold, trials: [trial] });
+    if (trial !== undefined) this._structure.broadcast({ ...noCrashReports, trials: [trial] });
   }
 
   /** Notes that a run is over. */
-  end(run: WatchedRun): void {
+  end(run: TrackedRun): void {
     this._runs.delete(run);
   }
 
   /** Lets a request go by an operator's word, here and at all peers. */
   release(digest: string): void {
     const cleared = this.ledger.release(digest);
-    if (cleared !== undefined) this._structure.tell({ ...nothingTold, clearings: [cleared] });
+    if (cleared !== undefined) this._structure.broadcast({ ...noCrashReports, clearings: [cleared] });
   }
 
   /**
    * Notes that an endpoint ran a request to a good end. It says something of the request once the endpoint has outlived it for as long as
    * a beginning lasts: a short run, or one that went on near the end of its stream, may end before its endpoint crashes.
    */
-  noteCompleted(kind: string, request: AskedRequest, run: WatchedRun, endpoint: Endpoint): void {
+  noteCompleted(kind: string, request: AskedRequest, run: TrackedRun, endpoint: Endpoint): void {
     const ended: EndedRun = { kind, request, endpoint, endedAtMs: this._nowMs() };
     if (this._hasOutlived(run)) return this._noteSoundEnd(ended);
     this._ended.add(ended);
@@ -146,23 +146,23 @@
   }
 
   /** Notes that a run of a request outlived its beginning. */
-  noteOutlived(request: { readonly digest: string }): void {
+  noteSurvived(request: { readonly digest: string }): void {
     if (this.isQuiet) return;
     const { digest } = request;
     for (const open of this._open.values()) open.suspects.delete(digest);
     const wasHeld = this.ledger.getHoldTimes(digest) > 0;
-    const cleared = this.ledger.noteOutlived(digest, this._nowMs());
+    const cleared = this.ledger.noteSurvived(digest, this._nowMs());
     if (cleared === undefined) return;
-    this._structure.tell({ ...nothingTold, clearings: [cleared] });
-    if (wasHeld) this._structure.keep?.(digest, undefined);
+    this._structure.broadcast({ ...noCrashReports, clearings: [cleared] });
+    if (wasHeld) this._structure.persist?.(digest, undefined);
   }
 
   /**
    * Notes that the endpoint ended the connection of a run; resolves once it is known whether it crashed.
    * @param endpoint - The one that ended, which may be another one of the chain than the first.
    */
-  async noteLost(run: WatchedRun, endpoint: Endpoint): Promise<void> {
-    if (this._hasOutlived(run)) return this.noteOutlived(run.request);
+  async noteLost(run: TrackedRun, endpoint: Endpoint): Promise<void> {
+    if (this._hasOutlived(run)) return this.noteSurvived(run.request);
     // An endpoint that leaves as planned ends what it still has.
     const listed = this._structure.endpoints.get(endpoint.id);
     if (listed === undefined || endpoint.listed.isDraining) return;
@@ -178,13 +178,13 @@
    * Whether a request is held back now: the look right before each sending.
    * @returns The time after which it may come back, or undefined where it may be sent.
    */
-  getHeldBackMs(request: { readonly digest: string }): number | undefined {
+  getQuarantineMs(request: { readonly digest: string }): number | undefined {
     if (this.isQuiet) return undefined;
     const { digest } = request;
     const standing = this.ledger.getStanding(digest);
-    if (standing === "held") return this._noteHeldBack(this.ledger.getHoldLeftMs(digest));
+    if (standing === "held") return this._noteHeldBack(this.ledger.getQuarantineLeftMs(digest));
     if (standing !== "due-for-trial" || this._isOurTurn(digest)) return undefined;
-    return this._noteHeldBack(trialElsewhereMs);
+    return this._noteHeldBack(trialElsewhereRetryAfterMs);
   }
 
   /** What there is against a request right before it is sent. */
@@ -205,7 +205,7 @@
   }
 
   /** Endpoints at which other suspects are at their beginning: two that crash together can't be told apart. */
-  getShunned(request: { readonly digest: string }): string[] {
+  getAvoidedEndpointIds(request: { readonly digest: string }): string[] {
     if (this.isQuiet || this._getWeight(request.digest) === 0) return [];
     return [...this._runs].flatMap((run) => {
       const isOther = run.request.digest !== request.digest && !this._hasOutlived(run);
@@ -216,7 +216,7 @@
   /** Takes what a peer told; gives what of it was news. */
   take(told: ToldCrashes): ToldCrashes {
     this._noteSound(told.crashes.flatMap(({ suspects }) => suspects.map(([digest]) => digest)));
-    const news = this.ledger.take(told);
+    const news = this.ledger.mergeReports(told);
     for (const { lifeId } of told.crashes) this._countEnded(lifeId);
     for (const { suspects } of news.crashes) this._clearByOwnRuns(suspects.map(([digest]) => digest));
     return news;
@@ -248,7 +248,7 @@
     return weight;
   }
 
-  private _hasOutlived({ firstEventAtMs }: WatchedRun): boolean {
+  private _hasOutlived({ firstEventAtMs }: TrackedRun): boolean {
     return firstEventAtMs !== undefined && this._nowMs() - firstEventAtMs >= beginningMs;
   }
 
@@ -291,8 +291,8 @@
   }
 
   private _noteSoundEnd({ kind, request, endedAtMs }: EndedRun): void {
-    this._completed.add(kind, request.asked, endedAtMs);
-    this.noteOutlived(request);
+    this._completed.add(kind, request.identity, endedAtMs);
+    this.noteSurvived(request);
   }
 
   /** Requests whose runs ended well at an endpoint just before it crashed. */
@@ -306,7 +306,7 @@
     const suspects = new Map(this._getEndedAt(lifeId).map((digest) => [digest, 1]));
     if (suspects.size === 0) return;
     const crash = this.ledger.noteCrash(lifeId, this._nowMs(), suspects);
-    if (crash !== undefined) this._structure.tell({ ...nothingTold, crashes: [crash] });
+    if (crash !== undefined) this._structure.broadcast({ ...noCrashReports, crashes: [crash] });
   }
 
   private _close(open: OpenCase, isCrashed: boolean): void {
@@ -331,12 +331,12 @@
         against: this.ledger.getWeight(digest),
       });
     }
-    this._structure.tell({ ...nothingTold, crashes: [crash] });
+    this._structure.broadcast({ ...noCrashReports, crashes: [crash] });
     this._clearByOwnRuns([...suspects.keys()]);
   }
 
   private _noteHold(digest: string, hold: ToldHold | undefined): void {
-    const { log, keep } = this._structure;
+    const { log, persist: keep } = this._structure;
     if (hold === undefined) return log.info("request-released", { digest });
     log.warn("request-held", { digest, times: hold.times, leftMs: Math.round(hold.leftMs) });
     // One of all instances keeps it: the one that found the crash that came last.
@@ -347,7 +347,7 @@
   /** An equal request that runs here and has outlived its beginning clears the suspects. */
   private _clearByOwnRuns(digests: readonly string[]): void {
     for (const run of this._runs) {
-      if (this._hasOutlived(run) && digests.includes(run.request.digest)) this.noteOutlived(run.request);
+      if (this._hasOutlived(run) && digests.includes(run.request.digest)) this.noteSurvived(run.request);
     }
   }
 
@@ -356,7 +356,7 @@
     if (digests.length === 0) return;
     const found = this._completed.find(new Set(digests));
     const clearings = [...found].flatMap(([digest, atMs]) => this.ledger.noteSound(digest, atMs) ?? []);
-    if (clearings.length > 0) this._structure.tell({ ...nothingTold, clearings });
+    if (clearings.length > 0) this._structure.broadcast({ ...noCrashReports, clearings });
   }
 
   private _isOurTurn(digest: string): boolean {
--- a/packages/gateway/src/crashes/HoldKeeper.ts
+++ b/packages/gateway/src/crashes/HoldKeeper.ts
@@ -5,7 +5,7 @@
 import { utils } from "@shedtiller/common";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { memoryMs, type ToldHold } from "@shedtiller/crashes";
-import type { HeldRequestStore, StoredHold } from "./HeldRequestStore.js";
+import type { QuarantineStore, StoredQuarantine } from "./QuarantineStore.js";
 
 /** Soon after a start, and rare enough for a store that is away. */
 const tickMs = 500;
@@ -16,7 +16,7 @@
 
 /** What a keeper works with. */
 export interface HoldKeeperStructure {
-  readonly store: HeldRequestStore;
+  readonly store: QuarantineStore;
   readonly log: DecisionLog;
   /** Whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
@@ -30,7 +30,7 @@
 /** One keeper an instance. */
 export class HoldKeeper {
   /** By digest; undefined is to be dropped. */
-  private readonly _waiting = new Map<string, StoredHold | undefined>();
+  private readonly _waiting = new Map<string, StoredQuarantine | undefined>();
   private _hasRead = false;
   /** Whether what the store does not have is to be let go. */
   private _mustCompare = false;
@@ -77,7 +77,7 @@
     const { store, log } = this._structure;
     for (const [digest, hold] of [...this._waiting]) {
       this._waiting.delete(digest);
-      const done = await (hold === undefined ? store.drop(digest) : store.keep(hold));
+      const done = await (hold === undefined ? store.remove(digest) : store.add(hold));
       if (done.ok) continue;
       log.warn("hold-not-kept", { digest, cause: done.val.message });
       if (!this._waiting.has(digest)) this._waiting.set(digest, hold);
--- a/packages/gateway/src/crashes/HeldRequestStore.ts
+++ b/packages/gateway/src/crashes/QuarantineStore.ts
@@ -3,17 +3,17 @@
 import type { StoreError } from "../discovery/ChangeFeed.js";
 import * as zod from "zod";
 
-export const storedHoldSchema = zod.object({
+export const storedQuarantineSchema = zod.object({
   digest: zod.string().min(1).max(64),
   /** Unix milliseconds; instances that read it share no other clock. */
   untilUnixMs: zod.number(),
   times: zod.number().int().positive(),
 });
-export type StoredHold = zod.infer<typeof storedHoldSchema>;
+export type StoredQuarantine = zod.infer<typeof storedQuarantineSchema>;
 
 /** Keeps holds; one call for each that begins or ends. */
-export abstract class HeldRequestStore {
-  abstract read(): Promise<results.Result<StoredHold[], StoreError>>;
-  abstract keep(hold: StoredHold): Promise<results.Result<void, StoreError>>;
-  abstract drop(digest: string): Promise<results.Result<void, StoreError>>;
+export abstract class QuarantineStore {
+  abstract read(): Promise<results.Result<StoredQuarantine[], StoreError>>;
+  abstract add(hold: StoredQuarantine): Promise<results.Result<void, StoreError>>;
+  abstract remove(digest: string): Promise<results.Result<void, StoreError>>;
 }
--- a/packages/gateway/src/crashes/CrashGuard.ts
+++ b/packages/gateway/src/crashes/RequestQuarantine.ts
@@ -1,26 +1,26 @@
 /** Wires the parts that find requests which crash endpoints, tell the peers, and keep what must outlast all instances. */
 import type { EndpointTable } from "../discovery/EndpointTable.js";
-import { notePeerMessageInvalid } from "../peers/notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "../peers/logInvalidPeerMessage.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import {
-  CrashExchange,
+  CrashReportBroadcast,
   getTrialRank,
-  nothingTold,
-  type CrashExchangeStructure,
+  noCrashReports,
+  type CrashReportBroadcastStructure,
   type ToldHold,
 } from "@shedtiller/crashes";
-import { CrashWatch, type CrashWatchStructure } from "./CrashWatch.js";
-import type { HeldRequestStore } from "./HeldRequestStore.js";
+import { CrashDetector, type CrashWatchStructure } from "./CrashDetector.js";
+import type { QuarantineStore } from "./QuarantineStore.js";
 import { HoldKeeper } from "./HoldKeeper.js";
 
 /** What a guard is made of. */
-export interface CrashGuardStructure extends Pick<
+export interface RequestQuarantineStructure extends Pick<
   CrashWatchStructure,
   "probe" | "count" | "onCrash" | "nowMs" | "pause"
 > {
-  readonly membership: CrashExchangeStructure["membership"];
+  readonly membership: CrashReportBroadcastStructure["membership"];
   readonly endpoints: EndpointTable;
-  readonly store: HeldRequestStore;
+  readonly store: QuarantineStore;
   readonly log: DecisionLog;
   /** Whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
@@ -29,32 +29,32 @@
 }
 
 /** One guard an instance. */
-export class CrashGuard {
-  readonly watch: CrashWatch;
-  private readonly _exchange: CrashExchange;
+export class RequestQuarantine {
+  readonly detector: CrashDetector;
+  private readonly _exchange: CrashReportBroadcast;
   private readonly _keeper: HoldKeeper;
 
-  constructor(private readonly _structure: CrashGuardStructure) {
+  constructor(private readonly _structure: RequestQuarantineStructure) {
     const { membership, log, store, isReader } = _structure;
-    this.watch = new CrashWatch({
+    this.detector = new CrashDetector({
       ..._structure,
-      tell: (news) => this._exchange.tell(news),
+      broadcast: (news) => this._exchange.broadcast(news),
       getTrialRank: (digest) => getTrialRank(digest, membership.self.name, _structure.getInstanceNames()),
-      keep: (digest, hold) => this._keeper.keep(digest, hold),
+      persist: (digest, hold) => this._keeper.keep(digest, hold),
     });
-    this._exchange = new CrashExchange({
+    this._exchange = new CrashReportBroadcast({
       membership,
-      onInvalid: (topic, from) => notePeerMessageInvalid(log, topic, from),
-      take: (told) => this.watch.take(told),
-      tellAll: () => this.watch.ledger.tellAll(),
+      onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
+      take: (told) => this.detector.take(told),
+      tellAll: () => this.detector.ledger.getAllReports(),
     });
     this._keeper = new HoldKeeper({
       store,
       log,
       isReader,
       take: (holds) => this._takeRead(holds),
-      getHeldFor: (durationMs) => this.watch.ledger.getHeldFor(durationMs),
-      release: (digest) => this.watch.release(digest),
+      getHeldFor: (durationMs) => this.detector.ledger.getHeldFor(durationMs),
+      release: (digest) => this.detector.release(digest),
     });
   }
 
@@ -63,12 +63,12 @@
   }
 
   /** Lets go what an operator has dropped from the store; resolves once it was read, or could not be. */
-  compareWithStore(): Promise<void> {
+  reconcileWithStore(): Promise<void> {
     return this._keeper.compare();
   }
 
   private _takeRead(holds: readonly ToldHold[]): void {
-    const news = this.watch.take({ ...nothingTold, holds: [...holds] });
-    if (news.holds.length > 0) this._exchange.tell(news);
+    const news = this.detector.take({ ...noCrashReports, holds: [...holds] });
+    if (news.holds.length > 0) this._exchange.broadcast(news);
   }
 }
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -1,5 +1,5 @@
 /** What this instance knows of one endpoint. */
-import { EndpointRest } from "@shedtiller/routing";
+import { EndpointBackoff } from "@shedtiller/routing";
 import { PermitHand } from "./PermitHand.js";
 import { SendPermit } from "./SendPermit.js";
 import type { KnownLimit } from "./EndpointLimits.js";
@@ -36,7 +36,7 @@
   /** Monotonic time until which it gets nothing new from this instance, since it just refused for want of room. */
   refusedUntilMs = 0;
   /** Requests of this instance that it failed at once. */
-  readonly failures = new FailureGuard();
+  readonly circuitBreaker = new FailureGuard();
   /** Suspicions in a row without a heartbeat between them. */
   suspicions = 0;
   private _seenFull: { readonly tokenLayers: number; readonly untilMs: number } | undefined;
@@ -46,7 +46,7 @@
   limit: KnownLimit | undefined;
   readonly permits = new PermitHand();
   /** The rest that it asked this instance for. */
-  readonly rest = new EndpointRest();
+  readonly backoff = new EndpointBackoff();
   private _own: EndpointLoad = noLoad;
   private readonly _peerLoads = new Map<string, EndpointLoad>();
 
@@ -70,7 +70,7 @@
     return { id: this.id, address: this.listed.address, lifeId: this.lifeId };
   }
 
-  get own(): EndpointLoad {
+  get ownLoad(): EndpointLoad {
     return this._own;
   }
 
@@ -121,7 +121,7 @@
 
   /** Whether a request may be sent to it: within the limit that it names, and not in a rest that it asked for. */
   hasPermit(nowMs: number): boolean {
-    if (!this.rest.mayBegin(nowMs)) return false;
+    if (!this.backoff.maySend(nowMs)) return false;
     return this.limit?.perSecond === undefined || this.permits.getCount(nowMs) > 0;
   }
 
@@ -131,27 +131,27 @@
     const isLimited = this.limit?.perSecond !== undefined;
     const expiresAtMs = isLimited ? this.permits.tryTake(nowMs) : undefined;
     if (!isLimited) this.permits.noteFree(nowMs);
-    this.rest.noteSent(nowMs);
-    this.failures.noteSent(nowMs);
+    this.backoff.noteSent(nowMs);
+    this.circuitBreaker.noteSent(nowMs);
     return new SendPermit(this, expiresAtMs);
   }
 
   /** Takes back a permit with which nothing was sent. */
   takeBack(expiresAtMs: number | undefined): void {
     if (expiresAtMs !== undefined) this.permits.giveBack(expiresAtMs);
-    this.rest.noteNotSent();
-    this.failures.noteNotSent();
+    this.backoff.noteNotSent();
+    this.circuitBreaker.noteNotSent();
   }
 
   /** Notes an answer to a request that it took. */
   noteAnswered(sentAtMs: number): void {
-    this.failures.noteAnswered(sentAtMs);
-    this.rest.noteAnswered(sentAtMs);
+    this.circuitBreaker.noteAnswered(sentAtMs);
+    this.backoff.noteAnswered(sentAtMs);
   }
 
   /** Whether it failed last or has just come back from a rest, so that a request which can't be sent again is better off elsewhere. */
   isUnproven(nowMs: number): boolean {
-    return this.failures.isUnproven(nowMs) || this.rest.isUnproven(nowMs);
+    return this.circuitBreaker.isUnproven(nowMs) || this.backoff.isUnproven(nowMs);
   }
 
   isSuspect(nowMs: number): boolean {
--- a/packages/gateway/src/discovery/EndpointLimits.ts
+++ b/packages/gateway/src/discovery/EndpointLimits.ts
@@ -51,7 +51,7 @@
   }
 
   /** Takes what a peer knows; tells whether it was news. */
-  takeTold(endpoint: Endpoint, told: KnownLimit): boolean {
+  applyPeerLimit(endpoint: Endpoint, told: KnownLimit): boolean {
     const isNews = this._isNewer(endpoint.limit, told.perSecond, told.atMs);
     if (isNews) this._set(endpoint, told, "peer");
     return isNews;
--- a/packages/gateway/src/discovery/EndpointStatements.ts
+++ b/packages/gateway/src/discovery/EndpointStatements.ts
@@ -1,6 +1,6 @@
 /** The one place that takes what answers say of their endpoints, whatever they answer: requests, streams, reports or orders. */
 import { utils } from "@shedtiller/common";
-import { longestRestMs, turnedAwayStatuses } from "@shedtiller/routing";
+import { maxBackoffMs, backoffStatuses } from "@shedtiller/routing";
 import type { StatedAnswer } from "../http/EndpointStatement.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { OrderTarget } from "../orders/EngineOrders.js";
@@ -36,7 +36,7 @@
   }
 
   /** Calls `listener` when an answer was the first to say that an endpoint leaves. */
-  onLeaving(listener: (lifeId: string) => void): void {
+  onDraining(listener: (lifeId: string) => void): void {
     this._leavingListeners.push(listener);
   }
 
@@ -58,13 +58,13 @@
   }
 
   private _noteBeyondLimit(endpoint: Endpoint, answer: StatedAnswer): void {
-    if (turnedAwayStatuses.includes(answer.status)) this._noteReturn(endpoint, answer);
-    if (answer.stated.isLeaving) this._noteLeaving(endpoint);
-    for (const name of answer.stated.unknownNames) this._noteUnknown(endpoint, name);
+    if (backoffStatuses.includes(answer.status)) this._noteReturn(endpoint, answer);
+    if (answer.stated.isDraining) this._noteLeaving(endpoint);
+    for (const name of answer.stated.unknownHeaderNames) this._noteUnknown(endpoint, name);
   }
 
   private _noteReturn(endpoint: Endpoint, { status, stated }: StatedAnswer): void {
-    const { comeBack } = stated;
+    const { retryAfter: comeBack } = stated;
     if (comeBack.kind === "none") return;
     if (comeBack.kind === "unreadable") {
       this._count("unreadable", endpoint);
@@ -73,8 +73,8 @@
     }
     this._count("rest", endpoint);
     const nowMs = this._nowMs();
-    const restMs = Math.min(comeBack.afterMs, longestRestMs);
-    if (!endpoint.rest.note(nowMs + restMs, nowMs)) return;
+    const restMs = Math.min(comeBack.afterMs, maxBackoffMs);
+    if (!endpoint.backoff.extendTo(nowMs + restMs, nowMs)) return;
     this._structure.log.info("endpoint-rest-began", {
       ...describe(endpoint),
       status,
@@ -84,7 +84,7 @@
   }
 
   private _noteRestEnded(endpoint: Endpoint): void {
-    const restMs = endpoint.rest.takeEndedMs(this._nowMs());
+    const restMs = endpoint.backoff.takeEndedMs(this._nowMs());
     if (restMs !== undefined)
       this._structure.log.info("endpoint-rest-ended", { ...describe(endpoint), restMs });
   }
@@ -92,7 +92,7 @@
   /** It gets nothing new from now on; all instances are told, since it answers each of them only once it was asked in vain. */
   private _noteLeaving(endpoint: Endpoint): void {
     this._count("leaving", endpoint);
-    if (!this._structure.endpoints.noteLeaving(endpoint.lifeId)) return;
+    if (!this._structure.endpoints.noteDraining(endpoint.lifeId)) return;
     this._structure.log.info("endpoint-leaves", { ...describe(endpoint), source: "answer" });
     for (const listener of this._leavingListeners) listener(endpoint.lifeId);
   }
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -133,7 +133,7 @@
    * Takes an endpoint's own word that it leaves, also where its entry says otherwise or is not known yet. Only a new life ends it.
    * @returns Whether that was news.
    */
-  noteLeaving(lifeId: string): boolean {
+  noteDraining(lifeId: string): boolean {
     if (this._leavingLives.has(lifeId)) return false;
     this._leavingLives.add(lifeId);
     const [oldest] = this._leavingLives;
@@ -146,7 +146,7 @@
   }
 
   /** Lives of listed endpoints that said themselves that they leave. */
-  getLeavingLives(): string[] {
+  getDrainingLives(): string[] {
     return this.getAll().flatMap(({ lifeId }) => (this._leavingLives.has(lifeId) ? [lifeId] : []));
   }
 
--- a/packages/gateway/src/discovery/EndpointWatch.ts
+++ b/packages/gateway/src/discovery/EndpointWatch.ts
@@ -58,9 +58,9 @@
    * Takes a list that a peer knew to be complete at `provenAtMs`, if that is newer than what we have.
    * @param list - Undefined where it was the one that we had when we asked.
    */
-  takeList(list: readonly ListedEndpoint[] | undefined, nextOffset: number, provenAtMs: number): void {
+  applyPeerList(list: readonly ListedEndpoint[] | undefined, nextOffset: number, provenAtMs: number): void {
     if (list === undefined) {
-      this.follower.takeTold({ fromOffset: nextOffset, nextOffset, changes: [] }, provenAtMs);
+      this.follower.applyPeerPage({ fromOffset: nextOffset, nextOffset, changes: [] }, provenAtMs);
       return;
     }
     const values = new Map(list.map((listed) => [listed.id, listed]));
--- a/packages/gateway/src/discovery/EndpointSuspicions.ts
+++ b/packages/gateway/src/discovery/FailureDetector.ts
@@ -19,9 +19,9 @@
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
-  readonly tellPeers: (endpointId: string) => void;
+  readonly broadcastSuspicion: (endpointId: string) => void;
   /** Tells the peers which layers an engine holds, where the list has others. */
-  readonly tellLayers: (endpointId: string, layers: readonly LayerSpan[]) => void;
+  readonly broadcastLayers: (endpointId: string, layers: readonly LayerSpan[]) => void;
   /** Counts a suspicion by its cause. */
   readonly count: (cause: string) => void;
   /** Monotonic clock, replaced in tests. */
@@ -29,7 +29,7 @@
 }
 
 /** One for an instance. */
-export class EndpointSuspicions {
+export class FailureDetector {
   private readonly _nowMs: () => number;
   /** Endpoints that are being asked which layers they hold. */
   private readonly _asked = new Set<Endpoint>();
@@ -40,12 +40,12 @@
 
   /** Notes that an endpoint did not answer this instance. */
   noteSilent(endpointId: string, reason: string): void {
-    if (this._suspect(endpointId, reason)) this._structure.tellPeers(endpointId);
+    if (this._suspect(endpointId, reason)) this._structure.broadcastSuspicion(endpointId);
   }
 
   /** Notes that another engine named this one; resolves once the engine was asked. */
   async noteNamed(endpointId: string, reason: string): Promise<void> {
-    const { endpoints, orders, tellPeers, log } = this._structure;
+    const { endpoints, orders, broadcastSuspicion: tellPeers, log } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || !this._suspect(endpointId, reason)) return;
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
@@ -61,7 +61,7 @@
    * engines started again, and 0.06 of the requests of two seconds were served in time while they were only taken for full.
    */
   async noteNotHeld(endpointId: string): Promise<void> {
-    const { endpoints, orders, log, tellLayers } = this._structure;
+    const { endpoints, orders, log, broadcastLayers: tellLayers } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || this._asked.has(endpoint)) return;
     this._asked.add(endpoint);
--- a/packages/gateway/src/discovery/FailureGuard.ts
+++ b/packages/gateway/src/discovery/FailureGuard.ts
@@ -53,13 +53,13 @@
   }
 
   /** Whether the endpoint gets nothing new from this instance now, unless nothing else is left. */
-  isAvoided(nowMs: number): boolean {
+  isOpen(nowMs: number): boolean {
     return nowMs < this._avoidedUntilMs;
   }
 
   /** Whether it is avoided, or has no answer yet to the first requests that went there after that. */
-  isOnProbation(nowMs: number): boolean {
-    return this.isAvoided(nowMs) || this._ramp.isFull(nowMs);
+  isBlocked(nowMs: number): boolean {
+    return this.isOpen(nowMs) || this._ramp.isFull(nowMs);
   }
 
   /** Whether it failed last, so that a request which can't be sent again is better off elsewhere. */
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -84,7 +84,7 @@
   }
 
   /** How old the proof is that the set is complete. */
-  getProofAgeMs(): number {
+  getFreshnessAgeMs(): number {
     return this._nowMs() - this._provenAtMs;
   }
 
@@ -99,7 +99,7 @@
   }
 
   /** Whether it reads only since nobody told it anything for too long. */
-  get isStandIn(): boolean {
+  get isFallbackReader(): boolean {
     return this._isReader && this._isStandIn;
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Takes what a peer has read. What does not join on is read from the store. */
-  takeTold(page: ToldPage<T>, provenAtMs: number): void {
+  applyPeerPage(page: ToldPage<T>, provenAtMs: number): void {
     if (this._offset === undefined || page.nextOffset < this._offset) return;
     const isKnown = page.nextOffset === this._offset;
     this._knownEnd = Math.max(this._knownEnd, page.nextOffset);
@@ -135,7 +135,7 @@
   }
 
   /** Takes note that what the store has before an offset came from elsewhere. It proves nothing: something newer may exist. */
-  takeAhead(nextOffset: number): void {
+  advanceTo(nextOffset: number): void {
     if (this._offset !== undefined && nextOffset > this._offset) this._moveTo(nextOffset);
   }
 
--- a/packages/gateway/src/discovery/SendPermit.ts
+++ b/packages/gateway/src/discovery/SendPermit.ts
@@ -17,7 +17,7 @@
   ) {}
 
   /** Gives it back, since nothing was written to the endpoint. */
-  giveBack(): void {
+  release(): void {
     if (!this._isGivenBack) this._source.takeBack(this._expiresAtMs);
     this._isGivenBack = true;
   }
--- a/packages/gateway/src/http/EndpointStatement.ts
+++ b/packages/gateway/src/http/EndpointStatement.ts
@@ -8,7 +8,7 @@
   | { readonly kind: "unreadable"; readonly text: string };
 
 /** The time after which an endpoint accepts requests again, as it states. */
-export type StatedReturn =
+export type StatedRetryAfter =
   | { readonly kind: "none" }
   | { readonly kind: "named"; readonly afterMs: number }
   /** An invalid value; `text` is the value as sent. */
@@ -17,11 +17,11 @@
 /** The state of an endpoint as its answer's headers give it, independent of the request. */
 export interface EndpointStatement {
   readonly limit: StatedLimit;
-  readonly comeBack: StatedReturn;
+  readonly retryAfter: StatedRetryAfter;
   /** Whether the endpoint is about to stop and accepts no new requests. */
-  readonly isLeaving: boolean;
+  readonly isDraining: boolean;
   /** Names, in lower case, of headers that this version does not interpret; they may have a meaning that it does not know. */
-  readonly unknownNames: readonly string[];
+  readonly unknownHeaderNames: readonly string[];
 }
 
 /** A statement, with the fields of its answer that decide whether it applies. */
@@ -33,9 +33,9 @@
 }
 
 /** The statement of an answer without any of these headers. */
-export const noStatement: EndpointStatement = {
+export const emptyStatement: EndpointStatement = {
   limit: { kind: "none" },
-  comeBack: { kind: "none" },
-  isLeaving: false,
-  unknownNames: [],
+  retryAfter: { kind: "none" },
+  isDraining: false,
+  unknownHeaderNames: [],
 };
--- a/packages/gateway/src/http/HttpCall.ts
+++ b/packages/gateway/src/http/HttpCall.ts
@@ -39,7 +39,7 @@
 }
 
 /** An answer with its whole body in memory. */
-export interface WholeAnswer {
+export interface BufferedAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Buffer;
--- a/packages/gateway/src/http/HttpCaller.ts
+++ b/packages/gateway/src/http/HttpClient.ts
@@ -1,13 +1,13 @@
 /** HTTP/1.1 client for endpoints and the store, whose errors state whether the server may have received the request. */
 import * as http from "node:http";
 import { results } from "@shedtiller/common";
-import type { CallError, HttpAnswer, HttpCall, WholeAnswer } from "./HttpCall.js";
+import type { CallError, HttpAnswer, HttpCall, BufferedAnswer } from "./HttpCall.js";
 import { HttpExchange } from "./HttpExchange.js";
 import { KeepAliveAgent } from "./KeepAliveAgent.js";
 import { readBody } from "./readBody.js";
 
 /** Makes calls over pooled keep-alive connections, or over new ones if a call asks for it. */
-export class HttpCaller {
+export class HttpClient {
   private readonly _keepAlive = new KeepAliveAgent();
   private readonly _fresh = new http.Agent({ keepAlive: false });
 
@@ -25,7 +25,7 @@
     maxBytes: number,
     bodyTimeoutMs: number,
     bodyStallMs = bodyTimeoutMs,
-  ): Promise<results.Result<WholeAnswer, CallError>> {
+  ): Promise<results.Result<BufferedAnswer, CallError>> {
     const head = await this.send(call);
     if (head.err) return head;
     const body = await readBody(head.val, call.address, maxBytes, bodyTimeoutMs, bodyStallMs);
@@ -34,7 +34,7 @@
   }
 
   /** Closes the idle connections to an address. */
-  dropRested(address: string): void {
+  closeIdleConnections(address: string): void {
     this._keepAlive.closeIdleConnections(address);
   }
 
--- a/packages/gateway/src/orders/EnginePoll.ts
+++ b/packages/gateway/src/orders/EnginePoll.ts
@@ -1,6 +1,6 @@
 /** Asks the engines in turn how slow they are, so that chains avoid those that slow down without failing. */
 import { utils } from "@shedtiller/common";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
@@ -16,14 +16,14 @@
 
 /** What a poll works with. */
 export interface EnginePollStructure {
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
   readonly availabilityZone: string;
   /** Whether this instance asks for its zone now. */
   readonly mayAsk: () => boolean;
-  readonly tell: (endpointId: string, slowness: number) => void;
+  readonly broadcastSlowness: (endpointId: string, slowness: number) => void;
 }
 
 /** One task an instance; it asks the engines of its zone while it is its turn. */
@@ -44,12 +44,12 @@
 
   private _getEngines(): Endpoint[] {
     const nowMs = utils.monotonicMs();
-    const services = this._structure.keeper.table?.configuration.services ?? [];
+    const services = this._structure.activeConfiguration.table?.configuration.services ?? [];
     const names = services.filter((service) => service.engine !== undefined).map((service) => service.name);
     return names
       .flatMap((name) => this._structure.endpoints.getUsable(name))
       .filter((engine) => engine.listed.availabilityZone === this._structure.availabilityZone)
-      .filter((engine) => engine.listed.layers.length > 0 && engine.rest.getLeftMs(nowMs) === 0);
+      .filter((engine) => engine.listed.layers.length > 0 && engine.backoff.getLeftMs(nowMs) === 0);
   }
 
   private async _ask(engine: Endpoint): Promise<void> {
@@ -59,7 +59,7 @@
     const slowness = getSlowness(report.val);
     if (Math.abs(slowness - engine.slowness) < toldChange) return;
     engine.slowness = slowness;
-    this._structure.tell(engine.id, slowness);
+    this._structure.broadcastSlowness(engine.id, slowness);
     this._structure.log.info("engine-slowness", { endpointId: engine.id, slowness });
   }
 }
--- a/packages/gateway/src/orders/LayerKeeper.ts
+++ b/packages/gateway/src/orders/LayerReconciler.ts
@@ -2,7 +2,7 @@
 import { utils } from "@shedtiller/common";
 import * as placement from "@shedtiller/placement";
 import { toCopyEngine, toCopyModel } from "../chains/engineModel.js";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { EngineProfile, Service } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
@@ -31,7 +31,7 @@
 
 /** What a keeper works with. */
 export interface LayerKeeperStructure {
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
@@ -40,7 +40,7 @@
 }
 
 /** One task an instance; it acts only while the instance may give orders. */
-export class LayerKeeper {
+export class LayerReconciler {
   private readonly _pending = new Map<string, Pending>();
   private readonly _retryAtMs = new Map<string, number>();
   private readonly _planners = new Map<string, ZonePlanner>();
@@ -76,7 +76,7 @@
   }
 
   private async _tick(): Promise<void> {
-    const services = this._structure.keeper.table?.configuration.services ?? [];
+    const services = this._structure.activeConfiguration.table?.configuration.services ?? [];
     for (const service of services) {
       if (service.engine !== undefined) await this._keepService(service, service.engine);
     }
@@ -175,7 +175,7 @@
   if (order.isUrgent) return undefined;
   const layers = order.span.end - order.span.start;
   const engine = toCopyEngine(endpoint, profile);
-  const roomTokenLayers = placement.getTokensBeside(engine, layers, toCopyModel(profile)) * layers;
+  const roomTokenLayers = placement.getKvTokenCapacity(engine, layers, toCopyModel(profile)) * layers;
   return report.usedTokenLayers < roomTokenLayers ? undefined : "in use";
 }
 
--- a/packages/gateway/src/orders/LeaderSeat.ts
+++ b/packages/gateway/src/orders/Leadership.ts
@@ -17,7 +17,7 @@
 }
 
 /** The seat of one instance. */
-export class LeaderSeat {
+export class Leadership {
   private _untilMs = Number.NEGATIVE_INFINITY;
   private _isHeld = false;
   /** Whether the store may count this instance among the candidates. */
@@ -33,7 +33,7 @@
   }
 
   /** Whether this instance leads now. To be asked just before each order. */
-  isHeld(): boolean {
+  isLeader(): boolean {
     return this._nowMs() < this._untilMs;
   }
 
@@ -47,7 +47,7 @@
         this._log.error("campaign-failed", { cause: String(error) });
       },
     );
-    if (this.isHeld()) await this._election.resign();
+    if (this.isLeader()) await this._election.resign();
     this._untilMs = Number.NEGATIVE_INFINITY;
   }
 
@@ -56,7 +56,7 @@
    * group, and one that does not look would hold it unused for a whole term.
    */
   async campaignIfDue(): Promise<void> {
-    if (this.isHeld() || this._options.mayCampaign?.() !== false) await this.campaign();
+    if (this.isLeader() || this._options.mayCampaign?.() !== false) await this.campaign();
     else if (this._isMember) await this._withdraw();
     this._noteChange();
   }
@@ -78,8 +78,8 @@
   }
 
   private _noteChange(): void {
-    if (this._isHeld === this.isHeld()) return;
-    this._isHeld = this.isHeld();
+    if (this._isHeld === this.isLeader()) return;
+    this._isHeld = this.isLeader();
     this._log.info(this._isHeld ? "leader-began" : "leader-ended", { untilMs: Math.round(this._untilMs) });
   }
 }
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -114,7 +114,7 @@
     const isSettled = engines.every((engine) => engine.ordered === undefined);
     if (!isSettled) return undefined;
     const leastTokensBeside = changeOverRequests * model.tokensPerRequest;
-    const better = await search(held, model, { leastTokensBeside });
+    const better = await search(held, model, { minKvTokens: leastTokensBeside });
     const leastGain = isCalm ? worthwhileGain : urgentGain;
     return better.cost <= better.costBefore - leastGain ? better.spans : undefined;
   }
@@ -138,8 +138,8 @@
       for (const leavable of [undefined, unused]) {
         const leastTokensBeside = requests * model.tokensPerRequest;
         const options = { leastTokensBeside, leavable, mostLoads, isGrowthOnly: true, longestShift: 1 };
-        const repaired = await search(held, model, options, (running) => running.isWhole);
-        if (repaired.isWhole) return repaired.spans;
+        const repaired = await search(held, model, options, (running) => running.isComplete);
+        if (repaired.isComplete) return repaired.spans;
       }
     }
   }
@@ -179,7 +179,7 @@
     toBalanced(isGivingUp(member, getExpectedSpan(member)) ? { ...member, ordered: undefined } : member),
   );
   if (!sure.some(isEmpty) || isWhole(sure, model)) return undefined;
-  return (await search(sure, model, { isFillOnly: true }, (running) => running.isWhole)).spans;
+  return (await search(sure, model, { isFillOnly: true }, (running) => running.isComplete)).spans;
 }
 
 /** Gives engines that hold nothing work, and leaves the others as they are. */
@@ -190,7 +190,7 @@
 
 /** Whether every layer has room for a request. */
 function isWhole(spans: Spans, model: placement.CopyModel): boolean {
-  return new placement.ZoneArrangement(spans, model).isWhole;
+  return new placement.ZoneArrangement(spans, model).isComplete;
 }
 
 function isEmpty(span: placement.BalancedSpan): boolean {
--- a/packages/gateway/src/orders/planZoneOrders.ts
+++ b/packages/gateway/src/orders/planZoneOrders.ts
@@ -81,7 +81,7 @@
   const isGrowing = both.start < listed.start || both.end > listed.end;
   if (!isGrowing) return wanted;
   const hasRoom =
-    placement.getTokensBeside(member.engine, both.end - both.start, model) >= model.tokensPerRequest;
+    placement.getKvTokenCapacity(member.engine, both.end - both.start, model) >= model.tokensPerRequest;
   if (hasRoom) return both;
   return isWhole ? undefined : wanted;
 }
--- a/packages/gateway/src/peers/RelayedChanges.ts
+++ b/packages/gateway/src/peers/ChangeCodec.ts
@@ -6,14 +6,14 @@
 import type { Change } from "../discovery/ChangeFeed.js";
 
 /** Changes of one feed and their form between instances. */
-export abstract class RelayedChanges<T, TTold> {
+export abstract class ChangeCodec<T, TTold> {
   abstract readonly schema: zod.ZodType<TTold>;
 
   /** The form that is told; undefined where each instance has to read the changes by itself. */
-  abstract toTold(changes: readonly Change<T>[]): TTold | undefined;
+  abstract encode(changes: readonly Change<T>[]): TTold | undefined;
 
   /** The changes that were told; undefined where they do not join on to what this instance knows. */
-  abstract fromTold(told: TTold): readonly Change<T>[] | undefined;
+  abstract decode(told: TTold): readonly Change<T>[] | undefined;
 }
 
 /** A change in the form that is told. */
@@ -24,7 +24,7 @@
 }
 
 /** Told as they are: small values that do not depend on each other. */
-export class WholeChanges<T> extends RelayedChanges<T, ToldChange<T>[]> {
+export class WholeChangeCodec<T> extends ChangeCodec<T, ToldChange<T>[]> {
   readonly schema;
 
   constructor(valueSchema: zod.ZodType<T>) {
@@ -33,11 +33,11 @@
     this.schema = zod.array(zod.object({ key: zod.string(), value: valueSchema.optional(), isUnreadable }));
   }
 
-  override toTold(changes: readonly Change<T>[]): ToldChange<T>[] {
+  override encode(changes: readonly Change<T>[]): ToldChange<T>[] {
     return [...changes];
   }
 
-  override fromTold(told: ToldChange<T>[]): readonly Change<T>[] {
+  override decode(told: ToldChange<T>[]): readonly Change<T>[] {
     return told.map(({ key, value, isUnreadable }) => ({ key, value, isUnreadable }));
   }
 }
@@ -49,14 +49,14 @@
  * Configurations, told as what changes from the version before. A version has 50 to 450 KB, and each of 195 instances that reads it
  * by itself makes a call to the store; nine versions within 25 s made 1,750 calls, a fifth of all.
  */
-export class ConfigurationChanges extends RelayedChanges<GatewayConfiguration, ToldConfiguration> {
+export class ConfigurationChangeCodec extends ChangeCodec<GatewayConfiguration, ToldConfiguration> {
   readonly schema = toldConfigurationSchema;
 
   constructor(private readonly _history: ConfigurationHistory) {
     super();
   }
 
-  override toTold(changes: readonly Change<GatewayConfiguration>[]): ToldConfiguration | undefined {
+  override encode(changes: readonly Change<GatewayConfiguration>[]): ToldConfiguration | undefined {
     const [change] = changes;
     const { newest, previous } = this._history;
     if (changes.length !== 1 || change?.value !== newest || previous === undefined) return undefined;
@@ -64,7 +64,7 @@
     return change === undefined || delta === undefined ? undefined : { key: change.key, delta };
   }
 
-  override fromTold({ key, delta }: ToldConfiguration): readonly Change<GatewayConfiguration>[] | undefined {
+  override decode({ key, delta }: ToldConfiguration): readonly Change<GatewayConfiguration>[] | undefined {
     const { newest } = this._history;
     if (newest?.version !== delta.baseVersion) return undefined;
     return [{ key, value: applyDelta(newest, delta) }];
--- a/packages/gateway/src/peers/ConfigurationExchange.ts
+++ b/packages/gateway/src/peers/ConfigurationExchange.ts
@@ -10,11 +10,11 @@
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
 import { applyDelta } from "../configuration/configurationDelta.js";
 import type { ConfigurationHistory } from "../configuration/ConfigurationHistory.js";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { GatewayConfiguration } from "../configuration/gatewayConfiguration.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { getFiniteAgeMs } from "./getFiniteAgeMs.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import {
   configurationAnswerSchema,
   configurationQuestionSchema,
@@ -43,7 +43,7 @@
 
 /** The configuration in force here, and how far it is from what the store has. */
 export interface ConfigurationState {
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly history: ConfigurationHistory;
   /** For how long a newer configuration has been known to exist that the store did not give. */
   readonly getBehindMs: () => number;
@@ -58,7 +58,7 @@
   readonly membership: Pick<Membership, "getLinked" | "notifyAll" | "onNotice" | "onRequest" | "request">;
   readonly log: DecisionLog;
   /** Tells the instances of this zone that a version has come into force here. */
-  readonly tellZone: (version: number) => void;
+  readonly broadcastToZone: (version: number) => void;
   readonly nowMs: () => number;
   readonly pause: (durationMs: number) => Promise<void>;
   /** From 0 to 1. */
@@ -91,18 +91,18 @@
   /** Takes note that a peer has a new version in force, and asks it once the store has had its time to give it. */
   async takeNewVersion(name: string, version: number): Promise<void> {
     this._noteTold(name, version);
-    if (version <= this._structure.keeper.version || this._isAsking) return;
+    if (version <= this._structure.activeConfiguration.version || this._isAsking) return;
     this._isAsking = true;
     if (this._isStarting() || !this.isStale()) await this._structure.pause(askWhenToldMs);
     this._isAsking = false;
-    if (version > this._structure.keeper.version) await this.ask(name);
+    if (version > this._structure.activeConfiguration.version) await this.ask(name);
   }
 
   /** Whether something newer has been known to exist for a while, or nothing has been proven for too long. */
   isStale(): boolean {
-    const { keeper, getBehindMs, nowMs } = this._structure;
+    const { activeConfiguration: keeper, getBehindMs, nowMs } = this._structure;
     const isTold = this._getHolders().length > 0 && nowMs() - this._toldSinceMs >= askWhenToldMs;
-    return isTold || getBehindMs() > askWhenBehindMs || keeper.getProofAgeMs() > askWhenProofOlderMs;
+    return isTold || getBehindMs() > askWhenBehindMs || keeper.getFreshnessAgeMs() > askWhenProofOlderMs;
   }
 
   /**
@@ -114,7 +114,7 @@
       this._patienceMs = firstPatienceMs;
       return;
     }
-    const holders = utils.pickSome(this._getHolders(), holdersAsked, this._structure.random);
+    const holders = utils.sample(this._getHolders(), holdersAsked, this._structure.random);
     for (const name of holders) {
       if (this._versions.has(name)) await this.ask(name);
     }
@@ -123,7 +123,7 @@
 
   /** Asks a peer for its version, its proof and what changed, and for a whole configuration if that is due and none is expected. */
   async ask(name: string): Promise<void> {
-    const { membership, keeper, log, nowMs } = this._structure;
+    const { membership, activeConfiguration: keeper, log, nowMs } = this._structure;
     const askedAtMs = nowMs();
     const wantsWhole = this._wantsWhole();
     if (wantsWhole) this._expectedUntilMs = askedAtMs + answerTimeoutMs;
@@ -139,7 +139,7 @@
 
   /** Linked peers that are known to have something newer. Others could not send it: a question is passed on, a message is not. */
   private _getHolders(): string[] {
-    const { keeper, membership } = this._structure;
+    const { activeConfiguration: keeper, membership } = this._structure;
     for (const [name, told] of this._versions) if (told <= keeper.version) this._versions.delete(name);
     if (this._versions.size === 0) return [];
     const linked = membership.getLinked().map((member) => member.name);
@@ -147,7 +147,7 @@
   }
 
   private _noteTold(name: string, version: number): void {
-    if (version <= this._structure.keeper.version) return;
+    if (version <= this._structure.activeConfiguration.version) return;
     if (this._getHolders().length === 0) this._toldSinceMs = this._structure.nowMs();
     this._versions.set(name, version);
   }
@@ -157,12 +157,12 @@
   }
 
   private _isStarting(): boolean {
-    const { keeper, nowMs } = this._structure;
+    const { activeConfiguration: keeper, nowMs } = this._structure;
     return keeper.table === undefined && nowMs() - this._startedAtMs < wholeAfterStartMs;
   }
 
   private _takeAnswer(name: string, answer: ConfigurationAnswer, askedAtMs: number): void {
-    const { keeper, history } = this._structure;
+    const { activeConfiguration: keeper, history } = this._structure;
     const { version, proofAgeMs, delta } = answer;
     if (delta !== undefined && history.newest?.version === delta.baseVersion) {
       this._accept(applyDelta(history.newest, delta), answer.nextOffset);
@@ -170,7 +170,7 @@
     this._noteTold(name, version);
     // The peer's proof is as old as it says, counted from before we asked. It may be for a configuration that comes next.
     this._proof = { version, atMs: askedAtMs - proofAgeMs };
-    keeper.confirm(version, this._proof.atMs);
+    keeper.confirmFreshness(version, this._proof.atMs);
   }
 
   private _expectWhole(isComing: boolean): void {
@@ -184,11 +184,11 @@
 
   private _answer(body: unknown, from: PeerIdentity): unknown {
     const question = configurationQuestionSchema.safeParse(body);
-    const { keeper, history, getOffset } = this._structure;
+    const { activeConfiguration: keeper, history, getOffset } = this._structure;
     const { newest } = history;
     if (!question.success || newest === undefined) return undefined;
     const { version, wantsWhole } = question.data;
-    const proofAgeMs = getFiniteAgeMs(keeper.getProofAgeMs());
+    const proofAgeMs = getFiniteAgeMs(keeper.getFreshnessAgeMs());
     const answer = { version: newest.version, proofAgeMs, nextOffset: getOffset(), isWholeComing: false };
     if (version >= newest.version) return answer;
     const delta = history.getDeltaFrom(version);
@@ -214,7 +214,7 @@
   private _takeWhole(body: unknown, from: PeerIdentity): void {
     const whole = wholeConfigurationSchema.safeParse(body);
     if (!whole.success) {
-      return notePeerMessageInvalid(this._structure.log, peerTopics.wholeConfiguration, from);
+      return logInvalidPeerMessage(this._structure.log, peerTopics.wholeConfiguration, from);
     }
     this._expectedUntilMs = Number.NEGATIVE_INFINITY;
     this._patienceMs = firstPatienceMs;
@@ -223,11 +223,11 @@
 
   /** Others of the zone are told, since they are likely to lack it too: nobody reads the store for them. */
   private _accept(configuration: GatewayConfiguration, nextOffset: number | undefined): void {
-    const { keeper, takeAhead, tellZone } = this._structure;
+    const { activeConfiguration: keeper, takeAhead, broadcastToZone: tellZone } = this._structure;
     if (configuration.version <= keeper.version) return;
     if (nextOffset !== undefined) takeAhead(nextOffset);
     keeper.accept(configuration, "peer");
-    keeper.confirm(this._proof.version, this._proof.atMs);
+    keeper.confirmFreshness(this._proof.version, this._proof.atMs);
     tellZone(configuration.version);
   }
 }
--- a/packages/gateway/src/peers/LeavingNews.ts
+++ b/packages/gateway/src/peers/DrainingBroadcast.ts
@@ -1,37 +1,40 @@
 /** How an endpoint's word that it leaves, read by one instance in an answer, comes to all others and to newcomers. */
-import { NewsExchange, type NewsExchangeStructure } from "@shedtiller/membership";
+import { PeerBroadcast, type PeerBroadcastStructure } from "@shedtiller/membership";
 import type { EndpointStatements } from "../discovery/EndpointStatements.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import { leavingSchema, peerTopics } from "./peerMessages.js";
 
 /** What the news works with. */
-export interface LeavingNewsStructure extends Pick<NewsExchangeStructure<string[]>, "membership" | "random"> {
+export interface DrainingBroadcastStructure extends Pick<
+  PeerBroadcastStructure<string[]>,
+  "membership" | "random"
+> {
   readonly endpoints: Pick<EndpointTable, "noteLeaving" | "getLeavingLives">;
   readonly statements: Pick<EndpointStatements, "onLeaving">;
   readonly log: DecisionLog;
 }
 
 /** One an instance. */
-export class LeavingNews {
-  constructor(private readonly _structure: LeavingNewsStructure) {
+export class DrainingBroadcast {
+  constructor(private readonly _structure: DrainingBroadcastStructure) {
     const { membership, random, endpoints, statements, log } = _structure;
-    const news = new NewsExchange<string[]>({
+    const news = new PeerBroadcast<string[]>({
       membership,
       random,
       topic: peerTopics.leaving,
       schema: leavingSchema,
-      onInvalid: (topic, from) => notePeerMessageInvalid(log, topic, from),
-      take: (told) => this._take(told),
-      tellAll: () => toNews(endpoints.getLeavingLives()),
+      onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
+      applyUpdate: (told) => this._take(told),
+      getFullState: () => toNews(endpoints.getDrainingLives()),
     });
-    statements.onLeaving((lifeId) => news.tell([lifeId]));
+    statements.onDraining((lifeId) => news.broadcast([lifeId]));
   }
 
   private _take(told: readonly string[]): string[] | undefined {
     const { endpoints, log } = this._structure;
-    const isNews = told.filter((lifeId) => endpoints.noteLeaving(lifeId));
+    const isNews = told.filter((lifeId) => endpoints.noteDraining(lifeId));
     for (const lifeId of isNews) log.info("endpoint-leaves", { lifeId, source: "peer" });
     return toNews(isNews);
   }
