--- a/packages/gateway/src/peers/GatewayPeers.ts
+++ b/packages/gateway/src/peers/GatewayPeers.ts
@@ -2,7 +2,7 @@
 import { Membership } from "@shedtiller/membership";
 import { Timeline } from "@shedtiller/timeline";
 import { ConfigurationHistory } from "../configuration/ConfigurationHistory.js";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { ConfigurationWatch } from "../configuration/ConfigurationWatch.js";
 import type { EndpointLimits } from "../discovery/EndpointLimits.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
@@ -12,15 +12,15 @@
 import type { GatewaySettings } from "../gatewaySettings.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { RequestDemand } from "../requests/RequestDemand.js";
-import { LeavingNews } from "./LeavingNews.js";
-import { LimitNews } from "./LimitNews.js";
+import { DrainingBroadcast } from "./DrainingBroadcast.js";
+import { LimitBroadcast } from "./LimitBroadcast.js";
 import { LoadExchange } from "./LoadExchange.js";
 import { PeerDirectory } from "./PeerDirectory.js";
 import { PeerExchange } from "./PeerExchange.js";
 import { peerTopics } from "./peerMessages.js";
 import type { PeerRegistry } from "./PeerRegistry.js";
 import { PermitExchange } from "./PermitExchange.js";
-import { ConfigurationChanges, WholeChanges } from "./RelayedChanges.js";
+import { ConfigurationChangeCodec, WholeChangeCodec } from "./ChangeCodec.js";
 import { StoreRelay } from "./StoreRelay.js";
 
 /** Peers that have told no load for this long are not there, or have none: load that stays as it is is told each 0.6 s. */
@@ -30,7 +30,7 @@
 export interface GatewayPeersStructure {
   readonly settings: Pick<GatewaySettings, "instance" | "peers">;
   readonly registry: PeerRegistry;
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
   readonly configurationWatch: ConfigurationWatch;
   readonly endpointWatch: EndpointWatch;
@@ -49,22 +49,22 @@
   readonly loads: LoadExchange;
   readonly relay: StoreRelay;
   readonly permits: PermitExchange;
-  readonly limitNews: LimitNews;
-  readonly leavingNews: LeavingNews;
+  readonly limitNews: LimitBroadcast;
+  readonly leavingNews: DrainingBroadcast;
   private readonly _directory: PeerDirectory;
   private readonly _history: ConfigurationHistory;
   private _assumptionTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly _structure: GatewayPeersStructure) {
-    const { keeper, endpoints, log } = _structure;
+    const { activeConfiguration: keeper, endpoints, log } = _structure;
     this._history = new ConfigurationHistory(keeper);
     this.membership = this._createMembership();
     this._directory = this._createDirectory();
     this.exchange = this._createExchange();
     this.loads = new LoadExchange({ membership: this.membership, endpoints, log });
     this.relay = this._createRelay();
-    this.limitNews = new LimitNews({ ..._structure, membership: this.membership });
-    this.leavingNews = new LeavingNews({ ..._structure, membership: this.membership });
+    this.limitNews = new LimitBroadcast({ ..._structure, membership: this.membership });
+    this.leavingNews = new DrainingBroadcast({ ..._structure, membership: this.membership });
     this.permits = this._createPermits();
   }
 
@@ -127,19 +127,25 @@
   }
 
   private _createExchange(): PeerExchange {
-    const { keeper, endpoints, configurationWatch, endpointWatch, log } = this._structure;
+    const {
+      activeConfiguration: keeper,
+      endpoints,
+      configurationWatch,
+      endpointWatch,
+      log,
+    } = this._structure;
     return new PeerExchange({
       membership: this.membership,
-      keeper,
+      activeConfiguration: keeper,
       endpoints,
       log,
-      getListAgeMs: () => endpointWatch.follower.getProofAgeMs(),
+      getListAgeMs: () => endpointWatch.follower.getFreshnessAgeMs(),
       history: this._history,
       getBehindMs: () => configurationWatch.follower.getBehindMs(),
       getOffset: () => configurationWatch.follower.nextOffset,
-      takeAhead: (nextOffset) => configurationWatch.follower.takeAhead(nextOffset),
+      takeAhead: (nextOffset) => configurationWatch.follower.advanceTo(nextOffset),
       getListOffset: () => endpointWatch.follower.nextOffset,
-      takeList: (list, nextOffset, provenAtMs) => endpointWatch.takeList(list, nextOffset, provenAtMs),
+      takeList: (list, nextOffset, provenAtMs) => endpointWatch.applyPeerList(list, nextOffset, provenAtMs),
       isRegistryReached: () => this._directory.isReached,
       getInstances: () => this._directory.getInstances(),
       takeInstances: (instances) => this._directory.take(instances),
@@ -162,8 +168,8 @@
     const { configurationWatch, endpointWatch, log } = this._structure;
     const relay = new StoreRelay({ membership: this.membership, log });
     const { configurationRead, endpointsRead } = peerTopics;
-    relay.add(configurationRead, configurationWatch.follower, new ConfigurationChanges(this._history));
-    relay.add(endpointsRead, endpointWatch.follower, new WholeChanges(listedEndpointSchema));
+    relay.add(configurationRead, configurationWatch.follower, new ConfigurationChangeCodec(this._history));
+    relay.add(endpointsRead, endpointWatch.follower, new WholeChangeCodec(listedEndpointSchema));
     return relay;
   }
 }
--- a/packages/gateway/src/peers/LoadExchange.ts
+++ b/packages/gateway/src/peers/LoadExchange.ts
@@ -7,7 +7,7 @@
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { addUp, subtract, toLoads, toMessage, type Loads } from "./endpointLoads.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import { loadSchema, peerTopics, zoneLoadSchema } from "./peerMessages.js";
 import { ZoneDuty } from "./ZoneDuty.js";
 
@@ -91,13 +91,13 @@
 
   /** Tells from time to time until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const pauses = new utils.PauseWatch(tellIntervalMs, this._nowMs);
+    const pauses = new utils.PauseDetector(tellIntervalMs, this._nowMs);
     await utils.repeat(
       tellIntervalMs,
       signal,
       () => {
-        this.noteOwnPause(pauses.noteTick());
-        this.tell();
+        this.noteSuspension(pauses.noteTick());
+        this.sendDue();
       },
       (error) => {
         this._structure.log.error("load-exchange-failed", { cause: String(error) });
@@ -106,9 +106,9 @@
   }
 
   /** Takes note that this instance stood still: nobody is forgotten for what could not be heard. */
-  noteOwnPause(pauseMs: number): void {
+  noteSuspension(pauseMs: number): void {
     if (pauseMs === 0) return;
-    this._duty.noteOwnPause(pauseMs);
+    this._duty.noteSuspension(pauseMs);
     for (const sources of [this._members, this._otherZones]) {
       for (const [key, source] of sources)
         sources.set(key, { ...source, heardAtMs: source.heardAtMs + pauseMs });
@@ -116,7 +116,7 @@
   }
 
   /** Tells what is due now. */
-  tell(): void {
+  sendDue(): void {
     this._pickCollector();
     this._forgetSilent();
     if (this.isCollector) this._tellSums();
@@ -169,13 +169,13 @@
 
   private _takeMemberLoad(body: unknown, from: PeerIdentity): void {
     const load = loadSchema.safeParse(body);
-    if (!load.success) return notePeerMessageInvalid(this._structure.log, peerTopics.load, from);
+    if (!load.success) return logInvalidPeerMessage(this._structure.log, peerTopics.load, from);
     this._take(this._members, from.name, toLoads(load.data), from.name);
   }
 
   private _takeCollected(body: unknown, from: PeerIdentity): void {
     const load = loadSchema.safeParse(body);
-    if (!load.success) return notePeerMessageInvalid(this._structure.log, peerTopics.collectedLoad, from);
+    if (!load.success) return logInvalidPeerMessage(this._structure.log, peerTopics.collectedLoad, from);
     if (from.name !== this._duty.holder) return;
     this._duty.noteSign();
     this._structure.endpoints.setPeerLoads(collectedSource, toLoads(load.data));
@@ -184,7 +184,7 @@
   /** Another zone's load comes to the instances that its collector is linked to; they pass it on to their own. */
   private _takeZoneLoad(body: unknown, from: PeerIdentity): void {
     const told = zoneLoadSchema.safeParse(body);
-    if (!told.success) return notePeerMessageInvalid(this._structure.log, peerTopics.zoneLoad, from);
+    if (!told.success) return logInvalidPeerMessage(this._structure.log, peerTopics.zoneLoad, from);
     const { availabilityZone, load, collector = from.name } = told.data;
     if (availabilityZone === this._structure.membership.self.availabilityZone) return;
     if (this.isCollector) this._take(this._otherZones, availabilityZone, toLoads(load), collector);
@@ -201,8 +201,8 @@
   }
 
   private _getOwn(): Loads {
-    const endpoints = this._structure.endpoints.getAll().filter((endpoint) => endpoint.own.requests > 0);
-    return new Map(endpoints.map((endpoint) => [endpoint.lifeId, endpoint.own]));
+    const endpoints = this._structure.endpoints.getAll().filter((endpoint) => endpoint.ownLoad.requests > 0);
+    return new Map(endpoints.map((endpoint) => [endpoint.lifeId, endpoint.ownLoad]));
   }
 
   private _notify(name: string, topic: string, body: unknown): void {
--- a/packages/gateway/src/peers/PeerExchange.ts
+++ b/packages/gateway/src/peers/PeerExchange.ts
@@ -8,7 +8,7 @@
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { ConfigurationExchange, type ConfigurationState } from "./ConfigurationExchange.js";
 import { getFiniteAgeMs } from "./getFiniteAgeMs.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import {
   endpointsAnswerSchema,
   heldLayersSchema,
@@ -73,7 +73,7 @@
     this._random = _structure.random ?? Math.random;
     this._configurations = new ConfigurationExchange({
       ..._structure,
-      tellZone: (version) => membership.notifyAll(peerTopics.newVersion, { version }, this._isOwnZone),
+      broadcastToZone: (version) => membership.notifyAll(peerTopics.newVersion, { version }, this._isOwnZone),
       nowMs: this._nowMs,
       pause: this._pause,
       random: this._random,
@@ -99,32 +99,32 @@
   }
 
   /** Tells all peers of evidence against an endpoint. */
-  tellSuspicion(endpointId: string): void {
+  broadcastSuspicion(endpointId: string): void {
     this._tellOf(endpointId, peerTopics.suspect);
   }
 
   /** Tells the peers of this zone that an endpoint refused for want of room: most of what it gets comes from them. */
-  tellFull(endpointId: string): void {
+  broadcastFull(endpointId: string): void {
     this._tellOf(endpointId, peerTopics.full, {}, this._isOwnZone);
   }
 
   /** Tells all peers how slow an engine says that it is. */
-  tellSlowness(endpointId: string, slowness: number): void {
+  broadcastSlowness(endpointId: string, slowness: number): void {
     this._tellOf(endpointId, peerTopics.slowness, { slowness });
   }
 
   /** Tells all peers that an endpoint's process has started again: the list tells it up to a heartbeat and two reads later. */
-  tellRestart(endpointId: string, bornAtMs: number): void {
+  broadcastRestart(endpointId: string, bornAtMs: number): void {
     this._structure.membership.notifyAll(peerTopics.restarted, { endpointId, bornAtMs });
   }
 
   /** Tells all peers that a version has come into force here. */
-  tellVersion(version: number): void {
+  broadcastVersion(version: number): void {
     this._structure.membership.notifyAll(peerTopics.newVersion, { version });
   }
 
   /** Tells all peers which layers an engine holds, where the list has others. */
-  tellLayers(endpointId: string, layers: readonly LayerSpan[]): void {
+  broadcastLayers(endpointId: string, layers: readonly LayerSpan[]): void {
     this._tellOf(endpointId, peerTopics.layers, { layers });
   }
 
@@ -163,7 +163,7 @@
     const { membership, endpoints, log } = this._structure;
     membership.onNotice(topic, (body, from) => {
       const told = schema.safeParse(body);
-      if (!told.success) return notePeerMessageInvalid(log, topic, from);
+      if (!told.success) return logInvalidPeerMessage(log, topic, from);
       const endpoint = endpoints.getLife(told.data.lifeId);
       if (endpoint !== undefined) take(endpoint, told.data);
     });
@@ -172,13 +172,13 @@
   private _takeRestart(body: unknown, from: PeerIdentity): void {
     const told = restartSchema.safeParse(body);
     const { endpoints, log } = this._structure;
-    if (!told.success) return notePeerMessageInvalid(log, peerTopics.restarted, from);
+    if (!told.success) return logInvalidPeerMessage(log, peerTopics.restarted, from);
     endpoints.noteStart(told.data.endpointId, told.data.bornAtMs, []);
   }
 
   private _takeNewVersion(body: unknown, from: PeerIdentity): void {
     const notice = versionSchema.safeParse(body);
-    if (!notice.success) return notePeerMessageInvalid(this._structure.log, peerTopics.newVersion, from);
+    if (!notice.success) return logInvalidPeerMessage(this._structure.log, peerTopics.newVersion, from);
     void this._configurations.takeNewVersion(from.name, notice.data.version);
   }
 
@@ -196,7 +196,7 @@
   async askIfStale(): Promise<void> {
     const { membership, getListAgeMs } = this._structure;
     const linked = membership.getLinked().map((member) => member.name);
-    const asked = utils.pickSome(linked, peersAsked, this._random);
+    const asked = utils.sample(linked, peersAsked, this._random);
     const isListStale = getListAgeMs() > askListAfterMs;
     await Promise.all([
       this._configurations.askIfStale(asked),
--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -1,6 +1,6 @@
 /** How an instance comes to permits for endpoints that name a limit: it asks the coordinator of its zone, or hands them out itself. */
-import { grantedPermitsSchema, permitAskSchema, PermitCoordinator } from "@shedtiller/admission";
-import type { GrantedPermits, PermitAsk, WantedPermits, ZonedLimit } from "@shedtiller/admission";
+import { grantedPermitsSchema, permitRequestSchema, PermitCoordinator } from "@shedtiller/admission";
+import type { GrantedPermits, PermitRequest, LimitDemand, ZonedLimit } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
 import type { Endpoint } from "../discovery/Endpoint.js";
@@ -8,7 +8,7 @@
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { RequestDemand } from "../requests/RequestDemand.js";
 import type { LoadExchange } from "./LoadExchange.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import { peerTopics } from "./peerMessages.js";
 
 /** Whether an endpoint names a limit is looked at this often, with the other ticks of an instance. */
@@ -113,7 +113,7 @@
     const nowMs = this._nowMs();
     this._askedAtMs = nowMs;
     // Of limits that serve the same requests those asked for first are used first: each has its turn.
-    const inTurn = utils.pickSome(limited, limited.length, this._random);
+    const inTurn = utils.sample(limited, limited.length, this._random);
     const byService = utils.groupBy(limited, ({ listed }) => listed.service);
     const wants = inTurn.flatMap((endpoint) => {
       const alike = byService.get(endpoint.listed.service) ?? [];
@@ -126,7 +126,7 @@
     this._takeGranted(granted, nowMs + permitLifeMs);
   }
 
-  private async _ask(name: string, ask: PermitAsk): Promise<GrantedPermits> {
+  private async _ask(name: string, ask: PermitRequest): Promise<GrantedPermits> {
     const reply = await this._structure.membership.request(name, peerTopics.permits, ask, askTimeoutMs);
     if (reply.err) {
       this._structure.log.info("permits-not-answered", { name, cause: reply.val.code });
@@ -136,9 +136,9 @@
   }
 
   private _answer(body: unknown, from: PeerIdentity): GrantedPermits {
-    const ask = permitAskSchema.safeParse(body);
+    const ask = permitRequestSchema.safeParse(body);
     if (ask.success) return this._coordinator.answer(from.name, ask.data);
-    notePeerMessageInvalid(this._structure.log, peerTopics.permits, from);
+    logInvalidPeerMessage(this._structure.log, peerTopics.permits, from);
     return [];
   }
 
@@ -156,11 +156,7 @@
    * What this instance wants of a limit; undefined where there is nothing to say.
    * @param alike - The limited endpoints of the same service.
    */
-  private _getWanted(
-    endpoint: Endpoint,
-    alike: readonly Endpoint[],
-    nowMs: number,
-  ): WantedPermits | undefined {
+  private _getWanted(endpoint: Endpoint, alike: readonly Endpoint[], nowMs: number): LimitDemand | undefined {
     const { demand } = this._structure;
     const { service, isDraining } = endpoint.listed;
     const account = endpoint.permits.takeAccount(nowMs);
--- a/packages/gateway/src/peers/StoreRelay.ts
+++ b/packages/gateway/src/peers/StoreRelay.ts
@@ -7,8 +7,8 @@
 import * as zod from "zod";
 import type { FeedFollower } from "../discovery/FeedFollower.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import { notePeerMessageInvalid } from "./notePeerMessageInvalid.js";
-import type { RelayedChanges } from "./RelayedChanges.js";
+import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
+import type { ChangeCodec } from "./ChangeCodec.js";
 import { ZoneDuty } from "./ZoneDuty.js";
 
 const dutyName = "store-reader";
@@ -52,7 +52,7 @@
   private readonly _nowMs: () => number;
   private readonly _duty: ZoneDuty;
   private readonly _feeds: RelayedFeed[] = [];
-  private readonly _pauses: utils.PauseWatch;
+  private readonly _pauses: utils.PauseDetector;
   private readonly _startedAtMs: number;
   private readonly _standInDelayMs: number;
 
@@ -60,7 +60,7 @@
     const { membership, log, nowMs } = _structure;
     this._nowMs = nowMs ?? utils.monotonicMs;
     this._startedAtMs = this._nowMs();
-    this._pauses = new utils.PauseWatch(tickMs, this._nowMs);
+    this._pauses = new utils.PauseDetector(tickMs, this._nowMs);
     this._standInDelayMs = (utils.hash32(membership.self.name) % standInGroups) * tickMs;
     this._duty = new ZoneDuty({ name: dutyName, membership, log, nowMs });
   }
@@ -71,12 +71,12 @@
   }
 
   /** Relays a feed. */
-  add<T, TTold>(topic: string, follower: FeedFollower<T>, relayed: RelayedChanges<T, TTold>): void {
+  add<T, TTold>(topic: string, follower: FeedFollower<T>, relayed: ChangeCodec<T, TTold>): void {
     this._tellReads(topic, follower, relayed);
     this._takeReads(topic, follower, relayed);
     follower.setReader(false);
     this._feeds.push({
-      getProofAgeMs: () => follower.getProofAgeMs(),
+      getProofAgeMs: () => follower.getFreshnessAgeMs(),
       setReader: (isReader, isStandIn) => follower.setReader(isReader, isStandIn),
     });
   }
@@ -95,7 +95,7 @@
 
   /** Takes or gives up the duty; without a proof for too long this instance reads by itself, whoever has the duty. */
   check(): void {
-    this._duty.noteOwnPause(this._pauses.noteTick());
+    this._duty.noteSuspension(this._pauses.noteTick());
     // Any feed's proof shows that the store is reached; the one with the shorter reads is the newer.
     const ageMs = Math.min(...this._feeds.map((feed) => feed.getProofAgeMs()));
     if (this.isReader && (this._duty.isAlone || ageMs < staleMs)) this._duty.noteSign();
@@ -109,12 +109,12 @@
   private _tellReads<T, TTold>(
     topic: string,
     follower: FeedFollower<T>,
-    relayed: RelayedChanges<T, TTold>,
+    relayed: ChangeCodec<T, TTold>,
   ): void {
     follower.onRead((page, fromOffset) => {
-      if (!this.isReader && !follower.isStandIn) return;
-      const changes = relayed.toTold(page.changes);
-      const proofAgeMs = follower.getProofAgeMs();
+      if (!this.isReader && !follower.isFallbackReader) return;
+      const changes = relayed.encode(page.changes);
+      const proofAgeMs = follower.getFreshnessAgeMs();
       this._tell(topic, { fromOffset, nextOffset: page.nextOffset, changes, proofAgeMs });
     });
   }
@@ -122,19 +122,19 @@
   private _takeReads<T, TTold>(
     topic: string,
     follower: FeedFollower<T>,
-    relayed: RelayedChanges<T, TTold>,
+    relayed: ChangeCodec<T, TTold>,
   ): void {
     const { membership, log } = this._structure;
     const toldSchema = createToldSchema(relayed.schema);
     membership.onNotice(topic, (body, from) => {
       const page = toldSchema.safeParse(body);
-      if (!page.success) return notePeerMessageInvalid(log, topic, from);
+      if (!page.success) return logInvalidPeerMessage(log, topic, from);
       const { proofAgeMs, fromOffset, nextOffset } = page.data;
       const told = page.data.changes;
-      const changes = told === undefined ? undefined : relayed.fromTold(told as TTold);
+      const changes = told === undefined ? undefined : relayed.decode(told as TTold);
       // What waited here while this instance stood still is older than it says: a key may have been taken away since.
       const ageMs = proofAgeMs + this._pauses.getRecentPauseMs();
-      follower.takeTold({ fromOffset, nextOffset, changes }, this._nowMs() - ageMs);
+      follower.applyPeerPage({ fromOffset, nextOffset, changes }, this._nowMs() - ageMs);
       if (from.name === this._duty.holder && proofAgeMs < staleMs) this._duty.noteSign();
     });
   }
--- a/packages/gateway/src/peers/ZoneDuty.ts
+++ b/packages/gateway/src/peers/ZoneDuty.ts
@@ -42,7 +42,7 @@
 
   /** Whether this instance is the only one of its zone that it knows. */
   get isAlone(): boolean {
-    return this._structure.membership.getDutyCandidates().length <= 1;
+    return this._structure.membership.getZoneRoleCandidates().length <= 1;
   }
 
   /** Notes that the holder does its duty. */
@@ -51,7 +51,7 @@
   }
 
   /** Takes note that this instance stood still: the holder's signs of that time are not read yet. */
-  noteOwnPause(pauseMs: number): void {
+  noteSuspension(pauseMs: number): void {
     this._signAtMs += pauseMs;
   }
 
@@ -71,7 +71,7 @@
   /** Where all are passed over, each of them counts again. */
   private _pick(nowMs: number): string {
     const { membership, name } = this._structure;
-    const all = membership.getDutyCandidates();
+    const all = membership.getZoneRoleCandidates();
     const candidates = all.filter((candidate) => nowMs >= (this._passedOver.get(candidate) ?? 0));
     return utils.pickOwner(name, candidates) ?? utils.pickOwner(name, all) ?? membership.self.name;
   }
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -46,7 +46,7 @@
     ageMs: zod.number().nonnegative(),
   }),
 );
-export type ToldLimit = zod.infer<typeof limitsSchema>[number];
+export type LimitMessage = zod.infer<typeof limitsSchema>[number];
 
 /** Lives of endpoints that said that they leave. */
 export const leavingSchema = zod.array(zod.string());
--- a/packages/gateway/src/requests/CallerListener.ts
+++ b/packages/gateway/src/requests/CallerListener.ts
@@ -1,13 +1,19 @@
 /** The HTTP server for callers: reads requests within size limits, resolves route and API key, and passes them to a forwarder. */
 import * as http from "node:http";
 import { utils } from "@shedtiller/common";
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
-import type { DenialProof } from "../configuration/DenialProof.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
+import type { DenialFreshness } from "../configuration/DenialFreshness.js";
 import type { CallerLimits } from "../configuration/gatewayConfiguration.js";
 import type { CallerFields, MessageCodec } from "../http/MessageCodec.js";
 import { startListening, stopListening } from "../http/startListening.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import { admitCaller, isDenial, unprovenDenial, type Admitted, type Refusal } from "./admitCaller.js";
+import {
+  admitCaller,
+  isDenial,
+  staleConfigurationRefusal,
+  type AdmittedRequest,
+  type Refusal,
+} from "./admitCaller.js";
 import { CallerRequest } from "./CallerRequest.js";
 import { sendRefusal } from "./sendRefusal.js";
 
@@ -32,16 +38,16 @@
 export interface CallerListenerStructure {
   readonly host: string;
   readonly port: number;
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly codec: MessageCodec;
   readonly log: DecisionLog;
   /** Whether the configuration is recent enough to decide on API keys. */
   readonly areKeysFresh: () => boolean;
   /** Whether the configuration is recent enough to reject unknown routes and keys permanently. */
-  readonly denials: Pick<DenialProof, "isProven" | "wait">;
+  readonly denialFreshness: Pick<DenialFreshness, "isProven" | "wait">;
   readonly forward: (request: CallerRequest) => Promise<void>;
   /** Maximum time that a request waits for the first configuration; replaced in tests. */
-  readonly startPatienceMs?: number;
+  readonly startupTimeoutMs?: number;
 }
 
 /** Accepts the requests of callers and answers or rejects each of them. One per instance. */
@@ -59,11 +65,11 @@
       },
     );
     this._server.on("clientError", (_error, socket) => socket.destroy());
-    _structure.keeper.onChanged((table) => this._applyLimits(table.configuration.limits));
+    _structure.activeConfiguration.onChanged((table) => this._applyLimits(table.configuration.limits));
   }
 
   /** Number of requests without a final answer. */
-  get inHand(): number {
+  get inFlight(): number {
     return this._inHand;
   }
 
@@ -82,7 +88,7 @@
    * Rejects new requests whose deadline lies after the stop of the process.
    * @param endsAtMs - Monotonic time at which the process stops.
    */
-  refuseLasting(endsAtMs: number): void {
+  setStopDeadline(endsAtMs: number): void {
     this._stopAtMs = endsAtMs;
   }
 
@@ -108,7 +114,7 @@
     response.on("error", () => undefined);
     const fields = this._structure.codec.decodeCaller(message.rawHeaders);
     try {
-      await this._structure.keeper.waitUntilKnown(this._getMaxWaitMs(fields));
+      await this._structure.activeConfiguration.waitUntilKnown(this._getMaxWaitMs(fields));
       if (response.destroyed) return;
       const admitted = await this._admitWhenFresh(message, fields);
       if (response.destroyed) return;
@@ -124,7 +130,7 @@
   }
 
   private _getMaxWaitMs({ deadlineMs }: CallerFields): number {
-    const maxWaitMs = this._structure.startPatienceMs ?? maxStartupWaitMs;
+    const maxWaitMs = this._structure.startupTimeoutMs ?? maxStartupWaitMs;
     return Math.min(maxWaitMs, (deadlineMs ?? Number.POSITIVE_INFINITY) * startupDeadlineShare);
   }
 
@@ -135,17 +141,17 @@
   private async _admitWhenFresh(
     message: http.IncomingMessage,
     fields: CallerFields,
-  ): Promise<Admitted | Refusal> {
-    const { denials } = this._structure;
+  ): Promise<AdmittedRequest | Refusal> {
+    const { denialFreshness: denials } = this._structure;
     const admitted = this._admit(message, fields);
-    if (!isDenial(admitted) || denials.isProven()) return admitted;
-    const isFresh = await denials.wait(this._getMaxWaitMs(fields));
+    if (!isDenial(admitted) || denials.isFresh()) return admitted;
+    const isFresh = await denials.waitUntilFresh(this._getMaxWaitMs(fields));
     const decision = this._admit(message, fields);
-    return isDenial(decision) && !isFresh ? unprovenDenial : decision;
+    return isDenial(decision) && !isFresh ? staleConfigurationRefusal : decision;
   }
 
-  private _admit(message: http.IncomingMessage, fields: CallerFields): Admitted | Refusal {
-    const { keeper, areKeysFresh } = this._structure;
+  private _admit(message: http.IncomingMessage, fields: CallerFields): AdmittedRequest | Refusal {
+    const { activeConfiguration: keeper, areKeysFresh } = this._structure;
     const host = (message.headers.host ?? "").replace(/:\d+$/, "");
     const claim = { host, path: message.url ?? "/", apiKey: fields.apiKey };
     const admitted = admitCaller(claim, keeper.table, areKeysFresh);
@@ -159,7 +165,7 @@
     message: http.IncomingMessage,
     response: http.ServerResponse,
     fields: CallerFields,
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     body: Buffer,
     arrivedAtMs: number,
   ): Promise<void> {
@@ -196,7 +202,7 @@
     fields: CallerFields,
     refusal: Refusal,
   ): void {
-    const { keeper, codec, log } = this._structure;
+    const { activeConfiguration: keeper, codec, log } = this._structure;
     message.resume();
     sendRefusal(
       response,
@@ -211,7 +217,7 @@
       path: message.url,
       reason: refusal.reason,
       version: keeper.version,
-      proofAgeMs: Math.round(keeper.getProofAgeMs()),
+      proofAgeMs: Math.round(keeper.getFreshnessAgeMs()),
     });
   }
 }
--- a/packages/gateway/src/requests/CallerRequest.ts
+++ b/packages/gateway/src/requests/CallerRequest.ts
@@ -4,7 +4,7 @@
 import type { GatewayAccount, Route } from "../configuration/gatewayConfiguration.js";
 import type { CallerFields, MessageCodec } from "../http/MessageCodec.js";
 import type { LogFields } from "../logs/DecisionLog.js";
-import { digestRequest, type DigestedRequest } from "@shedtiller/crashes";
+import { digestRequest, type RequestIdentity } from "@shedtiller/crashes";
 import { sendRefusal, type RefusalReason } from "./sendRefusal.js";
 
 /** Dependencies of {@link CallerRequest}. */
@@ -72,12 +72,12 @@
 
   /** Digest of the content, equal for equal requests. Computed on first use, since most requests never need it. */
   get digest(): string {
-    this._digest ??= digestRequest(this.asked);
+    this._digest ??= digestRequest(this.identity);
     return this._digest;
   }
 
   /** Returns the content that decides whether two requests are equal. */
-  get asked(): DigestedRequest {
+  get identity(): RequestIdentity {
     const { method, path, body } = this;
     return { method, path, accountName: this.account?.name, body };
   }
@@ -115,7 +115,7 @@
   refuse(status: number, reason: RefusalReason, retryAfterMs?: number): void {
     if (this.isAnswered) return;
     this.outcome = reason;
-    if (this.isHeadSent) return this.breakOff(reason);
+    if (this.isHeadSent) return this.abortStream(reason);
     sendRefusal(
       this._structure.response,
       status,
@@ -148,7 +148,7 @@
   }
 
   /** Destroys the connection of a stream, so that the caller cannot take the stream for complete. */
-  breakOff(reason: RefusalReason): void {
+  abortStream(reason: RefusalReason): void {
     this.outcome = reason;
     this._structure.response.destroy();
   }
--- a/packages/gateway/src/requests/EventSplitter.ts
+++ b/packages/gateway/src/requests/EventSplitter.ts
@@ -5,7 +5,7 @@
 const idPattern = /^id:[ ]?(.*)$/gm;
 
 /** One or more complete events, and the id of the last one that has an id. */
-export interface WholeEvents {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   readonly lastId: string | undefined;
 }
@@ -15,12 +15,12 @@
   private _remainder: Buffer = Buffer.alloc(0);
 
   /** Whether bytes of an incomplete event are buffered. */
-  get hasRest(): boolean {
+  get hasPartialEvent(): boolean {
     return this._remainder.length > 0;
   }
 
   /** Adds bytes and returns the events that they complete, or undefined if they complete none. */
-  push(bytes: Buffer): WholeEvents | undefined {
+  push(bytes: Buffer): CompleteEvents | undefined {
     const all = this._remainder.length === 0 ? bytes : Buffer.concat([this._remainder, bytes]);
     const end = findLastEventEnd(all);
     this._remainder = all.subarray(end);
--- a/packages/gateway/src/requests/ForwarderSet.ts
+++ b/packages/gateway/src/requests/ForwarderSet.ts
@@ -21,7 +21,7 @@
     orders: EngineOrders,
   ) {
     const chooser = new ChainChooser();
-    const { keeper, endpoints, demand, forecast } = _context;
+    const { activeConfiguration: keeper, endpoints, demand, forecast } = _context;
     this._admission = new ChainAdmission(keeper, endpoints, chooser, demand, forecast);
     this.monitor = new StallMonitor(_context, chooser, orders);
     this._plain = new PlainForwarder(_context, new PermitQueue(demand, forecast));
--- a/packages/gateway/src/requests/PermitForecast.ts
+++ b/packages/gateway/src/requests/PermitForecast.ts
@@ -85,7 +85,7 @@
    */
   describeBlocks(service: string): string[] {
     const nowMs = this._nowMs();
-    return this._getCandidates(service).flatMap(({ listed, limit, rest }) => {
+    return this._getCandidates(service).flatMap(({ listed, limit, backoff: rest }) => {
       const backoffMs = rest.getLeftMs(nowMs);
       if (backoffMs > 0) return [`${listed.address} backs off for ${Math.round(backoffMs)} ms`];
       if (limit?.perSecond === undefined) return [];
@@ -100,7 +100,7 @@
   private _getLimits(service: string): number[] | undefined {
     const nowMs = this._nowMs();
     const first = getFirstEndpoints(this._getCandidates(service)).filter(
-      ({ rest }) => rest.getLeftMs(nowMs) === 0,
+      ({ backoff: rest }) => rest.getLeftMs(nowMs) === 0,
     );
     if (first.length === 0 || first.some((endpoint) => endpoint.hasPermit(nowMs))) return undefined;
     return first.map((endpoint) => endpoint.limit?.perSecond ?? slowStartPerSecond);
@@ -114,17 +114,17 @@
   private _getBackoffMs(service: string, ahead = 0): number {
     const nowMs = this._nowMs();
     const candidates = this._getCandidates(service);
-    const available = candidates.filter(({ rest }) => rest.getLeftMs(nowMs) === 0);
+    const available = candidates.filter(({ backoff: rest }) => rest.getLeftMs(nowMs) === 0);
     if (available.length === candidates.length || isServable(available, candidates)) return 0;
     const backingOff = candidates
       .filter((candidate) => !available.includes(candidate))
-      .sort((a, b) => a.rest.untilMs - b.rest.untilMs);
+      .sort((a, b) => a.backoff.untilMs - b.backoff.untilMs);
     const first = backingOff.findIndex((_, index) =>
       isServable([...available, ...backingOff.slice(0, index + 1)], candidates),
     );
     if (first < 0) return 0;
     const recoveries = Math.floor(ahead / requestsPerRecovery);
-    return backingOff[Math.min(first + recoveries, backingOff.length - 1)]?.rest.getLeftMs(nowMs) ?? 0;
+    return backingOff[Math.min(first + recoveries, backingOff.length - 1)]?.backoff.getLeftMs(nowMs) ?? 0;
   }
 
   private _getCandidates(service: string): Endpoint[] {
--- a/packages/gateway/src/requests/PlainForwarder.ts
+++ b/packages/gateway/src/requests/PlainForwarder.ts
@@ -2,7 +2,7 @@
 import { errors, utils, type results } from "@shedtiller/common";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { SendPermit } from "../discovery/SendPermit.js";
-import type { CallError, WholeAnswer } from "../http/HttpCall.js";
+import type { CallError, BufferedAnswer } from "../http/HttpCall.js";
 import type { CallerRequest } from "./CallerRequest.js";
 import { pickPlainEndpoint } from "./pickPlainEndpoint.js";
 import type { PermitQueue } from "./PermitQueue.js";
@@ -23,7 +23,7 @@
 
 /** Result of one send. */
 type SendOutcome =
-  | { readonly kind: "answer"; readonly answer: WholeAnswer }
+  | { readonly kind: "answer"; readonly answer: BufferedAnswer }
   | { readonly kind: "not-run"; readonly error: string }
   | { readonly kind: "unknown"; readonly error: string }
   /** The endpoint closed the connection. */
@@ -46,17 +46,17 @@
 
   async run(request: CallerRequest, service: string): Promise<void> {
     const tried = new Set<string>();
-    let last: WholeAnswer | undefined;
+    let last: BufferedAnswer | undefined;
     let hasRun = false;
     for (;;) {
       if (await this.refuseIfQuarantined(request, hasRun)) return;
       if (request.getRemainingMs() < minSendMs) break;
       const choice = await this._choose(request, service, tried, last === undefined);
-      if (request.signal.aborted) return choice?.permit.giveBack();
+      if (request.signal.aborted) return choice?.permit.release();
       if (choice === undefined) break;
       const { endpoint, permit } = choice;
       if (!this._mayBeSentNow(request)) {
-        permit.giveBack();
+        permit.release();
         continue;
       }
       tried.add(endpoint.id);
@@ -85,7 +85,7 @@
    * crashed endpoints.
    */
   private _mayBeSentNow(request: CallerRequest): boolean {
-    const isQuarantined = this.context.crashes.getHeldBackMs(request) !== undefined;
+    const isQuarantined = this.context.crashes.getQuarantineMs(request) !== undefined;
     return !isQuarantined && request.getRemainingMs() >= minSendMs;
   }
 
@@ -129,7 +129,7 @@
    */
   private _pick(request: CallerRequest, service: string, tried: ReadonlySet<string>): Endpoint | undefined {
     const nowMs = utils.monotonicMs();
-    const avoided = this.context.crashes.getShunned(request);
+    const avoided = this.context.crashes.getAvoidedEndpointIds(request);
     const mayProbe = hasRetryLeft(request);
     const pick = (excluded: ReadonlySet<string>): Endpoint | undefined =>
       pickPlainEndpoint(this.context, { service, tried: excluded, mayProbe }, nowMs);
@@ -140,7 +140,7 @@
   private _end(
     request: CallerRequest,
     service: string,
-    last: WholeAnswer | undefined,
+    last: BufferedAnswer | undefined,
     hasRun: boolean,
   ): void {
     if (last !== undefined) return request.answer(last.status, last.headers, last.body);
@@ -178,22 +178,22 @@
     endpoint.addOwn(1, 0);
     request.attempts += 1;
     const sentAtMs = utils.monotonicMs();
-    const result = await this.context.caller.fetch(
+    const result = await this.context.httpClient.fetch(
       this.createCall(request, endpoint, { headTimeoutMs, isFresh }),
       maxAnswerBytes,
       Math.max(1, remainingMs),
     );
     endpoint.addOwn(-1, 0);
-    if (result.err && result.val instanceof errors.NotReachedError) permit.giveBack();
+    if (result.err && result.val instanceof errors.NotReachedError) permit.release();
     if (result.err && result.val instanceof errors.ConnectionLostError)
-      endpoint.failures.noteFailed(sentAtMs, utils.monotonicMs());
+      endpoint.circuitBreaker.noteFailed(sentAtMs, utils.monotonicMs());
     return this._classify(request, endpoint, result, sentAtMs);
   }
 
   private _classify(
     request: CallerRequest,
     endpoint: Endpoint,
-    result: results.Result<WholeAnswer, CallError>,
+    result: results.Result<BufferedAnswer, CallError>,
     sentAtMs: number,
   ): SendOutcome {
     if (result.err) {
@@ -207,7 +207,7 @@
     const { status } = result.val;
     this.context.statements.noteAnswer(endpoint, { status, stated: fields.stated, sentAtMs });
     if (fields.hasNotRun || status >= failureStatus)
-      endpoint.failures.noteFailed(sentAtMs, utils.monotonicMs());
+      endpoint.circuitBreaker.noteFailed(sentAtMs, utils.monotonicMs());
     else endpoint.noteAnswered(sentAtMs);
     if (fields.hasNotRun) return { kind: "not-run", error: `status ${status}` };
     if (fields.requestId !== request.fields.requestId)
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -1,13 +1,13 @@
 /** The abstract base class of forwarders, and the dependencies and constants that they share. */
-import type { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
+import type { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
 import type { RouteTarget } from "../configuration/gatewayConfiguration.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { EndpointStatements } from "../discovery/EndpointStatements.js";
-import type { EndpointSuspicions } from "../discovery/EndpointSuspicions.js";
-import type { CrashWatch } from "../crashes/CrashWatch.js";
+import type { FailureDetector } from "../discovery/FailureDetector.js";
+import type { CrashDetector } from "../crashes/CrashDetector.js";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { HttpCall } from "../http/HttpCall.js";
-import type { HttpCaller } from "../http/HttpCaller.js";
+import type { HttpClient } from "../http/HttpClient.js";
 import type { ChainStage, MessageCodec } from "../http/MessageCodec.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import type { CallerRequest } from "./CallerRequest.js";
@@ -17,16 +17,16 @@
 
 /** Dependencies of every {@link RequestForwarder}. */
 export interface ForwardContext {
-  readonly keeper: ConfigurationKeeper;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly endpoints: EndpointTable;
-  readonly caller: HttpCaller;
+  readonly httpClient: HttpClient;
   readonly codec: MessageCodec;
   readonly budgets: RetryBudgets;
   readonly log: DecisionLog;
   readonly availabilityZone: string;
-  readonly suspicions: Pick<EndpointSuspicions, "noteSilent" | "noteNamed" | "noteNotHeld">;
+  readonly suspicions: Pick<FailureDetector, "noteSilent" | "noteNamed" | "noteNotHeld">;
   readonly crashes: Pick<
-    CrashWatch,
+    CrashDetector,
     | "isQuiet"
     | "begin"
     | "end"
@@ -41,7 +41,7 @@
   readonly demand: RequestDemand;
   readonly forecast: PermitForecast;
   /** Reports to the peers that an endpoint rejected a request for lack of capacity. */
-  readonly tellFull: (endpointId: string) => void;
+  readonly broadcastFull: (endpointId: string) => void;
 }
 
 /** Round trips take less than 2 ms, and a lost SYN packet is retransmitted after 1 s only, so a slow connection is not worth a longer wait. */
@@ -101,7 +101,7 @@
     const { crashes } = this.context;
     if (crashes.isQuiet) return false;
     await crashes.waitForTurn(request);
-    const quarantineMs = crashes.getHeldBackMs(request);
+    const quarantineMs = crashes.getQuarantineMs(request);
     if (quarantineMs === undefined) return false;
     this.context.log.info("request-held-back", {
       requestId: request.id,
--- a/packages/gateway/src/requests/RetryBudgets.ts
+++ b/packages/gateway/src/requests/RetryBudgets.ts
@@ -55,7 +55,7 @@
    * Sets the number of instances that share the slack. A decrease takes effect one window later, since the instances that left may have
    * used their shares of the current window.
    */
-  setInstances(count: number): void {
+  setInstanceCount(count: number): void {
     const sharers = Math.max(1, count);
     if (sharers >= this._sharers || !this._hasRetried) {
       this._sharers = sharers;
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -74,12 +74,12 @@
 
   /** Checks all streams periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const pauses = new utils.PauseWatch(checkIntervalMs, this._nowMs);
+    const pauses = new utils.PauseDetector(checkIntervalMs, this._nowMs);
     await utils.repeat(
       checkIntervalMs,
       signal,
       () => {
-        this.noteOwnPause(pauses.noteTick());
+        this.noteSuspension(pauses.noteTick());
         void this.check();
       },
       (error) => {
@@ -92,8 +92,8 @@
    * Subtracts a suspension of this process from the silence of all streams. Bytes that arrived meanwhile are still unread, so the streams
    * were not necessarily silent.
    */
-  noteOwnPause(pauseMs: number): void {
-    for (const attempt of this._attempts) attempt.lastSignAtMs += pauseMs;
+  noteSuspension(pauseMs: number): void {
+    for (const attempt of this._attempts) attempt.lastActivityAtMs += pauseMs;
   }
 
   /** Checks all streams once; resolves when the resulting queries and moves are complete. */
@@ -101,7 +101,7 @@
     const nowMs = this._nowMs();
     const firsts = new Set<string>();
     for (const attempt of this._attempts) {
-      const silenceMs = nowMs - attempt.lastSignAtMs;
+      const silenceMs = nowMs - attempt.lastActivityAtMs;
       if (silenceMs >= maxSilenceMs && attempt.request.isIdempotent) attempt.abort.abort();
       else if (silenceMs >= getAllowedSilenceMs(attempt) && attempt.firstStage !== undefined) {
         firsts.add(attempt.firstStage.endpointId);
@@ -149,7 +149,7 @@
     const nowMs = this._nowMs();
     for (const attempt of this._attempts) {
       if (attempt.firstStage?.endpointId !== endpointId || !attempt.request.isIdempotent) continue;
-      if (nowMs - attempt.lastSignAtMs >= laterEventSilenceMs) attempt.abort.abort();
+      if (nowMs - attempt.lastActivityAtMs >= laterEventSilenceMs) attempt.abort.abort();
     }
   }
 
@@ -170,12 +170,12 @@
 
   private async _move(attempt: StreamAttempt, faultyAddress: string): Promise<void> {
     const first = attempt.firstStage;
-    const profile = this._context.keeper.table?.getEngineProfile(attempt.service);
+    const profile = this._context.activeConfiguration.table?.getEngineProfile(attempt.service);
     if (first === undefined || profile === undefined) return;
     if (first.address === faultyAddress) return this._abandon(attempt, "the first engine has stalled");
     const faulty = findNamedEndpoint(this._context.endpoints, attempt.reservation.stages, faultyAddress);
     if (faulty !== undefined) void this._context.crashes.noteLost(attempt, faulty);
-    if (this._context.crashes.getHeldBackMs(attempt.request) !== undefined)
+    if (this._context.crashes.getQuarantineMs(attempt.request) !== undefined)
       return this._abandon(attempt, "the request is quarantined");
     // The stream's own reservation must not count against it in the choice of its new chain.
     const before = attempt.reservation.stages;
@@ -194,7 +194,7 @@
       attempt.reservation.move(before);
       return this._handleRefusedMove(attempt, moved.val, chain);
     }
-    attempt.lastSignAtMs = this._nowMs();
+    attempt.lastActivityAtMs = this._nowMs();
     attempt.progress.moves += 1;
     this._context.log.info("chain-changed", {
       requestId: attempt.request.id,
@@ -214,7 +214,7 @@
       availabilityZone: this._context.availabilityZone,
       firstEndpointId: first.endpointId,
       firstEnd: first.end,
-      isSpread: true,
+      isRandomized: true,
     });
   }
 
--- a/packages/gateway/src/requests/StreamAttempt.ts
+++ b/packages/gateway/src/requests/StreamAttempt.ts
@@ -3,7 +3,7 @@
 import type { ChainReservation } from "../chains/ChainReservation.js";
 import type { HttpAnswer } from "../http/HttpCall.js";
 import type { ChainStage } from "../http/MessageCodec.js";
-import type { WatchedRun } from "../crashes/CrashWatch.js";
+import type { TrackedRun } from "../crashes/CrashDetector.js";
 import type { Endpoint } from "../discovery/Endpoint.js";
 import type { CallerRequest } from "./CallerRequest.js";
 import { EventSplitter } from "./EventSplitter.js";
@@ -13,13 +13,13 @@
 export type StreamEnd = "completed" | "broken" | "caller-left";
 
 /** Forwards the complete events of one attempt and reports how it ended. The `StallMonitor` detects stalls and ends attempts. */
-export class StreamAttempt implements WatchedRun {
+export class StreamAttempt implements TrackedRun {
   /** The endpoint that the request was sent to, as the object of the process life at that time. */
   firstEndpoint: Endpoint | undefined;
   /** Monotonic time of the send or of the last received bytes. */
-  lastSignAtMs = utils.monotonicMs();
+  lastActivityAtMs = utils.monotonicMs();
   /** Monotonic time of the send. */
-  sentAtMs = this.lastSignAtMs;
+  sentAtMs = this.lastActivityAtMs;
   /** Ends the attempt; the stream may continue at another chain. */
   readonly abort = new AbortController();
   /** Time from the send of this attempt to its first event. */
@@ -57,7 +57,7 @@
   /** Records that the request is sent now. */
   noteSent(): void {
     this.sentAtMs = utils.monotonicMs();
-    this.lastSignAtMs = this.sentAtMs;
+    this.lastActivityAtMs = this.sentAtMs;
   }
 
   /** Forwards the events of an answer until it ends. */
@@ -75,7 +75,7 @@
     message.on("end", () => {
       void answer
         .isWhole()
-        .then((isWhole) => end(isWhole && !this._splitter.hasRest ? "completed" : "broken"));
+        .then((isWhole) => end(isWhole && !this._splitter.hasPartialEvent ? "completed" : "broken"));
     });
     message.on("error", () => end("broken"));
     message.on("close", () => {
@@ -86,10 +86,10 @@
 
   private _forward(bytes: Buffer, answer: HttpAnswer): void {
     if (this.abort.signal.aborted) return;
-    this.lastSignAtMs = utils.monotonicMs();
+    this.lastActivityAtMs = utils.monotonicMs();
     const events = this._splitter.push(bytes);
     if (events === undefined) return;
-    this.firstEventMs ??= this.lastSignAtMs - this.sentAtMs;
+    this.firstEventMs ??= this.lastActivityAtMs - this.sentAtMs;
     this.progress.noteEvents(events.lastId, this.request.arrivedAtMs);
     if (this.request.write(events.bytes)) return;
     answer.message.pause();
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -1,9 +1,9 @@
 /** Forwarder of streamed requests, which run at chains of engines. */
 import { errors, utils } from "@shedtiller/common";
-import { trialElsewhereMs } from "@shedtiller/crashes";
+import { trialElsewhereRetryAfterMs } from "@shedtiller/crashes";
 import type { ChainAdmission } from "../chains/ChainAdmission.js";
 import { describeChain } from "../chains/describeChain.js";
-import { describeRoom } from "../chains/describeRoom.js";
+import { describeFreeCapacity } from "../chains/describeFreeCapacity.js";
 import { findNamedEndpoint } from "../chains/findNamedEndpoint.js";
 import { estimateTokens } from "../chains/estimateTokens.js";
 import type { ChainReservation } from "../chains/ChainReservation.js";
@@ -146,12 +146,12 @@
         ...estimateTokens(request.fields),
         availabilityZone: this.context.availabilityZone,
         refusedBy: avoided,
-        spares: sparesByRisk[this.context.crashes.getRisk(request)],
+        redundantFirstEngine: sparesByRisk[this.context.crashes.getRisk(request)],
       },
       // A stream that has begun goes first, since its caller already waits for the next event.
       priority: request.isHeadSent ? resumedPriority : request.priority,
-      patienceMs: Math.max(0, Math.min(maxQueueMs, request.getRemainingMs())),
-      inTimeUntilMs: this._getLatestStartAtMs(request),
+      maxWaitMs: Math.max(0, Math.min(maxQueueMs, request.getRemainingMs())),
+      latestStartAtMs: this._getLatestStartAtMs(request),
       signal: request.signal,
     });
   }
@@ -163,7 +163,9 @@
   private _getAvoidedAddresses(request: CallerRequest, refusedBy: ReadonlySet<string>): ReadonlySet<string> {
     const { crashes, endpoints } = this.context;
     if (crashes.isQuiet) return refusedBy;
-    const addresses = crashes.getShunned(request).flatMap((id) => endpoints.get(id)?.listed.address ?? []);
+    const addresses = crashes
+      .getAvoidedEndpointIds(request)
+      .flatMap((id) => endpoints.get(id)?.listed.address ?? []);
     return addresses.length === 0 ? refusedBy : new Set([...refusedBy, ...addresses]);
   }
 
@@ -180,15 +182,15 @@
     const { request, firstStage } = attempt;
     const first = firstStage === undefined ? undefined : this.context.endpoints.get(firstStage.endpointId);
     // An equal request may have crashed engines while this one waited for capacity.
-    if (first === undefined || this.context.crashes.getHeldBackMs(request) !== undefined) {
-      attempt.reservation.permit?.giveBack();
+    if (first === undefined || this.context.crashes.getQuarantineMs(request) !== undefined) {
+      attempt.reservation.permit?.release();
       return "again";
     }
     request.attempts += 1;
     attempt.noteSent();
     attempt.firstEndpoint = first;
     this.context.crashes.begin(attempt);
-    const sent = await this.context.caller.send(
+    const sent = await this.context.httpClient.send(
       this.createCall(request, first, {
         headTimeoutMs: Math.max(1, request.getRemainingMs()),
         isFresh: !request.isIdempotent || request.attempts > 1,
@@ -201,12 +203,12 @@
     if (request.signal.aborted) return "caller-left";
     this._logFailedRun(attempt, sent.val.code);
     if (sent.val instanceof errors.ConnectionLostError) {
-      first.failures.noteFailed(attempt.sentAtMs, utils.monotonicMs());
+      first.circuitBreaker.noteFailed(attempt.sentAtMs, utils.monotonicMs());
       void this.context.crashes.noteLost(attempt, first);
     }
     if (!(sent.val instanceof errors.NotReachedError)) return "lost";
     request.attempts -= 1;
-    attempt.reservation.permit?.giveBack();
+    attempt.reservation.permit?.release();
     this.context.suspicions.noteSilent(first.id, sent.val.code);
     return "not-run";
   }
@@ -222,7 +224,7 @@
       });
     if (fields.hasNotRun) return this._handleRefusal(attempt, answer, fields.faultyAddress);
     if (answer.status < failureStatus) attempt.firstEndpoint?.noteAnswered(attempt.sentAtMs);
-    else attempt.firstEndpoint?.failures.noteFailed(attempt.sentAtMs, utils.monotonicMs());
+    else attempt.firstEndpoint?.circuitBreaker.noteFailed(attempt.sentAtMs, utils.monotonicMs());
     if (fields.requestId !== request.fields.requestId || fields.isEncoded) {
       answer.abort();
       this._logFailedRun(attempt, "answer of another request");
@@ -278,10 +280,10 @@
     const address = faultyAddress ?? attempt.firstStage?.address ?? "";
     attempt.progress.refusedBy.add(address);
     const faulty = findNamedEndpoint(this.context.endpoints, attempt.reservation.stages, address);
-    const waitedMs = nowMs - attempt.lastSignAtMs;
+    const waitedMs = nowMs - attempt.lastActivityAtMs;
     if (faulty !== undefined && waitedMs >= stalledRefusalMs)
       void this.context.suspicions.noteNamed(faulty.id, `refusal ${answer.status}`);
-    else if (faulty?.noteFull(nowMs) === true) this.context.tellFull(faulty.id);
+    else if (faulty?.noteFull(nowMs) === true) this.context.broadcastFull(faulty.id);
     if (faulty !== undefined && answer.status === misdirectedStatus)
       void this.context.suspicions.noteNotHeld(faulty.id);
     this._logFailedRun(attempt, `refusal ${answer.status} for ${address} after ${Math.round(waitedMs)} ms`);
@@ -310,7 +312,7 @@
     if (request.isAnswered) return;
     if (hasRun || request.isHeadSent) return request.refuse(502, "outcome-unknown");
     const retryAfterMs = this._getRetryAfterMs(reason, service);
-    const profile = this.context.keeper.table?.getEngineProfile(service);
+    const profile = this.context.activeConfiguration.table?.getEngineProfile(service);
     const endpoints = this.context.endpoints.getUsable(service);
     this.context.log.warn("stream-refused", {
       requestId: request.id,
@@ -321,7 +323,7 @@
         reason === "limited" || reason === "resting"
           ? this.context.forecast.describeBlocks(service)
           : undefined,
-      room: profile === undefined ? undefined : describeRoom(endpoints, profile, utils.monotonicMs()),
+      room: profile === undefined ? undefined : describeFreeCapacity(endpoints, profile, utils.monotonicMs()),
     });
     request.refuse(503, reason, retryAfterMs);
   }
@@ -332,7 +334,7 @@
    */
   private _getRetryAfterMs(reason: StreamRefusal, service: string): number {
     if (reason === "no-endpoint") return noEndpointRetryAfterMs;
-    if (reason === "held-back") return trialElsewhereMs;
+    if (reason === "held-back") return trialElsewhereRetryAfterMs;
     if (reason === "not-run" && this._admission.waiting === 0) return notRunRetryAfterMs;
     return this._admission.getRetryAfterMs(service);
   }
--- a/packages/gateway/src/requests/admitCaller.ts
+++ b/packages/gateway/src/requests/admitCaller.ts
@@ -9,7 +9,7 @@
 const permanentStatuses: ReadonlySet<number> = new Set([401, 403, 404]);
 
 /** The parts of a request that decide on its admission. */
-export interface CallerClaim {
+export interface AdmissionInput {
   /** Host without port. */
   readonly host: string;
   /** Path with or without query string. */
@@ -18,7 +18,7 @@
 }
 
 /** An admitted request, with the configuration that admitted it. */
-export interface Admitted {
+export interface AdmittedRequest {
   readonly table: RouteTable;
   readonly route: Route;
   /** Undefined for requests without a client account. */
@@ -33,14 +33,14 @@
 }
 
 /** Replaces a permanent rejection while the configuration may be out of date. */
-export const unprovenDenial: Refusal = {
+export const staleConfigurationRefusal: Refusal = {
   status: 503,
   reason: "stale-configuration",
   retryAfterMs: notReadyRetryAfterMs,
 };
 
 /** Whether the request is rejected permanently, because its route does not exist or its key does not give access. */
-export function isDenial(decision: Admitted | Refusal): boolean {
+export function isDenial(decision: AdmittedRequest | Refusal): boolean {
   return "reason" in decision && permanentStatuses.has(decision.status);
 }
 
@@ -50,10 +50,10 @@
  * @param areKeysFresh - Whether the configuration is recent enough to decide on API keys.
  */
 export function admitCaller(
-  claim: CallerClaim,
+  claim: AdmissionInput,
   table: RouteTable | undefined,
   areKeysFresh: () => boolean,
-): Admitted | Refusal {
+): AdmittedRequest | Refusal {
   if (table === undefined)
     return { status: 503, reason: "no-configuration", retryAfterMs: notReadyRetryAfterMs };
   const route = table.getRoute(claim.host, claim.path);
@@ -63,7 +63,7 @@
   const { apiKey } = claim;
   if (apiKey === undefined && route.isAnonymousAllowed) return anonymous;
   if (!areKeysFresh()) {
-    return unprovenDenial;
+    return staleConfigurationRefusal;
   }
   if (apiKey === undefined) return { status: 401, reason: "no-key" };
   const account = table.getAccount(apiKey);
--- a/packages/gateway/src/requests/pickPlainEndpoint.ts
+++ b/packages/gateway/src/requests/pickPlainEndpoint.ts
@@ -13,7 +13,7 @@
 const suspectPenalty = 1_000;
 
 /** Criteria for the choice of an endpoint. */
-export interface PlainDemand {
+export interface PlainEndpointQuery {
   readonly service: string;
   /** Ids of the endpoints that are excluded. */
   readonly tried: ReadonlySet<string>;
@@ -24,12 +24,12 @@
 /** Returns the endpoint with the lowest cost among the untried ones with a permit; the first one in the table wins a tie. */
 export function pickPlainEndpoint(
   context: { readonly endpoints: EndpointTable; readonly availabilityZone: string },
-  { service, tried, mayProbe }: PlainDemand,
+  { service, tried, mayProbe }: PlainEndpointQuery,
   nowMs: number,
 ): Endpoint | undefined {
   const isDoubtful = (endpoint: Endpoint): boolean =>
     endpoint.isSuspect(nowMs) ||
-    endpoint.failures.isOnProbation(nowMs) ||
+    endpoint.circuitBreaker.isBlocked(nowMs) ||
     (!mayProbe && endpoint.isUnproven(nowMs));
   const cost = (endpoint: Endpoint): number =>
     endpoint.getLoad().requests +
--- a/packages/gateway/src/tests/KeptLines.ts
+++ b/packages/gateway/src/tests/RecordingSink.ts
@@ -2,7 +2,7 @@
 import { LogSink, type LogLevel } from "../logs/DecisionLog.js";
 
 /** One for a test. */
-export class KeptLines extends LogSink {
+export class RecordingSink extends LogSink {
   readonly events: string[] = [];
 
   override isBehind(): boolean {
--- a/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
+++ b/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
@@ -1,12 +1,12 @@
 /** The order in which waiting requests get a chain, and immediate rejections of requests that would get one too late. */
 import test from "ava";
 import { utils } from "@shedtiller/common";
-import { ChainAdmission, type ChainApplicant } from "../../chains/ChainAdmission.js";
+import { ChainAdmission, type ChainAcquisition } from "../../chains/ChainAdmission.js";
 import { ChainChooser } from "../../chains/ChainChooser.js";
 import type { ChainReservation } from "../../chains/ChainReservation.js";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
-import { createConfiguration, createListed, profile } from "../createParts.js";
+import { createConfiguration, createListed, profile } from "../testData.js";
 import { createPermitParts } from "../createPermitParts.js";
 
 const longMs = 60_000;
@@ -15,19 +15,19 @@
 function setUp() {
   const endpoints = new EndpointTable();
   endpoints.setAll(new Map([["a", createListed("a", { layers: [{ start: 0, end: 4 }] })]]));
-  const keeper = new ConfigurationKeeper();
+  const keeper = new ActiveConfiguration();
   const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
   keeper.accept({ ...createConfiguration(1), services });
   const { demand, forecast } = createPermitParts(endpoints);
   const admission = new ChainAdmission(keeper, endpoints, new ChainChooser(), demand, forecast);
   const served: string[] = [];
-  const acquire = async (name: string, changes: Partial<ChainApplicant> = {}) => {
+  const acquire = async (name: string, changes: Partial<ChainAcquisition> = {}) => {
     const reservation = await admission.acquire({
       service: "engines",
       demand: { promptTokens: 40, answerTokens: 10, availabilityZone: "east" },
       priority: 1,
-      patienceMs: longMs,
-      inTimeUntilMs: Number.POSITIVE_INFINITY,
+      maxWaitMs: longMs,
+      latestStartAtMs: Number.POSITIVE_INFINITY,
       signal: new AbortController().signal,
       ...changes,
     });
@@ -44,7 +44,7 @@
 test("requests that can still meet their target latency go before late ones", async (t) => {
   const { served, acquire, release } = setUp();
   const first = await acquire("first");
-  const late = acquire("late", { inTimeUntilMs: utils.monotonicMs() - 1 });
+  const late = acquire("late", { latestStartAtMs: utils.monotonicMs() - 1 });
   const inTime = acquire("in time");
   release(first);
   release(await inTime);
@@ -56,7 +56,7 @@
   const { served, acquire, release } = setUp();
   const first = await acquire("first");
   const usual = acquire("usual");
-  const urgent = acquire("urgent", { priority: 0, inTimeUntilMs: utils.monotonicMs() - 1 });
+  const urgent = acquire("urgent", { priority: 0, latestStartAtMs: utils.monotonicMs() - 1 });
   release(first);
   release(await urgent);
   release(await usual);
@@ -66,7 +66,7 @@
 test("a request whose expected wait exceeds its maximum wait is rejected immediately", async (t) => {
   const { served, acquire, release, admission } = setUp();
   const first = await acquire("first");
-  await acquire("hurried", { patienceMs: 1 });
+  await acquire("hurried", { maxWaitMs: 1 });
   t.deepEqual(served, ["first", "hurried refused"]);
   t.is(admission.waiting, 0);
   release(first);
@@ -75,7 +75,7 @@
 test("a request that others overtake is rejected as soon as its turn would come too late", async (t) => {
   const { served, acquire, release, admission } = setUp();
   const first = await acquire("first");
-  const late = acquire("late", { inTimeUntilMs: utils.monotonicMs() - 1, patienceMs: 400 });
+  const late = acquire("late", { latestStartAtMs: utils.monotonicMs() - 1, maxWaitMs: 400 });
   const others = Array.from({ length: 20 }, (_, index) => acquire(`other ${index}`));
   t.is(admission.waiting, 21);
   await late;
@@ -105,7 +105,7 @@
   const first = await acquire("first");
   const waiting = acquire("waiting");
   const nowMs = utils.monotonicMs();
-  endpoints.get("a")?.rest.note(nowMs + 2 * longMs, nowMs);
+  endpoints.get("a")?.backoff.extendTo(nowMs + 2 * longMs, nowMs);
   release(first);
   t.is(await waiting, undefined);
 });
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -2,10 +2,10 @@
 import test from "ava";
 import * as fc from "fast-check";
 import { ChainChooser } from "../../chains/ChainChooser.js";
-import type { ChainDemand } from "../../chains/coverLayers.js";
+import type { ChainDemand } from "../../chains/findCheapestChain.js";
 import { getCapacityTokenLayers } from "../../chains/engineModel.js";
 import type { ChainStage } from "../../http/MessageCodec.js";
-import { createEngine, profile } from "../createParts.js";
+import { createEngine, profile } from "../testData.js";
 
 const demand: ChainDemand = { promptTokens: 8, answerTokens: 2, availabilityZone: "east" };
 const chooser = new ChainChooser(() => 1_000);
@@ -185,12 +185,12 @@
     createEngine(id, 0, 4, { availabilityZone: "west", kind: "slow" }),
   );
   const choose = (engines: typeof redundant, spares: "rather" | "only" | undefined): string | undefined =>
-    describe(chooser.choose(engines, profile, { ...demand, spares }));
+    describe(chooser.choose(engines, profile, { ...demand, redundantFirstEngine: spares }));
   t.is(choose([sole, ...redundant], undefined), "a=0-4");
   t.is(choose([sole, ...redundant], "only"), "b=0-4");
   t.is(choose([sole, ...redundant], "rather"), "b=0-4");
   t.is(choose([sole, ...redundant.slice(1)], "rather"), "a=0-4");
   t.is(choose([sole, ...redundant.slice(1)], "only"), undefined);
-  redundant[0]?.failures.noteFailed(990, 995);
+  redundant[0]?.circuitBreaker.noteFailed(990, 995);
   t.is(choose(redundant, "only"), undefined, "the other engine has just failed and may have crashed");
 });
--- a/packages/gateway/src/tests/chains/ChainReservationTests.ts
+++ b/packages/gateway/src/tests/chains/ChainReservationTests.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { ChainReservation } from "../../chains/ChainReservation.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 
 const noLoad = { requests: 0, tokenLayers: 0 };
 
@@ -16,19 +16,19 @@
 test("a move after the release reserves no load", (t) => {
   const { table, stage } = setUp();
   const reservation = new ChainReservation(table, [stage("a")], 10);
-  t.deepEqual(table.get("a")?.own, { requests: 1, tokenLayers: 20 });
+  t.deepEqual(table.get("a")?.ownLoad, { requests: 1, tokenLayers: 20 });
   reservation.release();
   reservation.move([stage("b")]);
-  t.deepEqual(table.get("a")?.own, noLoad);
-  t.deepEqual(table.get("b")?.own, noLoad);
+  t.deepEqual(table.get("a")?.ownLoad, noLoad);
+  t.deepEqual(table.get("b")?.ownLoad, noLoad);
 });
 
 test("a move releases the load at the previous chain", (t) => {
   const { table, stage } = setUp();
   const reservation = new ChainReservation(table, [stage("a")], 10);
   reservation.move([stage("b")]);
-  t.deepEqual(table.get("a")?.own, noLoad);
-  t.deepEqual(table.get("b")?.own, { requests: 1, tokenLayers: 20 });
+  t.deepEqual(table.get("a")?.ownLoad, noLoad);
+  t.deepEqual(table.get("b")?.ownLoad, { requests: 1, tokenLayers: 20 });
 });
 
 test("a release does not change the load of an engine that has left the list and returned", (t) => {
@@ -37,5 +37,5 @@
   table.apply([{ key: "a", value: undefined }]);
   table.apply([{ key: "a", value: createListed("a") }]);
   reservation.release();
-  t.deepEqual(table.get("a")?.own, noLoad);
+  t.deepEqual(table.get("a")?.ownLoad, noLoad);
 });
--- a/packages/gateway/src/tests/chains/findNamedEndpointTests.ts
+++ b/packages/gateway/src/tests/chains/findNamedEndpointTests.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { findNamedEndpoint } from "../../chains/findNamedEndpoint.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 
 function createTable(...ids: string[]): EndpointTable {
   const table = new EndpointTable(() => 0);
--- a/packages/gateway/src/tests/configuration/ConfigurationKeeperTests.ts
+++ b/packages/gateway/src/tests/configuration/ActiveConfigurationTests.ts
@@ -1,11 +1,11 @@
 /** Versions never go back, and a proof of freshness is worth what it proves. */
 import test from "ava";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import { RouteTable } from "../../configuration/RouteTable.js";
-import { createConfiguration, createRoute } from "../createParts.js";
+import { createConfiguration, createRoute } from "../testData.js";
 
 test("an older version is not taken", (t) => {
-  const keeper = new ConfigurationKeeper(() => 0);
+  const keeper = new ActiveConfiguration(() => 0);
   t.true(keeper.accept(createConfiguration(5)));
   t.false(keeper.accept(createConfiguration(4)));
   t.false(keeper.accept(createConfiguration(5)));
@@ -14,16 +14,16 @@
 
 test("a proof counts from its question and only for the version in force", (t) => {
   let nowMs = 1_000;
-  const keeper = new ConfigurationKeeper(() => nowMs);
-  t.is(keeper.getProofAgeMs(), Number.POSITIVE_INFINITY);
+  const keeper = new ActiveConfiguration(() => nowMs);
+  t.is(keeper.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
   keeper.accept(createConfiguration(5));
-  keeper.confirm(4, 900);
-  t.is(keeper.getProofAgeMs(), Number.POSITIVE_INFINITY);
-  keeper.confirm(5, 900);
+  keeper.confirmFreshness(4, 900);
+  t.is(keeper.getFreshnessAgeMs(), Number.POSITIVE_INFINITY);
+  keeper.confirmFreshness(5, 900);
   nowMs = 2_000;
-  t.is(keeper.getProofAgeMs(), 1_100);
-  keeper.confirm(5, 100);
-  t.is(keeper.getProofAgeMs(), 1_100, "an older proof takes nothing away");
+  t.is(keeper.getFreshnessAgeMs(), 1_100);
+  keeper.confirmFreshness(5, 100);
+  t.is(keeper.getFreshnessAgeMs(), 1_100, "an older proof takes nothing away");
 });
 
 test("the longest prefix of the host wins, whatever the query", (t) => {
--- a/packages/gateway/src/tests/configuration/configurationDeltaTests.ts
+++ b/packages/gateway/src/tests/configuration/configurationDeltaTests.ts
@@ -8,7 +8,7 @@
   getDelta,
 } from "../../configuration/configurationDelta.js";
 import type { GatewayConfiguration, Route } from "../../configuration/gatewayConfiguration.js";
-import { createConfiguration, createRoute } from "../createParts.js";
+import { createConfiguration, createRoute } from "../testData.js";
 
 const routes = fc.uniqueArray(
   fc.record({ name: fc.constantFrom("a", "b", "c", "d", "e"), timeoutMs: fc.integer({ min: 1, max: 3 }) }),
--- a/packages/gateway/src/tests/crashes/CrashWatchTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -1,12 +1,12 @@
 /** What counts as a crash, and what clears a request. */
 import test from "ava";
-import { beginningMs, CrashWatch, type WatchedRun } from "../../crashes/CrashWatch.js";
-import { nothingTold, type ToldCrashes, digestRequest, type ProbeResult } from "@shedtiller/crashes";
+import { beginningMs, CrashDetector, type TrackedRun } from "../../crashes/CrashDetector.js";
+import { noCrashReports, type ToldCrashes, digestRequest, type ProbeResult } from "@shedtiller/crashes";
 import type { Endpoint } from "../../discovery/Endpoint.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { SimulatedClock } from "../patterns/SimulatedClock.js";
 
@@ -20,14 +20,14 @@
   probes = 0;
   trialRank = 0;
   readonly crashed: string[] = [];
-  readonly watch = new CrashWatch({
+  readonly watch = new CrashDetector({
     endpoints: this.endpoints,
     log: new DecisionLog(new SilentSink(), this.clock.nowMs),
     probe: () => {
       this.probes += 1;
       return Promise.resolve(this.probeResult);
     },
-    tell: (news) => this.told.push(news),
+    broadcast: (news) => this.told.push(news),
     onCrash: ({ id }) => this.crashed.push(id),
     getTrialRank: () => this.trialRank,
     nowMs: this.clock.nowMs,
@@ -48,7 +48,7 @@
     return endpoint;
   }
 
-  createRun(endpointId: string, changes: Partial<WatchedRun> = {}): WatchedRun {
+  createRun(endpointId: string, changes: Partial<TrackedRun> = {}): TrackedRun {
     return {
       request: { digest: "a" },
       endpointId,
@@ -65,7 +65,7 @@
   }
 
   /** A run loses its connection at its beginning. */
-  async lose(endpointId: string, changes: Partial<WatchedRun> = {}): Promise<void> {
+  async lose(endpointId: string, changes: Partial<TrackedRun> = {}): Promise<void> {
     await this.watch.noteLost(this.createRun(endpointId, changes), this.get(endpointId));
   }
 }
@@ -82,12 +82,14 @@
   const scene = new Scene();
   await scene.lose("i-1");
   t.is(scene.watch.ledger.getWeight("a"), 1);
-  t.deepEqual(scene.told, [{ ...nothingTold, crashes: [{ lifeId: "i-1", ageMs: 0, suspects: [["a", 1]] }] }]);
+  t.deepEqual(scene.told, [
+    { ...noCrashReports, crashes: [{ lifeId: "i-1", ageMs: 0, suspects: [["a", 1]] }] },
+  ]);
   await scene.lose("i-2");
-  t.is(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.is(scene.watch.getQuarantineMs({ digest: "a" }), undefined);
   await scene.lose("i-3");
-  t.true((scene.watch.getHeldBackMs({ digest: "a" }) ?? 0) > 0);
-  t.is(scene.watch.getHeldBackMs({ digest: "b" }), undefined);
+  t.true((scene.watch.getQuarantineMs({ digest: "a" }) ?? 0) > 0);
+  t.is(scene.watch.getQuarantineMs({ digest: "b" }), undefined);
 });
 
 test("runs that are lost together are told with one probe", async (t) => {
@@ -149,8 +151,8 @@
     ageMs: 0,
     suspects: [["a", 1]] as [string, number][],
   }));
-  scene.watch.take({ ...nothingTold, crashes });
-  t.is(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
+  scene.watch.take({ ...noCrashReports, crashes });
+  t.is(scene.watch.getQuarantineMs({ digest: "a" }), undefined);
   t.is(scene.told.at(-1)?.clearings[0]?.digest, "a");
 });
 
@@ -173,32 +175,32 @@
   const b = { digest: "b" };
   await Promise.all([scene.lose("i-1"), scene.lose("i-1", { request: b })]);
   scene.watch.begin(scene.createRun("i-2"));
-  t.deepEqual(scene.watch.getShunned(b), ["i-2"]);
-  t.deepEqual(scene.watch.getShunned({ digest: "c" }), []);
+  t.deepEqual(scene.watch.getAvoidedEndpointIds(b), ["i-2"]);
+  t.deepEqual(scene.watch.getAvoidedEndpointIds({ digest: "c" }), []);
 });
 
 test("after the hold the instances take turns to try the request, one at a time, and each tells the others", async (t) => {
   const scene = new Scene();
   for (const id of ["i-1", "i-2", "i-3"]) await scene.lose(id);
-  const leftMs = scene.watch.getHeldBackMs({ digest: "a" }) ?? 0;
+  const leftMs = scene.watch.getQuarantineMs({ digest: "a" }) ?? 0;
   await scene.clock.run(scene.clock.nowMs() + leftMs);
   scene.trialRank = 2;
-  t.not(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.not(scene.watch.getQuarantineMs({ digest: "a" }), undefined);
   await scene.clock.run(scene.clock.nowMs() + 600);
-  t.is(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.is(scene.watch.getQuarantineMs({ digest: "a" }), undefined);
   scene.watch.begin(scene.createRun("i-4"));
-  t.not(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
+  t.not(scene.watch.getQuarantineMs({ digest: "a" }), undefined);
   t.is(scene.told.at(-1)?.trials[0]?.digest, "a");
   await scene.lose("i-4");
-  t.true((scene.watch.getHeldBackMs({ digest: "a" }) ?? 0) > leftMs);
+  t.true((scene.watch.getQuarantineMs({ digest: "a" }) ?? 0) > leftMs);
 });
 
 test("a request that is tried elsewhere is not tried here meanwhile", async (t) => {
   const scene = new Scene();
   for (const id of ["i-1", "i-2", "i-3"]) await scene.lose(id);
-  await scene.clock.run(scene.clock.nowMs() + (scene.watch.getHeldBackMs({ digest: "a" }) ?? 0));
-  scene.watch.take({ ...nothingTold, trials: [{ digest: "a", ageMs: 0 }] });
-  t.not(scene.watch.getHeldBackMs({ digest: "a" }), undefined);
+  await scene.clock.run(scene.clock.nowMs() + (scene.watch.getQuarantineMs({ digest: "a" }) ?? 0));
+  scene.watch.take({ ...noCrashReports, trials: [{ digest: "a", ageMs: 0 }] });
+  t.not(scene.watch.getQuarantineMs({ digest: "a" }), undefined);
 });
 
 const asked = { method: "POST", path: "/a/x", accountName: "farm", body: Buffer.from("{}") };
@@ -210,7 +212,7 @@
   scene.complete("i-4", soundRequest);
   await scene.clock.run(12_000);
   for (const id of ids) await scene.lose(id, { request: soundRequest });
-  t.is(scene.watch.getHeldBackMs(soundRequest), undefined);
+  t.is(scene.watch.getQuarantineMs(soundRequest), undefined);
   t.is(scene.told[0]?.clearings[0]?.digest, soundRequest.digest, "told before the crash is counted");
 });
 
@@ -221,8 +223,8 @@
   await scene.clock.run(12_000);
   const suspects: [string, number][] = [[soundRequest.digest, 1]];
   const crashes = ids.map((lifeId) => ({ lifeId, ageMs: 0, suspects }));
-  scene.watch.take({ ...nothingTold, crashes });
-  t.is(scene.watch.getHeldBackMs(soundRequest), undefined);
+  scene.watch.take({ ...noCrashReports, crashes });
+  t.is(scene.watch.getQuarantineMs(soundRequest), undefined);
 });
 
 test("requests that the same crashes speak against are tried one at a time, within seconds, and the sound ones are let go", async (t) => {
@@ -232,7 +234,7 @@
     await Promise.all(digests.map((digest) => scene.lose(id, { request: { digest } })));
     await scene.clock.run(scene.clock.nowMs() + 1_000);
   }
-  const isHeld = (digest: string): boolean => scene.watch.getHeldBackMs({ digest }) !== undefined;
+  const isHeld = (digest: string): boolean => scene.watch.getQuarantineMs({ digest }) !== undefined;
   t.true(digests.every(isHeld));
   await scene.clock.run(scene.clock.nowMs() + 3_000);
   const run = scene.createRun("i-4", { request: { digest: "sound 1" } });
@@ -240,11 +242,11 @@
   scene.watch.begin(run);
   t.true(digests.every(isHeld), "two that are tried at once could crash together");
   scene.watch.end(run);
-  scene.watch.noteOutlived(run.request);
+  scene.watch.noteSurvived(run.request);
   t.false(isHeld("sound 1"));
   t.false(isHeld("sound 2"));
   await scene.lose("i-4", { request: { digest: "crashing" } });
-  t.true((scene.watch.getHeldBackMs({ digest: "crashing" }) ?? 0) > 60_000);
+  t.true((scene.watch.getQuarantineMs({ digest: "crashing" }) ?? 0) > 60_000);
 });
 
 test("a run that ends well right before its endpoint crashes is a suspect, and no proof that its request is sound", async (t) => {
@@ -254,7 +256,7 @@
     await scene.lose(id, { request: { digest: "other" } });
     await scene.clock.run(scene.clock.nowMs() + 1_000);
   }
-  t.not(scene.watch.getHeldBackMs(soundRequest), undefined);
+  t.not(scene.watch.getQuarantineMs(soundRequest), undefined);
 });
 
 test("of a suspect whose run ended well it is asked whether its endpoint lives", async (t) => {
@@ -264,7 +266,7 @@
     scene.complete(id, soundRequest);
     await scene.clock.run(scene.clock.nowMs() + 1_000);
   }
-  t.not(scene.watch.getHeldBackMs(soundRequest), undefined);
+  t.not(scene.watch.getQuarantineMs(soundRequest), undefined);
 });
 
 // Guards against a crashed endpoint that goes on counting as one of those that hold its layers, until the next request meets it.
--- a/packages/gateway/src/tests/crashes/HoldKeeperTests.ts
+++ b/packages/gateway/src/tests/crashes/HoldKeeperTests.ts
@@ -1,25 +1,25 @@
 import test from "ava";
 import { errors, results, utils } from "@shedtiller/common";
 import type { ToldHold } from "@shedtiller/crashes";
-import { HeldRequestStore, type StoredHold } from "../../crashes/HeldRequestStore.js";
+import { QuarantineStore, type StoredQuarantine } from "../../crashes/QuarantineStore.js";
 import { HoldKeeper } from "../../crashes/HoldKeeper.js";
 import type { StoreError } from "../../discovery/ChangeFeed.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { SilentSink } from "../SilentSink.js";
 
-class MemoryStore extends HeldRequestStore {
-  readonly holds = new Map<string, StoredHold>();
+class MemoryStore extends QuarantineStore {
+  readonly holds = new Map<string, StoredQuarantine>();
   isAway = false;
   calls = 0;
 
-  override read(): Promise<results.Result<StoredHold[], StoreError>> {
+  override read(): Promise<results.Result<StoredQuarantine[], StoreError>> {
     return this._answer([...this.holds.values()]);
   }
-  override keep(hold: StoredHold): Promise<results.Result<void, StoreError>> {
+  override add(hold: StoredQuarantine): Promise<results.Result<void, StoreError>> {
     if (!this.isAway) this.holds.set(hold.digest, hold);
     return this._answer(undefined);
   }
-  override drop(digest: string): Promise<results.Result<void, StoreError>> {
+  override remove(digest: string): Promise<results.Result<void, StoreError>> {
     if (!this.isAway) this.holds.delete(digest);
     return this._answer(undefined);
   }
--- a/packages/gateway/src/tests/discovery/EndpointLimitsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointLimitsTests.ts
@@ -3,13 +3,13 @@
 import type { Endpoint } from "../../discovery/Endpoint.js";
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { createEngine } from "../createParts.js";
-import { KeptLines } from "../KeptLines.js";
+import { createEngine } from "../testData.js";
+import { RecordingSink } from "../RecordingSink.js";
 
 class Scene {
   nowMs = 1_000;
   readonly endpoint: Endpoint = createEngine("a", 0, 4);
-  readonly lines = new KeptLines();
+  readonly lines = new RecordingSink();
   readonly limits = new EndpointLimits({
     log: new DecisionLog(this.lines, () => this.nowMs),
     nowMs: () => this.nowMs,
--- a/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
@@ -6,7 +6,7 @@
 import { EndpointTable, type EndpointEvent } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
 import { LifeCheckedOrders } from "../../orders/LifeCheckedOrders.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { FakeEngines } from "../FakeEngines.js";
 
 const layers = [{ start: 0, end: 4 }];
@@ -152,24 +152,24 @@
 test("what an endpoint says of its leaving outlasts its entries, until it starts again", (t) => {
   const { table, events, list } = setUp();
   const lifeId = table.get("a")?.lifeId ?? "";
-  t.true(table.noteLeaving(lifeId));
-  t.false(table.noteLeaving(lifeId));
+  t.true(table.noteDraining(lifeId));
+  t.false(table.noteDraining(lifeId));
   list({ bornAtMs: first, layers });
   t.deepEqual(table.getUsable("engines"), []);
   table.apply([{ key: "a", value: undefined }]);
   list({ bornAtMs: first, layers });
   t.deepEqual(table.getUsable("engines"), []);
-  t.deepEqual(table.getLeavingLives(), [lifeId]);
+  t.deepEqual(table.getDrainingLives(), [lifeId]);
   list({ bornAtMs: second });
   t.is(table.getUsable("engines").length, 1);
-  t.false(table.noteLeaving(lifeId), "a late word of the earlier life");
+  t.false(table.noteDraining(lifeId), "a late word of the earlier life");
   t.is(table.getUsable("engines").length, 1);
   t.deepEqual(events, ["added", "draining", "gone", "added", "restarted", "added"]);
 });
 
 test("an endpoint that leaves before its entry is known gets nothing once it is", (t) => {
   const { table } = setUp();
-  t.true(table.noteLeaving("b"));
+  t.true(table.noteDraining("b"));
   table.apply([{ key: "b", value: createListed("b") }]);
   t.deepEqual(
     table.getUsable("engines").map(({ id }) => id),
--- a/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
@@ -3,14 +3,14 @@
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { EndpointStatements } from "../../discovery/EndpointStatements.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
-import { noStatement, type EndpointStatement } from "../../http/EndpointStatement.js";
+import { emptyStatement, type EndpointStatement } from "../../http/EndpointStatement.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { createListed } from "../createParts.js";
-import { KeptLines } from "../KeptLines.js";
+import { createListed } from "../testData.js";
+import { RecordingSink } from "../RecordingSink.js";
 
 class Scene {
   nowMs = 1_000;
-  readonly lines = new KeptLines();
+  readonly lines = new RecordingSink();
   readonly counted: string[] = [];
   readonly endpoints = new EndpointTable(() => this.nowMs);
   private readonly _log = new DecisionLog(this.lines, () => this.nowMs);
@@ -27,18 +27,18 @@
   }
 
   get restMs(): number {
-    return this.endpoints.get("a")?.rest.getLeftMs(this.nowMs) ?? 0;
+    return this.endpoints.get("a")?.backoff.getLeftMs(this.nowMs) ?? 0;
   }
 
   answer(status: number, said: Partial<EndpointStatement>): void {
     const endpoint = this.endpoints.get("a");
-    const answer = { status, stated: { ...noStatement, ...said }, sentAtMs: this.nowMs };
+    const answer = { status, stated: { ...emptyStatement, ...said }, sentAtMs: this.nowMs };
     if (endpoint !== undefined) this.statements.noteAnswer(endpoint, answer);
   }
 
   report(status: number, said: Partial<EndpointStatement>, lifeId: string): void {
     const target = { id: "a", address: "a:1", lifeId };
-    const answer = { status, stated: { ...noStatement, ...said }, sentAtMs: this.nowMs };
+    const answer = { status, stated: { ...emptyStatement, ...said }, sentAtMs: this.nowMs };
     this.statements.noteOrderAnswer(target, answer);
   }
 }
@@ -61,10 +61,10 @@
 
 test("a time that can't be meant is logged as an error and changes nothing, a very long one is bounded", (t) => {
   const scene = new Scene();
-  scene.answer(503, { comeBack: { kind: "unreadable", text: "-1" } });
+  scene.answer(503, { retryAfter: { kind: "unreadable", text: "-1" } });
   t.is(scene.restMs, 0);
   t.deepEqual(scene.lines.events, ["error endpoint-rest-unreadable"]);
-  scene.answer(503, { comeBack: { kind: "named", afterMs: 80_000_000 } });
+  scene.answer(503, { retryAfter: { kind: "named", afterMs: 80_000_000 } });
   t.is(scene.restMs, 600_000);
 });
 
@@ -85,7 +85,7 @@
 
 test("an unknown header is logged once by its name, and counted each time", (t) => {
   const scene = new Scene();
-  for (let answer = 0; answer < 3; answer++) scene.answer(200, { unknownNames: ["server-mood"] });
+  for (let answer = 0; answer < 3; answer++) scene.answer(200, { unknownHeaderNames: ["server-mood"] });
   t.deepEqual(scene.lines.events, ["warn endpoint-header-unknown"]);
   t.is(scene.counted.length, 3);
 });
--- a/packages/gateway/src/tests/discovery/EndpointTableTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointTableTests.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 
 function setUp(ids: readonly string[]) {
   const clock = { nowMs: 10_000 };
--- a/packages/gateway/src/tests/discovery/EndpointSuspicionsTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
@@ -1,9 +1,9 @@
 /** What an instance saw itself is told to the peers; what an engine says of another one is checked first. */
 import test from "ava";
-import { EndpointSuspicions } from "../../discovery/EndpointSuspicions.js";
+import { FailureDetector } from "../../discovery/FailureDetector.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { FakeEngines } from "../FakeEngines.js";
 import { SilentSink } from "../SilentSink.js";
 
@@ -14,12 +14,12 @@
   endpoints.setAll(new Map([["a", createListed("a", { layers: [{ start: 0, end: 4 }] })]]));
   const orders = new FakeEngines();
   const told: string[] = [];
-  const suspicions = new EndpointSuspicions({
+  const suspicions = new FailureDetector({
     endpoints,
     orders,
     log: new DecisionLog(new SilentSink(), () => 0),
-    tellPeers: (id) => told.push(id),
-    tellLayers: (id, layers) => told.push(`${id} holds ${JSON.stringify(layers)}`),
+    broadcastSuspicion: (id) => told.push(id),
+    broadcastLayers: (id, layers) => told.push(`${id} holds ${JSON.stringify(layers)}`),
     count: () => undefined,
     nowMs: () => nowMs,
   });
--- a/packages/gateway/src/tests/discovery/FailureGuardTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureGuardTests.ts
@@ -6,7 +6,7 @@
 function play(guard: FailureGuard, durationMs: number): number {
   let resets = 0;
   for (let nowMs = 0; nowMs < durationMs; nowMs += 5) {
-    if (guard.isAvoided(nowMs)) continue;
+    if (guard.isOpen(nowMs)) continue;
     guard.noteFailed(nowMs, nowMs + 1);
     resets += 1;
   }
@@ -20,8 +20,8 @@
 test("requests that were lost together count as one, and the endpoint is used again at once", (t) => {
   const guard = new FailureGuard();
   for (let request = 0; request < 20; request++) guard.noteFailed(request, 100 + request);
-  t.true(guard.isAvoided(140));
-  t.false(guard.isAvoided(150));
+  t.true(guard.isOpen(140));
+  t.false(guard.isOpen(150));
 });
 
 test("an answer between two resets makes the second a first one again", (t) => {
@@ -29,9 +29,9 @@
   guard.noteFailed(0, 1);
   guard.noteAnswered();
   guard.noteFailed(100, 101);
-  t.false(guard.isAvoided(160));
+  t.false(guard.isOpen(160));
   guard.noteFailed(200, 201);
-  t.true(guard.isAvoided(600));
+  t.true(guard.isOpen(600));
 });
 
 // Guards against an endpoint that fails at once getting all that comes as soon as it is tried again.
@@ -40,7 +40,7 @@
   guard.noteFailed(0, 1);
   const sendAll = (nowMs: number): number => {
     let sent = 0;
-    for (; sent < 100 && !guard.isOnProbation(nowMs); sent++) guard.noteSent(nowMs);
+    for (; sent < 100 && !guard.isBlocked(nowMs); sent++) guard.noteSent(nowMs);
     return sent;
   };
   t.is(sendAll(60), 1);
--- a/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
+++ b/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
@@ -140,9 +140,9 @@
 test("a read that ends after a told page is taken where it holds more", async (t) => {
   const stop = new AbortController();
   const { feed, follower } = await followTold(stop);
-  follower.takeTold({ fromOffset: 11, nextOffset: 12, changes: undefined }, 0);
+  follower.applyPeerPage({ fromOffset: 11, nextOffset: 12, changes: undefined }, 0);
   await utils.yieldToEvents();
-  follower.takeTold({ fromOffset: 10, nextOffset: 11, changes: [change] }, 0);
+  follower.applyPeerPage({ fromOffset: 10, nextOffset: 11, changes: [change] }, 0);
   t.is(follower.nextOffset, 11);
   await feed.answer(12);
   t.is(follower.nextOffset, 12);
@@ -153,7 +153,7 @@
 test("what is known to exist is read until it has come", async (t) => {
   const stop = new AbortController();
   const { feed, follower } = await followTold(stop);
-  follower.takeTold({ fromOffset: 11, nextOffset: 13, changes: undefined }, 0);
+  follower.applyPeerPage({ fromOffset: 11, nextOffset: 13, changes: undefined }, 0);
   await feed.answer(11);
   t.is(follower.nextOffset, 11);
   await feed.answer(13);
@@ -164,8 +164,8 @@
 test("what came from elsewhere is not read again, and the next told page joins on", async (t) => {
   const stop = new AbortController();
   const { follower } = await followTold(stop);
-  follower.takeAhead(12);
-  follower.takeTold({ fromOffset: 12, nextOffset: 13, changes: [change] }, 0);
+  follower.advanceTo(12);
+  follower.applyPeerPage({ fromOffset: 12, nextOffset: 13, changes: [change] }, 0);
   t.is(follower.nextOffset, 13);
   t.is(follower.getBehindMs(), 0);
   stop.abort();
--- a/packages/gateway/src/tests/http/HttpCallerTests.ts
+++ b/packages/gateway/src/tests/http/HttpClientTests.ts
@@ -3,7 +3,7 @@
 import test from "ava";
 import { errors, utils } from "@shedtiller/common";
 import type { HttpCall } from "../../http/HttpCall.js";
-import { HttpCaller } from "../../http/HttpCaller.js";
+import { HttpClient } from "../../http/HttpClient.js";
 import { readBody } from "../../http/readBody.js";
 
 const maxBytes = 1024;
@@ -45,7 +45,7 @@
       socket.pause();
       socket.write("HTTP/1.1 200 OK\r\n\r\npart of the bo");
     });
-    const caller = new HttpCaller();
+    const caller = new HttpClient();
     const head = await caller.send(createCall(address, isFresh));
     if (head.err) return t.fail(head.val.message);
     const body = readBody(head.val, address, maxBytes, generousMs);
@@ -63,7 +63,7 @@
       sockets.push(socket);
       isConnected.resolve();
     }, true);
-    const caller = new HttpCaller();
+    const caller = new HttpClient();
     const fetched = caller.fetch(createCall(address, isFresh), maxBytes, generousMs);
     await isConnected.promise;
     // After two turns of the event loop the request has arrived. It stays unread, since closing with unread data resets the connection.
@@ -83,7 +83,7 @@
     const { server, address } = await listen((socket) => {
       socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\n\r\nthe whole body"));
     });
-    const caller = new HttpCaller();
+    const caller = new HttpClient();
     const answer = await caller.fetch(createCall(address, isFresh), maxBytes, generousMs);
     t.is(answer.ok ? answer.val.body.toString() : answer.val.code, "the whole body");
     caller.close();
@@ -95,7 +95,7 @@
   const { server, address } = await listen((socket) => {
     socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort"));
   });
-  const caller = new HttpCaller();
+  const caller = new HttpClient();
   const answer = await caller.fetch(createCall(address, true), maxBytes, generousMs);
   t.true(answer.err && answer.val instanceof errors.ConnectionLostError);
   caller.close();
@@ -105,7 +105,7 @@
 test("a refused connection proves that the server received nothing", async (t) => {
   const { server, address } = await listen(() => undefined);
   await new Promise((resolve) => server.close(resolve));
-  const caller = new HttpCaller();
+  const caller = new HttpClient();
   const answer = await caller.fetch(createCall(address, true), maxBytes, generousMs);
   t.true(answer.err && answer.val instanceof errors.NotReachedError);
   caller.close();
@@ -115,7 +115,7 @@
   const { server, address } = await listen((socket) => {
     socket.once("data", () => socket.destroy());
   });
-  const caller = new HttpCaller();
+  const caller = new HttpClient();
   const answer = await caller.fetch(createCall(address, true), maxBytes, generousMs);
   t.true(answer.err && answer.val instanceof errors.ConnectionLostError);
   caller.close();
@@ -131,7 +131,7 @@
     if (connections === 1) socket.once("data", () => socket.write(answer));
     else socket.on("data", () => socket.write(answer));
   });
-  const caller = new HttpCaller();
+  const caller = new HttpClient();
   t.true((await caller.fetch(createCall(address, false), maxBytes, generousMs)).ok);
   const silent = await caller.fetch(
     { ...createCall(address, false), headTimeoutMs: 50 },
--- a/packages/gateway/src/tests/orders/LeaderSeatTests.ts
+++ b/packages/gateway/src/tests/orders/LeadershipTests.ts
@@ -4,7 +4,7 @@
 import type { StoreError } from "../../discovery/ChangeFeed.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { LeaderElection } from "../../orders/LeaderElection.js";
-import { LeaderSeat } from "../../orders/LeaderSeat.js";
+import { Leadership } from "../../orders/Leadership.js";
 import { SilentSink } from "../SilentSink.js";
 
 class ScriptedElection extends LeaderElection {
@@ -25,7 +25,7 @@
   const clock = { nowMs: 0 };
   const candidacy = { mayCampaign: true };
   const election = new ScriptedElection();
-  const seat = new LeaderSeat(election, new DecisionLog(new SilentSink(), () => clock.nowMs), {
+  const seat = new Leadership(election, new DecisionLog(new SilentSink(), () => clock.nowMs), {
     nowMs: () => clock.nowMs,
     mayCampaign: () => candidacy.mayCampaign,
   });
@@ -34,13 +34,13 @@
 
 test("a term ends before the store may give it to another, also when the holder stood still", async (t) => {
   const { clock, seat } = setUp();
-  t.false(seat.isHeld());
+  t.false(seat.isLeader());
   await seat.campaign();
-  t.true(seat.isHeld());
+  t.true(seat.isLeader());
   clock.nowMs = 2_499;
-  t.true(seat.isHeld());
+  t.true(seat.isLeader());
   clock.nowMs = 2_500;
-  t.false(seat.isHeld());
+  t.false(seat.isLeader());
 });
 
 test("a campaign without an answer neither prolongs nor ends the term", async (t) => {
@@ -49,9 +49,9 @@
   election.answer = results.Err(new errors.ConnectionLostError("store"));
   clock.nowMs = 1_000;
   await seat.campaign();
-  t.true(seat.isHeld());
+  t.true(seat.isLeader());
   clock.nowMs = 2_500;
-  t.false(seat.isHeld());
+  t.false(seat.isLeader());
 });
 
 test("an instance that is told that another leads stops at once", async (t) => {
@@ -59,7 +59,7 @@
   await seat.campaign();
   election.answer = results.Ok(false);
   await seat.campaign();
-  t.false(seat.isHeld());
+  t.false(seat.isLeader());
 });
 
 test("an instance that is no candidate any more withdraws once, so that it can't be given an office that it does not take", async (t) => {
@@ -77,6 +77,6 @@
   await seat.campaignIfDue();
   candidacy.mayCampaign = false;
   await seat.campaignIfDue();
-  t.true(seat.isHeld());
+  t.true(seat.isLeader());
   t.is(election.resigned, 0);
 });
--- a/packages/gateway/src/tests/orders/LostEnginesTests.ts
+++ b/packages/gateway/src/tests/orders/LostEnginesTests.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { LostEngines } from "../../orders/LostEngines.js";
-import { createEngine } from "../createParts.js";
+import { createEngine } from "../testData.js";
 import { FakeEngines } from "../FakeEngines.js";
 import { SilentSink } from "../SilentSink.js";
 
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -4,7 +4,7 @@
  */
 import { utils } from "@shedtiller/common";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import { ConfigurationWatch } from "../../configuration/ConfigurationWatch.js";
 import type { GatewayConfiguration } from "../../configuration/gatewayConfiguration.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
@@ -13,9 +13,9 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { PeerExchange } from "../../peers/PeerExchange.js";
 import { peerTopics } from "../../peers/peerMessages.js";
-import { ConfigurationChanges, WholeChanges } from "../../peers/RelayedChanges.js";
+import { ConfigurationChangeCodec, WholeChangeCodec } from "../../peers/ChangeCodec.js";
 import { StoreRelay } from "../../peers/StoreRelay.js";
-import { createConfiguration, createRoute } from "../createParts.js";
+import { createConfiguration, createRoute } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { FleetNetwork } from "./FleetNetwork.js";
 import { SimulatedClock } from "./SimulatedClock.js";
@@ -47,7 +47,7 @@
   readonly name: string;
   readonly availabilityZone: string;
   readonly startedAtMs: number;
-  readonly keeper: ConfigurationKeeper;
+  readonly keeper: ActiveConfiguration;
   readonly inLink: SimulatedLink;
   /** Returns when a version or a newer one came into force; infinite if it did not. */
   readonly getInForceAtMs: (version: number) => number;
@@ -94,7 +94,7 @@
   /** Starts an instance without any state. */
   start(name: string, availabilityZone: string): void {
     const { clock } = this;
-    const keeper = new ConfigurationKeeper(clock.nowMs);
+    const keeper = new ActiveConfiguration(clock.nowMs);
     const history = new ConfigurationHistory(keeper);
     const inLink = new SimulatedLink(clock, linkBytesPerMs);
     const processor = new SimulatedLink(clock, 1);
@@ -115,11 +115,11 @@
     const endpointFeed = new UnchangedFeed<ListedEndpoint>(clock, isCutOff);
     const endpointWatch = new EndpointWatch(new EndpointTable(), endpointFeed, log, time);
     const relay = new StoreRelay({ membership, log, nowMs: clock.nowMs });
-    relay.add(peerTopics.configurationRead, watch.follower, new ConfigurationChanges(history));
-    relay.add(peerTopics.endpointsRead, endpointWatch.follower, new WholeChanges(listedEndpointSchema));
+    relay.add(peerTopics.configurationRead, watch.follower, new ConfigurationChangeCodec(history));
+    relay.add(peerTopics.endpointsRead, endpointWatch.follower, new WholeChangeCodec(listedEndpointSchema));
     const exchange = this._createExchange(membership, keeper, history, watch, log);
     keeper.onChanged(({ version }) => {
-      if (relay.isReader) exchange.tellVersion(version);
+      if (relay.isReader) exchange.broadcastVersion(version);
     });
     const stop = new AbortController();
     void watch.run(stop.signal);
@@ -132,21 +132,21 @@
 
   private _createExchange(
     membership: ReturnType<FleetNetwork["join"]>,
-    keeper: ConfigurationKeeper,
+    keeper: ActiveConfiguration,
     history: ConfigurationHistory,
     watch: ConfigurationWatch,
     log: DecisionLog,
   ): PeerExchange {
     return new PeerExchange({
       membership,
-      keeper,
+      activeConfiguration: keeper,
       endpoints: new EndpointTable(),
       log,
       getListAgeMs: () => 0,
       history,
       getBehindMs: () => watch.follower.getBehindMs(),
       getOffset: () => watch.follower.nextOffset,
-      takeAhead: (nextOffset) => watch.follower.takeAhead(nextOffset),
+      takeAhead: (nextOffset) => watch.follower.advanceTo(nextOffset),
       getListOffset: () => 0,
       takeList: () => undefined,
       isRegistryReached: () => true,
--- a/packages/gateway/src/tests/patterns/CrashingFleet.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleet.ts
@@ -5,13 +5,13 @@
  */
 import { results, utils } from "@shedtiller/common";
 import { pickContacts, type NoticeHandler, type PeerIdentity } from "@shedtiller/membership";
-import { CrashGuard } from "../../crashes/CrashGuard.js";
-import { HeldRequestStore, type StoredHold } from "../../crashes/HeldRequestStore.js";
-import type { WatchedRun } from "../../crashes/CrashWatch.js";
+import { RequestQuarantine } from "../../crashes/RequestQuarantine.js";
+import { QuarantineStore, type StoredQuarantine } from "../../crashes/QuarantineStore.js";
+import type { TrackedRun } from "../../crashes/CrashDetector.js";
 import { Endpoint } from "../../discovery/Endpoint.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { toMember } from "../peers/toMember.js";
 import { SilentSink } from "../SilentSink.js";
 import type { SimulatedClock } from "./SimulatedClock.js";
@@ -46,7 +46,7 @@
 export type SentEnd = "served" | "held-back" | "lost";
 
 interface EngineRun {
-  readonly watched: { -readonly [K in keyof WatchedRun]: WatchedRun[K] };
+  readonly watched: { -readonly [K in keyof TrackedRun]: TrackedRun[K] };
   readonly instance: SimulatedInstance;
   readonly lost: utils.Deferred<"served" | "lost">;
 }
@@ -59,19 +59,19 @@
 
 interface SimulatedInstance {
   readonly identity: PeerIdentity;
-  readonly guard: CrashGuard;
+  readonly guard: RequestQuarantine;
   readonly handlers: Map<string, NoticeHandler>;
   readonly linkedListeners: ((peer: PeerIdentity) => void)[];
 }
 
-class NoStore extends HeldRequestStore {
-  override read(): Promise<results.Result<StoredHold[], never>> {
+class NoStore extends QuarantineStore {
+  override read(): Promise<results.Result<StoredQuarantine[], never>> {
     return Promise.resolve(results.Ok([]));
   }
-  override keep(): Promise<results.Result<void, never>> {
+  override add(): Promise<results.Result<void, never>> {
     return Promise.resolve(results.Ok(undefined));
   }
-  override drop(): Promise<results.Result<void, never>> {
+  override remove(): Promise<results.Result<void, never>> {
     return Promise.resolve(results.Ok(undefined));
   }
 }
@@ -126,7 +126,7 @@
 
   /** Whether an instance holds a request back, or will but for one trial. */
   isHeldAt(index: number, digest: string): boolean {
-    const standing = this._instances[index]?.guard.watch.ledger.getStanding(digest);
+    const standing = this._instances[index]?.guard.detector.ledger.getStanding(digest);
     return standing === "held" || standing === "due-for-trial";
   }
 
@@ -137,11 +137,11 @@
   ): Promise<SentEnd> {
     const instance = this._instances[index];
     if (instance === undefined) return "lost";
-    const { watch } = instance.guard;
+    const { detector: watch } = instance.guard;
     for (let attempt = 1; attempt <= maxAttempts; attempt++) {
       await watch.waitForTurn(request);
-      if (watch.getHeldBackMs(request) !== undefined) return "held-back";
-      const engine = this._pickEngine(watch.getShunned(request));
+      if (watch.getQuarantineMs(request) !== undefined) return "held-back";
+      const engine = this._pickEngine(watch.getAvoidedEndpointIds(request));
       if (engine === undefined) return "lost";
       if ((await this._run(request, instance, engine)) === "served") return "served";
     }
@@ -169,7 +169,7 @@
       firstEventAtMs: undefined,
     };
     const run: EngineRun = { watched, instance, lost: new utils.Deferred() };
-    const { watch } = instance.guard;
+    const { detector: watch } = instance.guard;
     if (request.isCrashing) this.arrivalsAtMs.push(this._clock.nowMs());
     watch.begin(watched);
     engine.runs.add(run);
@@ -179,7 +179,7 @@
     watch.end(watched);
     const asked = { method: "POST", path: request.digest, accountName: undefined, body: Buffer.alloc(0) };
     if (end === "served")
-      watch.noteCompleted("streaming", { digest: request.digest, asked }, watched, engine.endpoint);
+      watch.noteCompleted("streaming", { digest: request.digest, identity: asked }, watched, engine.endpoint);
     return end;
   }
 
@@ -220,7 +220,7 @@
     const runs = [...engine.runs];
     engine.runs.clear();
     for (const { instance, watched, lost } of runs) {
-      void instance.guard.watch.noteLost(watched, endpoint);
+      void instance.guard.detector.noteLost(watched, endpoint);
       lost.resolve("lost");
     }
     this._clock.at(this._clock.nowMs() + entryGoesAfterMs, () => this._listEngines());
@@ -252,7 +252,7 @@
   private _createInstance(identity: PeerIdentity): SimulatedInstance {
     const handlers = new Map<string, NoticeHandler>();
     const linkedListeners: ((peer: PeerIdentity) => void)[] = [];
-    const guard = new CrashGuard({
+    const guard = new RequestQuarantine({
       membership: {
         self: identity,
         getLinked: () => this._getPeers(instance).map((peer) => toMember(peer.identity)),
@@ -273,7 +273,7 @@
       pause: this._clock.sleep,
     });
     const instance: SimulatedInstance = { identity, guard, handlers, linkedListeners };
-    guard.watch.ledger.onHold((digest, hold) => {
+    guard.detector.ledger.onQuarantineChanged((digest, hold) => {
       if (hold !== undefined) this.held.add(digest);
     });
     return instance;
--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -55,7 +55,7 @@
     this._clearLinks();
     return {
       self,
-      getDutyCandidates: () => {
+      getZoneRoleCandidates: () => {
         const inZone = this._getLinked(self).filter(
           (peer) => peer.availabilityZone === self.availabilityZone,
         );
--- a/packages/gateway/src/tests/patterns/LimitedFleet.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleet.ts
@@ -16,12 +16,12 @@
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { StatedLimit } from "../../http/EndpointStatement.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { LimitNews } from "../../peers/LimitNews.js";
+import { LimitBroadcast } from "../../peers/LimitBroadcast.js";
 import { LoadExchange } from "../../peers/LoadExchange.js";
 import { PermitExchange, permitTickMs } from "../../peers/PermitExchange.js";
 import { pickPlainEndpoint } from "../../requests/pickPlainEndpoint.js";
 import { RequestDemand } from "../../requests/RequestDemand.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { toMember } from "../peers/toMember.js";
 import { SilentSink } from "../SilentSink.js";
 import type { SimulatedClock } from "./SimulatedClock.js";
@@ -158,7 +158,7 @@
     const loads = new LoadExchange({ membership, endpoints, log, nowMs });
     const getInstanceCount = (): number => this._options.instances;
     const random = (): number => this._random.nextUnit();
-    new LimitNews({ membership, endpoints, limits, log, nowMs, random });
+    new LimitBroadcast({ membership, endpoints, limits, log, nowMs, random });
     const permits = new PermitExchange({
       membership,
       endpoints,
@@ -174,7 +174,7 @@
     const instance: Instance = { identity, ...parts, isStopped: false };
     demand.addQueue(() => waiting.length);
     demand.onPermits(() => this._serveWaiting(instance));
-    this._repeat(instance, loadTickMs, () => loads.tell());
+    this._repeat(instance, loadTickMs, () => loads.sendDue());
     this._repeat(instance, permitTickMs, () => void permits.tick());
     return instance;
   }
@@ -192,11 +192,11 @@
     self: PeerIdentity,
     handlers: Pick<Instance, "notices" | "requests" | "linkedListeners">,
   ): ConstructorParameters<typeof LoadExchange>[0]["membership"] &
-    ConstructorParameters<typeof LimitNews>[0]["membership"] &
+    ConstructorParameters<typeof LimitBroadcast>[0]["membership"] &
     ConstructorParameters<typeof PermitExchange>[0]["membership"] {
     return {
       self,
-      getDutyCandidates: () => {
+      getZoneRoleCandidates: () => {
         const inZone = this._getLinked(self).filter(
           (peer) => peer.availabilityZone === self.availabilityZone,
         );
--- a/packages/gateway/src/tests/patterns/ManyChoosers.ts
+++ b/packages/gateway/src/tests/patterns/ManyChoosers.ts
@@ -19,7 +19,7 @@
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
 import { subtract } from "../../peers/endpointLoads.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 
 /** Each instance tells its load this often, and the collector tells the sum as often: what is known is one to two of these old. */
 const tellIntervalMs = 200;
@@ -125,9 +125,9 @@
       const others = subtract(this._told, this._toldOwn[index] ?? new Map());
       view.setPeerLoads("collected", others);
     }
-    this._told = new Map(this._truth.getAll().map((endpoint) => [endpoint.id, endpoint.own]));
+    this._told = new Map(this._truth.getAll().map((endpoint) => [endpoint.id, endpoint.ownLoad]));
     this._toldOwn = this._views.map(
-      (view) => new Map(view.getAll().map((endpoint) => [endpoint.id, endpoint.own])),
+      (view) => new Map(view.getAll().map((endpoint) => [endpoint.id, endpoint.ownLoad])),
     );
   }
 
@@ -152,7 +152,7 @@
       const endpoint = this._truth.get(endpointId);
       if (endpoint === undefined) return true;
       const roomTokenLayers = getCapacityTokenLayers(endpoint, profile);
-      return endpoint.own.tokenLayers + tokens * (end - start) > roomTokenLayers;
+      return endpoint.ownLoad.tokenLayers + tokens * (end - start) > roomTokenLayers;
     });
     if (full !== undefined) {
       if (isCounted) this._counts.refused += 1;
@@ -187,7 +187,7 @@
   private _isCrowded(endpointId: string): boolean {
     const endpoint = this._truth.get(endpointId);
     if (endpoint === undefined) return false;
-    return endpoint.own.requests > crowdedShare * getUnqueuedRequests(endpoint, this._options.profile);
+    return endpoint.ownLoad.requests > crowdedShare * getUnqueuedRequests(endpoint, this._options.profile);
   }
 
   private _getTimes(
@@ -203,7 +203,7 @@
       const kind = endpoint === undefined ? undefined : getKind(endpoint, profile);
       if (endpoint === undefined || kind === undefined) continue;
       const share = (end - start) / profile.layerCount;
-      tokenMs += hopMs + share * getStepMs(profile, endpoint.own.requests, tokens) * kind.stepFactor;
+      tokenMs += hopMs + share * getStepMs(profile, endpoint.ownLoad.requests, tokens) * kind.stepFactor;
       const readMs = (promptTokens / profile.prefillTokensPerSecond) * utils.msPerSecond;
       prefillMs += share * readMs * kind.prefillFactor;
     }
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -2,10 +2,10 @@
 import test from "ava";
 import { utils } from "@shedtiller/common";
 import { ConfigurationHistory } from "../../configuration/ConfigurationHistory.js";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { ConfigurationExchange } from "../../peers/ConfigurationExchange.js";
-import { createConfiguration, createRoute } from "../createParts.js";
+import { createConfiguration, createRoute } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
@@ -18,19 +18,19 @@
   readonly network = new PeerNetwork();
   nowMs = longMs;
 
-  join(name: string): { keeper: ConfigurationKeeper; exchange: ConfigurationExchange; ahead: number[] } {
+  join(name: string): { keeper: ActiveConfiguration; exchange: ConfigurationExchange; ahead: number[] } {
     const nowMs = (): number => this.nowMs;
-    const keeper = new ConfigurationKeeper(nowMs);
+    const keeper = new ActiveConfiguration(nowMs);
     const ahead: number[] = [];
     const exchange = new ConfigurationExchange({
       membership: this.network.join({ name, availabilityZone: "east" }),
-      keeper,
+      activeConfiguration: keeper,
       history: new ConfigurationHistory(keeper),
       log: new DecisionLog(new SilentSink(), nowMs),
       getBehindMs: () => 0,
       getOffset: () => 7,
       takeAhead: (nextOffset) => void ahead.push(nextOffset),
-      tellZone: () => undefined,
+      broadcastToZone: () => undefined,
       nowMs,
       pause: utils.yieldToEvents,
       random: () => 0,
@@ -53,11 +53,11 @@
   const older = fleet.join("b");
   for (const { keeper } of [newer, older]) keeper.accept(createConfiguration(1));
   newer.keeper.accept(createConfiguration(2, routes));
-  newer.keeper.confirm(2, fleet.nowMs);
+  newer.keeper.confirmFreshness(2, fleet.nowMs);
   await older.exchange.ask("a");
   t.is(older.keeper.version, 2);
   t.truthy(older.keeper.table?.getRoute("notes.example", "/b/x"));
-  t.is(older.keeper.getProofAgeMs(), 0);
+  t.is(older.keeper.getFreshnessAgeMs(), 0);
   t.deepEqual(older.ahead, [7]);
   t.is(fleet.network.sent.get("whole-configuration"), undefined);
 });
--- a/packages/gateway/src/tests/peers/LeavingNewsTests.ts
+++ b/packages/gateway/src/tests/peers/DrainingBroadcastTests.ts
@@ -3,10 +3,10 @@
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { EndpointStatements } from "../../discovery/EndpointStatements.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
-import { noStatement } from "../../http/EndpointStatement.js";
+import { emptyStatement } from "../../http/EndpointStatement.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { LeavingNews } from "../../peers/LeavingNews.js";
-import { createListed } from "../createParts.js";
+import { DrainingBroadcast } from "../../peers/DrainingBroadcast.js";
+import { createListed } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
@@ -23,7 +23,7 @@
   endpoints.setAll(new Map([["a", createListed("a")]]));
   const statements = new EndpointStatements({ endpoints, limits: new EndpointLimits({ log }), log });
   const membership = network.join({ name, availabilityZone });
-  new LeavingNews({ membership, endpoints, statements, log, random: () => 0 });
+  new DrainingBroadcast({ membership, endpoints, statements, log, random: () => 0 });
   return { endpoints, statements };
 }
 
@@ -33,7 +33,7 @@
   const instances = zones.map((zone, index) => createInstance(network, `i${index}`, zone));
   const [told] = instances;
   const endpoint = told?.endpoints.get("a");
-  const stated = { ...noStatement, isLeaving: true };
+  const stated = { ...emptyStatement, isLeaving: true };
   if (endpoint !== undefined)
     for (let answer = 0; answer < 3; answer++)
       told?.statements.noteAnswer(endpoint, { status: 200, stated, sentAtMs: 0 });
--- a/packages/gateway/src/tests/peers/LoadExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/LoadExchangeTests.ts
@@ -3,7 +3,7 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { LoadExchange } from "../../peers/LoadExchange.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
@@ -36,7 +36,7 @@
   run(ticks: number, isSkipped: (name: string) => boolean = () => false): void {
     for (let tick = 0; tick < ticks; tick++) {
       this._nowMs += tickMs;
-      for (const { name, exchange } of this.instances) if (!isSkipped(name)) exchange.tell();
+      for (const { name, exchange } of this.instances) if (!isSkipped(name)) exchange.sendDue();
     }
   }
 
@@ -140,8 +140,8 @@
     for (const name of zone) if (name !== sleeper) fleet.network.silence(name);
     fleet.run(20, (name) => name === sleeper);
     for (const name of zone) fleet.network.restore(name);
-    fleet.get(sleeper).exchange.noteOwnPause(20 * 200);
-    fleet.get(sleeper).exchange.tell();
+    fleet.get(sleeper).exchange.noteSuspension(20 * 200);
+    fleet.get(sleeper).exchange.sendDue();
     t.is(fleet.getRequests(sleeper), before, sleeper);
     fleet.run(60);
     t.is(fleet.getCollectors(zone).length, 1);
--- a/packages/gateway/src/tests/peers/PeerNetwork.ts
+++ b/packages/gateway/src/tests/peers/PeerNetwork.ts
@@ -29,7 +29,7 @@
       this._peers.filter((peer) => peer.name !== self.name && !this._gone.has(peer.name));
     return {
       self,
-      getDutyCandidates: () => {
+      getZoneRoleCandidates: () => {
         const inZone = getOthers().filter((peer) => peer.availabilityZone === self.availabilityZone);
         return [...inZone.map((peer) => peer.name), self.name];
       },
--- a/packages/gateway/src/tests/peers/PermitExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PermitExchangeTests.ts
@@ -1,12 +1,12 @@
 /** When an instance asks for permits, and what it says. */
 import test from "ava";
-import type { PermitAsk } from "@shedtiller/admission";
+import type { PermitRequest } from "@shedtiller/admission";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { PermitExchange } from "../../peers/PermitExchange.js";
 import { peerTopics } from "../../peers/peerMessages.js";
 import { RequestDemand } from "../../requests/RequestDemand.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
@@ -14,7 +14,7 @@
 
 class Scene {
   nowMs = 10_000;
-  readonly asks: PermitAsk[] = [];
+  readonly asks: PermitRequest[] = [];
   readonly endpoints = new EndpointTable(() => this.nowMs);
   readonly demand = new RequestDemand(() => this.nowMs);
   readonly exchange: PermitExchange;
@@ -23,7 +23,7 @@
     const network = new PeerNetwork();
     const holder = network.join({ name: "holder", ...east });
     holder.onRequest(peerTopics.permits, (body) => {
-      this.asks.push(body as PermitAsk);
+      this.asks.push(body as PermitRequest);
       return [{ key: "engine", count: 2 }];
     });
     this.endpoints.setAll(new Map([["engine", createListed("engine", { service: "records" })]]));
--- a/packages/gateway/src/tests/peers/StoreRelayTests.ts
+++ b/packages/gateway/src/tests/peers/StoreRelayTests.ts
@@ -11,9 +11,9 @@
 import { FeedFollower } from "../../discovery/FeedFollower.js";
 import { listedEndpointSchema, type ListedEndpoint } from "../../discovery/ListedEndpoint.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { WholeChanges } from "../../peers/RelayedChanges.js";
+import { WholeChangeCodec } from "../../peers/ChangeCodec.js";
 import { StoreRelay } from "../../peers/StoreRelay.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
@@ -123,7 +123,7 @@
     const follower = new FeedFollower(feed, listener, options);
     const membership = this.network.join({ name, availabilityZone: "east" });
     const relay = new StoreRelay({ membership, log: new DecisionLog(new SilentSink(), nowMs), nowMs });
-    relay.add(topic, follower, new WholeChanges(listedEndpointSchema));
+    relay.add(topic, follower, new WholeChangeCodec(listedEndpointSchema));
     this.instances.set(name, { known, follower, relay, regained: 0 });
     void follower.run(this._stop.signal);
   }
@@ -138,7 +138,7 @@
   await zone.run(2);
   for (const name of names) {
     t.true(zone.get(name).known.has("x"), name);
-    t.true(zone.get(name).follower.getProofAgeMs() <= tickMs, name);
+    t.true(zone.get(name).follower.getFreshnessAgeMs() <= tickMs, name);
   }
   t.deepEqual([...zone.store.reads.keys()], zone.getReaders());
   zone.stop();
@@ -181,11 +181,11 @@
   for (let tick = 0; tick < 24; tick++) {
     await zone.run(1);
     for (const name of names.filter((other) => other !== reader))
-      oldestMs = Math.max(oldestMs, zone.get(name).follower.getProofAgeMs());
+      oldestMs = Math.max(oldestMs, zone.get(name).follower.getFreshnessAgeMs());
   }
   t.true(oldestMs < boundMs, `${oldestMs} ms`);
   t.notDeepEqual(zone.getReaders(), [reader]);
-  for (const name of names) t.true(zone.get(name).follower.getProofAgeMs() <= 2 * tickMs, name);
+  for (const name of names) t.true(zone.get(name).follower.getFreshnessAgeMs() <= 2 * tickMs, name);
   zone.stop();
 });
 
@@ -223,7 +223,7 @@
   await zone.run(30, isAsleep);
   zone.network.restore(sleeper);
   await zone.run(1, isAsleep);
-  t.true(zone.get(sleeper).follower.getProofAgeMs() >= 29 * tickMs, "read before its own first tick");
+  t.true(zone.get(sleeper).follower.getFreshnessAgeMs() >= 29 * tickMs, "read before its own first tick");
   await zone.run(4);
-  t.true(zone.get(sleeper).follower.getProofAgeMs() <= 2 * tickMs);
+  t.true(zone.get(sleeper).follower.getFreshnessAgeMs() <= 2 * tickMs);
 });
--- a/packages/gateway/src/tests/requests/EventSplitterTests.ts
+++ b/packages/gateway/src/tests/requests/EventSplitterTests.ts
@@ -19,7 +19,7 @@
       lastId = events.lastId ?? lastId;
     }
     const areComplete = chunks.every((chunk) => /(\n\n|\r\n\r\n)$/.test(chunk));
-    return areComplete && chunks.join("") === text && lastId === "3" && !splitter.hasRest;
+    return areComplete && chunks.join("") === text && lastId === "3" && !splitter.hasPartialEvent;
   });
   t.notThrows(() => fc.assert(property, { seed: 11, numRuns: 300 }));
 });
@@ -29,5 +29,5 @@
   const events = splitter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"));
   t.is(events?.bytes.toString(), "id: 1\ndata: a\n\n");
   t.is(events?.lastId, "1");
-  t.true(splitter.hasRest);
+  t.true(splitter.hasPartialEvent);
 });
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -4,17 +4,17 @@
 import { results, utils } from "@shedtiller/common";
 import { ChainAdmission } from "../../chains/ChainAdmission.js";
 import { ChainChooser } from "../../chains/ChainChooser.js";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
-import { DenialProof } from "../../configuration/DenialProof.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
+import { DenialFreshness } from "../../configuration/DenialFreshness.js";
 import type { Route } from "../../configuration/gatewayConfiguration.js";
-import { CrashWatch } from "../../crashes/CrashWatch.js";
+import { CrashDetector } from "../../crashes/CrashDetector.js";
 import { probeConnection } from "@shedtiller/crashes";
 import { EndpointStatements } from "../../discovery/EndpointStatements.js";
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
-import { noStatement, type StatedLimit, type StatedReturn } from "../../http/EndpointStatement.js";
-import { HttpCaller } from "../../http/HttpCaller.js";
+import { emptyStatement, type StatedLimit, type StatedRetryAfter } from "../../http/EndpointStatement.js";
+import { HttpClient } from "../../http/HttpClient.js";
 import {
   MessageCodec,
   type AnswerFields,
@@ -36,7 +36,7 @@
 import { RetryBudgets } from "../../requests/RetryBudgets.js";
 import { StallMonitor } from "../../requests/StallMonitor.js";
 import { StreamForwarder } from "../../requests/StreamForwarder.js";
-import { createConfiguration, createListed, profile } from "../createParts.js";
+import { createConfiguration, createListed, profile } from "../testData.js";
 import { createPermitParts } from "../createPermitParts.js";
 import { SilentSink } from "../SilentSink.js";
 
@@ -47,7 +47,7 @@
   return text === undefined ? { kind: "none" } : { kind: "named", perSecond: Number(text) };
 }
 
-function decodeReturn(text: string | undefined): StatedReturn {
+function decodeReturn(text: string | undefined): StatedRetryAfter {
   return text === undefined ? { kind: "none" } : { kind: "named", afterMs: Number(text) };
 }
 
@@ -77,10 +77,10 @@
       faultyAddress: undefined,
       isEncoded: false,
       stated: {
-        ...noStatement,
+        ...emptyStatement,
         limit: decodeLimit(lookUp(headers, "x-limit")),
-        comeBack: decodeReturn(lookUp(headers, "x-rest-ms")),
-        isLeaving: lookUp(headers, "x-leaving") !== undefined,
+        retryAfter: decodeReturn(lookUp(headers, "x-rest-ms")),
+        isDraining: lookUp(headers, "x-leaving") !== undefined,
       },
     };
   }
@@ -129,7 +129,7 @@
 
 /** The request path of one gateway. */
 export class GatewayFixture {
-  readonly keeper = new ConfigurationKeeper();
+  readonly keeper = new ActiveConfiguration();
   readonly endpoints = new EndpointTable();
   areKeysFresh = true;
   /** The clock of quarantines. It advances only when a test sets it, so that the speed of a test does not affect its result. */
@@ -137,7 +137,7 @@
   /** Time since which a newer configuration is known to exist. */
   behindMs = 0;
   private readonly _servers: http.Server[] = [];
-  private readonly _caller = new HttpCaller();
+  private readonly _caller = new HttpClient();
   private _listener: CallerListener | undefined;
   private _port = 0;
 
@@ -151,7 +151,7 @@
   async listen(route: Route): Promise<void> {
     const log = new DecisionLog(new SilentSink(), utils.monotonicMs);
     const budgets = new RetryBudgets({ ratio: 1, slack: 1_000, windowMs: 10_000 });
-    budgets.setInstances(1);
+    budgets.setInstanceCount(1);
     const codec = new TestCodec();
     const permits = createPermitParts(this.endpoints);
     const context = {
@@ -167,11 +167,11 @@
         noteNamed: async (id: string) => void this.endpoints.suspect(id),
         noteNotHeld: () => Promise.resolve(),
       },
-      crashes: new CrashWatch({
+      crashes: new CrashDetector({
         endpoints: this.endpoints,
         log,
         probe: probeConnection,
-        tell: () => undefined,
+        broadcast: () => undefined,
         getTrialRank: () => 0,
         nowMs: () => this.crashClockMs,
       }),
@@ -208,17 +208,17 @@
     this._listener = new CallerListener({
       host: "127.0.0.1",
       port: this._port,
-      keeper,
+      activeConfiguration: keeper,
       codec,
       log,
       areKeysFresh,
-      denials: new DenialProof({
-        keeper,
+      denialFreshness: new DenialFreshness({
+        activeConfiguration: keeper,
         getBehindMs: () => this.behindMs,
         getDeadlineMs: () => generousMs,
       }),
       forward,
-      startPatienceMs: generousMs,
+      startupTimeoutMs: generousMs,
     });
     await this._listener.listen();
   }
@@ -227,12 +227,12 @@
   configure(route: Route): void {
     const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
     this.keeper.accept({ ...createConfiguration(this.keeper.version + 1, [route]), services });
-    this.keeper.confirm(this.keeper.version, utils.monotonicMs());
+    this.keeper.confirmFreshness(this.keeper.version, utils.monotonicMs());
   }
 
   /** Resolves once a request is in flight. */
   async waitForRequest(): Promise<void> {
-    await utils.waitUntil(() => (this._listener?.inHand ?? 0) > 0, generousMs);
+    await utils.waitUntil(() => (this._listener?.inFlight ?? 0) > 0, generousMs);
   }
 
   /** Adds endpoints that are listed in this order; an undefined handler stands for a closed port. */
@@ -251,7 +251,7 @@
 
   /** Announces that the process stops after `remainingMs`. */
   stopAfter(remainingMs: number): void {
-    this._listener?.refuseLasting(utils.monotonicMs() + remainingMs);
+    this._listener?.setStopDeadline(utils.monotonicMs() + remainingMs);
   }
 
   /** Sends a request as a caller. */
--- a/packages/gateway/src/tests/requests/PermitForecastTests.ts
+++ b/packages/gateway/src/tests/requests/PermitForecastTests.ts
@@ -3,7 +3,7 @@
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { PermitForecast } from "../../requests/PermitForecast.js";
 import { RequestDemand } from "../../requests/RequestDemand.js";
-import { createListed } from "../createParts.js";
+import { createListed } from "../testData.js";
 
 const service = "records";
 
@@ -24,7 +24,8 @@
   endpoints.setAll(
     new Map(ids.map((id, index) => [id, createListed(id, { service, layers: toSpans(index) })])),
   );
-  for (const [index, backoffMs] of untilMs.entries()) endpoints.getAll()[index]?.rest.note(backoffMs, 0);
+  for (const [index, backoffMs] of untilMs.entries())
+    endpoints.getAll()[index]?.backoff.extendTo(backoffMs, 0);
   const demand = new RequestDemand(() => 0);
   const getInstanceCount = (): number => 8;
   return new PermitForecast({ endpoints, demand, getInstanceCount, nowMs: () => 0, random: () => 0.5 });
--- a/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
+++ b/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
@@ -13,7 +13,7 @@
 
 function create(instances: number): RetryBudgets {
   const budgets = new RetryBudgets(options, () => 0);
-  budgets.setInstances(instances);
+  budgets.setInstanceCount(instances);
   return budgets;
 }
 
@@ -35,13 +35,13 @@
 test("a change in the number of instances does not renew the budget", (t) => {
   const budgets = create(8);
   exhaust(budgets);
-  budgets.setInstances(4);
+  budgets.setInstanceCount(4);
   t.is(exhaust(budgets), 0);
 });
 
 test("an instance of a large fleet can retry its first request", (t) => {
   const budgets = new RetryBudgets({ ...options, slack: 354 }, () => 0);
-  budgets.setInstances(85);
+  budgets.setInstanceCount(85);
   budgets.recordRequest("s");
   t.true(budgets.tryTake("s"));
 });
@@ -53,7 +53,7 @@
     for (let instance = 0; instance < instances; instance++) {
       clock.nowMs = 0;
       const before = new RetryBudgets(options, () => clock.nowMs);
-      before.setInstances(instances);
+      before.setInstanceCount(instances);
       before.recordRequest("s");
       // The instance uses no retries until the window begins.
       clock.nowMs = 10 * options.windowMs;
@@ -61,7 +61,7 @@
       clock.nowMs += options.windowMs / 2;
       retries += exhaust(before);
       const after = new RetryBudgets(options, () => clock.nowMs);
-      after.setInstances(instances);
+      after.setInstanceCount(instances);
       after.recordRequest("s");
       clock.nowMs += options.windowMs / 2;
       retries += exhaust(after);
@@ -73,7 +73,7 @@
 test("an instance of a large fleet may use its share of a window at once, since engines reject requests in bursts", (t) => {
   const clock = { nowMs: 0 };
   const budgets = new RetryBudgets({ ...options, slack: 574 }, () => clock.nowMs);
-  budgets.setInstances(195);
+  budgets.setInstanceCount(195);
   // 1.2 requests per second for one window allow 0.18 times 12 retries, plus half of 574 / 195.
   for (; clock.nowMs < options.windowMs; clock.nowMs += 833) budgets.recordRequest("s");
   t.is(exhaust(budgets), 3);
@@ -84,9 +84,9 @@
 test("the shares of instances that left are redistributed only after a window", (t) => {
   const clock = { nowMs: 0 };
   const budgets = new RetryBudgets(options, () => clock.nowMs);
-  budgets.setInstances(8);
+  budgets.setInstanceCount(8);
   t.is(exhaust(budgets), 12);
-  budgets.setInstances(4);
+  budgets.setInstanceCount(4);
   clock.nowMs += options.windowMs * 0.9;
   t.is(exhaust(budgets), 0);
   clock.nowMs += options.windowMs;
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -6,11 +6,11 @@
 import { ChainChooser } from "../../chains/ChainChooser.js";
 import { getCapacityTokenLayers } from "../../chains/engineModel.js";
 import { ChainReservation } from "../../chains/ChainReservation.js";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
-import { CrashWatch } from "../../crashes/CrashWatch.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
+import { CrashDetector } from "../../crashes/CrashDetector.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
-import { HttpCaller } from "../../http/HttpCaller.js";
+import { HttpClient } from "../../http/HttpClient.js";
 import type { ChainStage, MessageCodec } from "../../http/MessageCodec.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { OrderRefusedError } from "../../orders/EngineOrders.js";
@@ -19,7 +19,7 @@
 import { StallMonitor } from "../../requests/StallMonitor.js";
 import { StreamAttempt } from "../../requests/StreamAttempt.js";
 import { StreamProgress } from "../../requests/StreamProgress.js";
-import { createConfiguration, createListed, createRoute, profile } from "../createParts.js";
+import { createConfiguration, createListed, createRoute, profile } from "../testData.js";
 import { createPermitParts } from "../createPermitParts.js";
 import { FakeEngines } from "../FakeEngines.js";
 import { SilentSink } from "../SilentSink.js";
@@ -54,7 +54,7 @@
     createListed(id, { layers: [{ start, end }], address: `${id}:1` }),
   ];
   endpoints.setAll(new Map([listed("a", 0, 2), listed("b", 2, 4), listed("c", 2, 4), listed("d", 2, 4)]));
-  const keeper = new ConfigurationKeeper();
+  const keeper = new ActiveConfiguration();
   const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
   keeper.accept({ ...createConfiguration(1), services });
   const orders = new FakeEngines();
@@ -63,7 +63,7 @@
   const context = {
     keeper,
     endpoints,
-    caller: new HttpCaller(),
+    caller: new HttpClient(),
     codec: {} as MessageCodec,
     budgets: new RetryBudgets({ ratio: 1, slack: 10, windowMs: 10_000 }),
     log: new DecisionLog(new SilentSink(), () => 0),
@@ -73,11 +73,11 @@
       noteNamed: async (id: string) => void endpoints.suspect(id),
       noteNotHeld: () => Promise.resolve(),
     },
-    crashes: new CrashWatch({
+    crashes: new CrashDetector({
       endpoints,
       log: new DecisionLog(new SilentSink(), () => 0),
       probe: () => Promise.resolve("open"),
-      tell: () => undefined,
+      broadcast: () => undefined,
       getTrialRank: () => 0,
     }),
     ...createPermitParts(endpoints),
@@ -98,7 +98,7 @@
   const reservation = new ChainReservation(endpoints, [stage("a", 0, 2), stage("b", 2, 4)], 4);
   const attempt = new StreamAttempt(createRequest(), "engines", reservation, new StreamProgress(undefined));
   attempt.firstEventMs = 50;
-  attempt.lastSignAtMs = clock.nowMs - 400;
+  attempt.lastActivityAtMs = clock.nowMs - 400;
   monitor.add(attempt);
   return { clock, endpoints, orders, monitor, attempt, reservation };
 }
@@ -121,7 +121,7 @@
   await monitor.check();
   t.false(attempt.abort.signal.aborted);
   t.false(endpoints.get("c")?.isSuspect(clock.nowMs), "lack of capacity is no evidence of a fault");
-  t.deepEqual(endpoints.get("c")?.own, { requests: 0, tokenLayers: 0 });
+  t.deepEqual(endpoints.get("c")?.ownLoad, { requests: 0, tokenLayers: 0 });
   orders.changeAnswer = results.Ok(undefined);
   clock.nowMs += 350;
   await monitor.check();
@@ -135,7 +135,7 @@
   if (first === undefined) return t.fail();
   const capacity = getCapacityTokenLayers(first, profile);
   // The whole usable capacity is taken, including the reservation of this stream.
-  first.addOwn(1, Math.floor(capacity * 0.92) - first.own.tokenLayers);
+  first.addOwn(1, Math.floor(capacity * 0.92) - first.ownLoad.tokenLayers);
   await monitor.check();
   t.deepEqual(orders.chains, ["a,c"]);
 });
@@ -166,7 +166,7 @@
 test("a suspension of this process does not count as silence of its streams", async (t) => {
   const { clock, monitor, attempt } = setUp();
   clock.nowMs += 6_000;
-  monitor.noteOwnPause(6_000);
+  monitor.noteSuspension(6_000);
   await monitor.check();
   t.false(attempt.abort.signal.aborted);
 });
--- a/packages/gateway/src/tests/requests/crashingRequestTests.ts
+++ b/packages/gateway/src/tests/requests/crashingRequestTests.ts
@@ -1,7 +1,7 @@
 /** Quarantine of requests that crash their endpoints: each such request is rejected after three crashes. */
 import test from "ava";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
-import { createRoute } from "../createParts.js";
+import { createRoute } from "../testData.js";
 
 const key = { "x-id": "r1", "x-key": "k1" };
 const crashingPath = "/a/crashes";
--- a/packages/gateway/src/tests/requests/denialTests.ts
+++ b/packages/gateway/src/tests/requests/denialTests.ts
@@ -3,9 +3,9 @@
  * current.
  */
 import test, { type ExecutionContext } from "ava";
-import { ConfigurationKeeper } from "../../configuration/ConfigurationKeeper.js";
-import { DenialProof, getHeldReadMs } from "../../configuration/DenialProof.js";
-import { createConfiguration, createRoute } from "../createParts.js";
+import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
+import { DenialFreshness, getLongPollMs } from "../../configuration/DenialFreshness.js";
+import { createConfiguration, createRoute } from "../testData.js";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 
 const deadlineMs = 3_000;
@@ -59,37 +59,37 @@
 test("a configuration counts as current until shortly before the deadline, but not while a newer one is known to exist", (t) => {
   let nowMs = 10_000;
   let behindMs = 0;
-  const keeper = new ConfigurationKeeper(() => nowMs);
-  const denials = new DenialProof({
-    keeper,
+  const keeper = new ActiveConfiguration(() => nowMs);
+  const denials = new DenialFreshness({
+    activeConfiguration: keeper,
     getBehindMs: () => behindMs,
     getDeadlineMs: () => deadlineMs,
     nowMs: () => nowMs,
   });
   keeper.accept(createConfiguration(1));
-  t.false(denials.isProven());
-  keeper.confirm(1, nowMs);
-  t.true(denials.isProven());
+  t.false(denials.isFresh());
+  keeper.confirmFreshness(1, nowMs);
+  t.true(denials.isFresh());
   behindMs = 1;
-  t.false(denials.isProven());
+  t.false(denials.isFresh());
   behindMs = 0;
   nowMs += deadlineMs - 1;
-  t.false(denials.isProven());
+  t.false(denials.isFresh());
 });
 
 test("a wait for a current configuration ends with its confirmation or at its timeout", async (t) => {
   let nowMs = 10_000;
-  const keeper = new ConfigurationKeeper(() => nowMs);
+  const keeper = new ActiveConfiguration(() => nowMs);
   const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
-  const denials = new DenialProof({ ...structure, nowMs: () => nowMs });
+  const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
   keeper.accept(createConfiguration(1));
-  keeper.confirm(1, nowMs);
+  keeper.confirmFreshness(1, nowMs);
   nowMs += deadlineMs;
-  const proven = denials.wait(deadlineMs);
-  keeper.confirm(1, nowMs);
+  const proven = denials.waitUntilFresh(deadlineMs);
+  keeper.confirmFreshness(1, nowMs);
   t.true(await proven);
   nowMs += deadlineMs;
-  const unproven = denials.wait(1);
+  const unproven = denials.waitUntilFresh(1);
   nowMs += 1;
   t.false(await unproven);
 });
@@ -97,13 +97,13 @@
 test("long-polling reads confirm the configuration often enough for permanent rejections", (t) => {
   for (const boundMs of [1_000, 2_000, deadlineMs, 60_000]) {
     let nowMs = 0;
-    const keeper = new ConfigurationKeeper(() => nowMs);
+    const keeper = new ActiveConfiguration(() => nowMs);
     const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => boundMs };
-    const denials = new DenialProof({ ...structure, nowMs: () => nowMs });
+    const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
     keeper.accept(createConfiguration(1));
-    keeper.confirm(1, 0);
+    keeper.confirmFreshness(1, 0);
     // A confirmation counts from the send of its read, so the next one arrives after two held reads at the latest.
-    nowMs = 2 * getHeldReadMs(boundMs);
-    t.true(denials.isProven(), `${boundMs} ms`);
+    nowMs = 2 * getLongPollMs(boundMs);
+    t.true(denials.isFresh(), `${boundMs} ms`);
   }
 });
--- a/packages/gateway/src/tests/requests/endpointHandlers.ts
+++ b/packages/gateway/src/tests/requests/endpointHandlers.ts
@@ -2,7 +2,7 @@
 import type * as http from "node:http";
 import type { ExecutionContext } from "ava";
 import type { Route } from "../../configuration/gatewayConfiguration.js";
-import { createRoute } from "../createParts.js";
+import { createRoute } from "../testData.js";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 
 /** A time limit of routes that no test reaches. */
--- a/packages/gateway/src/tests/requests/forwardingTests.ts
+++ b/packages/gateway/src/tests/requests/forwardingTests.ts
@@ -1,7 +1,7 @@
 /** Forwarding of requests as callers and endpoints observe it, over real sockets. */
 import type * as http from "node:http";
 import test from "ava";
-import { createRoute } from "../createParts.js";
+import { createRoute } from "../testData.js";
 import { answer, count, generousMs, key, setUp } from "./endpointHandlers.js";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 
@@ -134,7 +134,7 @@
   const fixture = await setUp(t, { ...stream, maxAttempts: 1 });
   await fixture.list([closeConnection], allLayers);
   t.is((await fixture.request("POST", key)).status, 502);
-  t.deepEqual(fixture.endpoints.get("endpoint-0")?.own, { requests: 0, tokenLayers: 0 });
+  t.deepEqual(fixture.endpoints.get("endpoint-0")?.ownLoad, { requests: 0, tokenLayers: 0 });
 });
 
 test("an endpoint that resets every connection does not attract all requests by its low load", async (t) => {
--- a/packages/gateway/src/tests/suspensionTests.ts
+++ b/packages/gateway/src/tests/suspensionTests.ts
@@ -1,13 +1,13 @@
 /** On waking from a suspension, during which the steady clock stands, nothing is done under a right that ran out meanwhile. */
 import test from "ava";
 import { results, utils } from "@shedtiller/common";
-import { ConfigurationKeeper } from "../configuration/ConfigurationKeeper.js";
-import { DenialProof } from "../configuration/DenialProof.js";
+import { ActiveConfiguration } from "../configuration/ActiveConfiguration.js";
+import { DenialFreshness } from "../configuration/DenialFreshness.js";
 import type { StoreError } from "../discovery/ChangeFeed.js";
 import { DecisionLog } from "../logs/DecisionLog.js";
 import { LeaderElection } from "../orders/LeaderElection.js";
-import { LeaderSeat } from "../orders/LeaderSeat.js";
-import { createConfiguration } from "./createParts.js";
+import { Leadership } from "../orders/Leadership.js";
+import { createConfiguration } from "./testData.js";
 import { SilentSink } from "./SilentSink.js";
 
 const suspendedMs = 6_000;
@@ -42,23 +42,28 @@
 
 test("a leader gives no order after a suspension that its term did not outlast", async (t) => {
   const { nowMs, run, suspend } = createMachine();
-  const seat = new LeaderSeat(new WonElection(), new DecisionLog(new SilentSink(), nowMs), { nowMs });
+  const seat = new Leadership(new WonElection(), new DecisionLog(new SilentSink(), nowMs), { nowMs });
   await seat.campaign();
   run(100);
-  t.true(seat.isHeld());
+  t.true(seat.isLeader());
   suspend();
-  t.false(seat.isHeld());
+  t.false(seat.isLeader());
 });
 
 test("neither keys nor denials are taken at their word on a proof from before a suspension", (t) => {
   const { nowMs, run, suspend } = createMachine();
-  const keeper = new ConfigurationKeeper(nowMs);
+  const keeper = new ActiveConfiguration(nowMs);
   keeper.accept(createConfiguration(1));
-  keeper.confirm(1, nowMs());
-  const denials = new DenialProof({ keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs, nowMs });
+  keeper.confirmFreshness(1, nowMs());
+  const denials = new DenialFreshness({
+    activeConfiguration: keeper,
+    getBehindMs: () => 0,
+    getDeadlineMs: () => deadlineMs,
+    nowMs,
+  });
   run(100);
-  t.true(denials.isProven());
+  t.true(denials.isFresh());
   suspend();
-  t.false(denials.isProven());
-  t.true(keeper.getProofAgeMs() >= suspendedMs);
+  t.false(denials.isFresh());
+  t.true(keeper.getFreshnessAgeMs() >= suspendedMs);
 });
--- a/packages/intent/src/ConfigurationFold.ts
+++ b/packages/intent/src/ConfigurationProjection.ts
@@ -15,13 +15,13 @@
 }
 
 /** Holds the configuration in force. */
-export class ConfigurationFold implements LogSink {
+export class ConfigurationProjection implements LogSink {
   /** Records that could not be read; `status` shows them. */
   readonly unknownRecords: UnknownRecord[] = [];
   private _offset = -1;
-  private readonly _objects = new Map<string, records.HeldObject>();
-  private readonly _removedAt = new Map<string, Omit<records.HeldObject, "value">>();
-  private readonly _outcomes = new utils.KeyedCache<records.PlanOutcome>(outcomesKept);
+  private readonly _objects = new Map<string, records.StoredObject>();
+  private readonly _removedAt = new Map<string, Omit<records.StoredObject, "value">>();
+  private readonly _outcomes = new utils.BoundedMap<records.PlanOutcome>(outcomesKept);
   /** Records that came while the state before them was missing. */
   private _held: LogRecord[] = [];
   private _isMissingPast = false;
@@ -36,7 +36,7 @@
   }
 
   /** Whether records aged out before they were read and no state has taken their place yet. */
-  get isMissingPast(): boolean {
+  get hasHistoryGap(): boolean {
     return this._isMissingPast;
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** Objects with what set them, by key. */
-  getHeldObjects(): ReadonlyMap<string, records.HeldObject> {
+  getStoredObjects(): ReadonlyMap<string, records.StoredObject> {
     return this._objects;
   }
 
@@ -208,7 +208,7 @@
     else this._objects.set(change.key, { value: change.value, ...standing });
   }
 
-  private _getStanding(key: string): Omit<records.HeldObject, "value"> | undefined {
+  private _getStanding(key: string): Omit<records.StoredObject, "value"> | undefined {
     return this._objects.get(key) ?? this._removedAt.get(key);
   }
 
--- a/packages/intent/src/Confirmer.ts
+++ b/packages/intent/src/Confirmer.ts
@@ -1,7 +1,7 @@
 /** Confirmation of a plan: one append with the plan's id, resolved to the truth also when its reply is lost. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { AppendReceipt, LogError, LogService } from "@shedtiller/logservice";
-import type { ConfigurationFold } from "./ConfigurationFold.js";
+import type { ConfigurationProjection } from "./ConfigurationProjection.js";
 import * as records from "./configurationRecords.js";
 import type { Plan } from "./intents.js";
 
@@ -33,7 +33,7 @@
 export class Confirmer {
   constructor(
     private readonly _log: LogService,
-    private readonly _fold: ConfigurationFold,
+    private readonly _fold: ConfigurationProjection,
     /** Monotonic clock, replaced in tests. */
     private readonly _nowMs: () => number = utils.monotonicMs,
   ) {}
--- a/packages/intent/src/accountKeys.ts
+++ b/packages/intent/src/accountKeys.ts
@@ -32,7 +32,7 @@
 }
 
 /** Tells whether a secret is the one that was stored. */
-export function isSecret(stored: AccountKey, secret: string): boolean {
+export function isMatchingSecret(stored: AccountKey, secret: string): boolean {
   const actual = Buffer.from(digest(stored.salt, secret));
   const expected = Buffer.from(stored.hash);
   return actual.length === expected.length && crypto.timingSafeEqual(actual, expected);
--- a/packages/intent/src/configurationRecords.ts
+++ b/packages/intent/src/configurationRecords.ts
@@ -36,7 +36,7 @@
   overtakenByOperator: zod.string().optional(),
 });
 
-export const heldObjectSchema = zod.object({
+export const storedObjectSchema = zod.object({
   value: configurationObjectSchema,
   setAtOffset: zod.number().int(),
   setByPlan: zod.string(),
@@ -46,9 +46,9 @@
 export const configurationStateSchema = zod.object({
   /** All records up to this offset are in the state; -1 for none. */
   offset: zod.number().int(),
-  objects: zod.record(zod.string(), heldObjectSchema),
+  objects: zod.record(zod.string(), storedObjectSchema),
   /** Removed objects, so that a plan made before the removal is seen to be overtaken. */
-  removedAt: zod.record(zod.string(), heldObjectSchema.omit({ value: true })),
+  removedAt: zod.record(zod.string(), storedObjectSchema.omit({ value: true })),
   outcomes: zod.array(planOutcomeSchema),
 });
 
@@ -66,6 +66,6 @@
 export type Change = zod.infer<typeof changeSchema>;
 export type ConfirmRecord = zod.infer<typeof confirmRecordSchema>;
 export type PlanOutcome = zod.infer<typeof planOutcomeSchema>;
-export type HeldObject = zod.infer<typeof heldObjectSchema>;
+export type StoredObject = zod.infer<typeof storedObjectSchema>;
 export type ConfigurationState = zod.infer<typeof configurationStateSchema>;
 export type SnapshotRecord = zod.infer<typeof snapshotRecordSchema>;
--- a/packages/intent/src/tests/ConfirmerTests.ts
+++ b/packages/intent/src/tests/ConfirmerTests.ts
@@ -8,7 +8,7 @@
   type LogError,
   type LogPage,
 } from "@shedtiller/logservice";
-import { ConfigurationFold } from "../ConfigurationFold.js";
+import { ConfigurationProjection } from "../ConfigurationProjection.js";
 import { Confirmer } from "../Confirmer.js";
 import type { Plan } from "../intents.js";
 
@@ -48,7 +48,7 @@
 // Seen beside load: the log refused after two seconds and more, and the operator was told that the outcome is unknown.
 test("a refusal of the log that comes late is told as one: nothing was confirmed", async (t) => {
   const log = new SlowLog();
-  const confirmed = await new Confirmer(log, new ConfigurationFold(), () => log.nowMs).confirm(
+  const confirmed = await new Confirmer(log, new ConfigurationProjection(), () => log.nowMs).confirm(
     plan,
     timeoutMs,
   );
--- a/packages/intent/src/tests/configurationFoldTests.ts
+++ b/packages/intent/src/tests/configurationProjectionTests.ts
@@ -2,7 +2,7 @@
 import type { LogRecord } from "@shedtiller/logservice";
 import test from "ava";
 import * as fc from "fast-check";
-import { ConfigurationFold } from "../ConfigurationFold.js";
+import { ConfigurationProjection } from "../ConfigurationProjection.js";
 import { absentOffset, type Change } from "../configurationRecords.js";
 
 function createClassChange(name: string, rank: number, baseOffset: number): Change {
@@ -19,7 +19,7 @@
 }
 
 test("of two plans on one object the first in log order wins; the other is told what and by whom", (t) => {
-  const fold = new ConfigurationFold();
+  const fold = new ConfigurationProjection();
   fold.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)], "anna"));
   fold.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, absentOffset)], "bo"));
   fold.acceptRecord(createRecord(2, "p3", [createClassChange("b", 3, absentOffset)], "bo"));
@@ -33,7 +33,7 @@
 });
 
 test("a record that is in the log twice changes nothing the second time", (t) => {
-  const fold = new ConfigurationFold();
+  const fold = new ConfigurationProjection();
   const changes = [createClassChange("a", 1, absentOffset)];
   fold.acceptRecord(createRecord(0, "p1", changes));
   fold.acceptRecord(createRecord(1, "p1", changes));
@@ -43,7 +43,7 @@
 });
 
 test("a plan made before an object was removed is overtaken by the removal", (t) => {
-  const fold = new ConfigurationFold();
+  const fold = new ConfigurationProjection();
   fold.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   fold.acceptRecord(createRecord(1, "p2", [{ key: "class/a", baseOffset: 0, value: null }]));
   fold.acceptRecord(createRecord(2, "p3", [createClassChange("a", 2, 0)]));
@@ -52,7 +52,7 @@
 });
 
 test("a record of an unknown version is kept and reported", (t) => {
-  const fold = new ConfigurationFold();
+  const fold = new ConfigurationProjection();
   fold.acceptRecord({ offset: 0, atMs: 0, id: "x", payload: { version: 9, type: "confirm" } });
   fold.acceptRecord(createRecord(1, "p1", [createClassChange("a", 1, absentOffset)]));
   t.is(fold.unknownRecords[0]?.reason, "has version 9");
@@ -61,7 +61,7 @@
 });
 
 test("a state from a peer is taken only if it is newer", (t) => {
-  const [older, newer] = [new ConfigurationFold(), new ConfigurationFold()];
+  const [older, newer] = [new ConfigurationProjection(), new ConfigurationProjection()];
   older.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   newer.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   newer.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, 0)]));
@@ -71,7 +71,7 @@
   t.is(older.getObject("class", "a")?.rank, 2);
 });
 
-function createSnapshot(offset: number, fold: ConfigurationFold): LogRecord {
+function createSnapshot(offset: number, fold: ConfigurationProjection): LogRecord {
   return {
     offset,
     atMs: offset,
@@ -81,7 +81,7 @@
 }
 
 test("a late or doubled snapshot changes nothing for an instance that has read on", (t) => {
-  const fold = new ConfigurationFold();
+  const fold = new ConfigurationProjection();
   fold.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   const late = createSnapshot(2, fold);
   fold.acceptRecord(createRecord(1, "p2", [createClassChange("a", 2, 0)]));
@@ -92,19 +92,19 @@
 });
 
 test("an instance that starts after records aged out takes a snapshot that leaves no gap, and no other", (t) => {
-  const whole = new ConfigurationFold();
+  const whole = new ConfigurationProjection();
   whole.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
   const tooOld = createSnapshot(3, whole);
   whole.acceptRecord(createRecord(1, "p2", [createClassChange("b", 1, absentOffset)]));
   const second = createRecord(2, "p3", [createClassChange("b", 2, 1)]);
   const good = createSnapshot(4, whole);
-  const fresh = new ConfigurationFold();
+  const fresh = new ConfigurationProjection();
   fresh.skipTo(2);
   fresh.acceptRecord(second);
   fresh.acceptRecord(tooOld);
-  t.true(fresh.isMissingPast);
+  t.true(fresh.hasHistoryGap);
   fresh.acceptRecord(good);
-  t.false(fresh.isMissingPast);
+  t.false(fresh.hasHistoryGap);
   t.is(fresh.getObject("class", "a")?.rank, 1);
   t.is(fresh.getObject("class", "b")?.rank, 2);
 });
@@ -124,11 +124,15 @@
         const log = plans.map((p, offset) =>
           createRecord(offset, `p${p.plan}`, [createClassChange(p.name, offset + 1, p.base)]),
         );
-        const folds = [new ConfigurationFold(), new ConfigurationFold(), new ConfigurationFold()];
+        const folds = [
+          new ConfigurationProjection(),
+          new ConfigurationProjection(),
+          new ConfigurationProjection(),
+        ];
         for (const [turn, index] of turns.entries()) {
           const [fold, peer] = [
-            folds[index] as ConfigurationFold,
-            folds[(index + 1) % 3] as ConfigurationFold,
+            folds[index] as ConfigurationProjection,
+            folds[(index + 1) % 3] as ConfigurationProjection,
           ];
           const before = fold.offset;
           const next = log[before + 1];
--- a/packages/lease/src/LeaseHolder.ts
+++ b/packages/lease/src/LeaseHolder.ts
@@ -2,7 +2,12 @@
 import { utils } from "@shedtiller/common";
 import type { LogFollower, LogService } from "@shedtiller/logservice";
 import type { Timeline } from "@shedtiller/timeline";
-import { leaseRecordVersion, leasesStream, type LeaseFold, type LeaseRecord } from "./LeaseFold.js";
+import {
+  leaseRecordVersion,
+  leasesStream,
+  type LeaseProjection,
+  type LeaseRecord,
+} from "./LeaseProjection.js";
 
 /** The holder acts only in this part of the lease, counted from before its append was sent. */
 const usablePart = 0.5;
@@ -15,7 +20,7 @@
   readonly holder: string;
   readonly durationMs: number;
   readonly log: LogService;
-  readonly fold: LeaseFold;
+  readonly projection: LeaseProjection;
   readonly follower: LogFollower;
   readonly timeline: Timeline;
 }
@@ -40,9 +45,9 @@
   }
 
   /** Takes or renews the lease where that is due. Tells whether it may be acted upon. */
-  async keep(): Promise<boolean> {
+  async acquireOrRenew(): Promise<boolean> {
     if (utils.monotonicMs() < this._renewAtMs) return this.getToken() !== undefined;
-    const { fold, lease, durationMs, log, follower, timeline } = this._structure;
+    const { projection: fold, lease, durationMs, log, follower, timeline } = this._structure;
     const startMs = utils.monotonicMs();
     const held = fold.getLease(lease);
     if (held !== undefined && held.holderId !== this._holderId && held.lapsesAtMs > utils.wallMs())
--- a/packages/lease/src/LeaseFold.ts
+++ b/packages/lease/src/LeaseProjection.ts
@@ -19,7 +19,7 @@
 export type LeaseRecord = zod.infer<typeof leaseRecordSchema>;
 
 /** A lease as it stands. */
-export interface HeldLease {
+export interface LeaseState {
   readonly holder: string;
   readonly holderId: string;
   /** Offset of the record that gave it: the fencing token. */
@@ -29,9 +29,9 @@
 }
 
 /** Folds records into leases. */
-export class LeaseFold implements LogSink {
+export class LeaseProjection implements LogSink {
   unknownRecords = 0;
-  private readonly _leases = new Map<string, HeldLease>();
+  private readonly _leases = new Map<string, LeaseState>();
 
   acceptRecord(record: LogRecord): void {
     const parsed = leaseRecordSchema.safeParse(record.payload);
@@ -49,11 +49,11 @@
     this._leases.clear();
   }
 
-  getLease(lease: string): HeldLease | undefined {
+  getLease(lease: string): LeaseState | undefined {
     return this._leases.get(lease);
   }
 
-  private _take(record: LogRecord, take: LeaseRecord, held: HeldLease | undefined): void {
+  private _take(record: LogRecord, take: LeaseRecord, held: LeaseState | undefined): void {
     const isFree = held === undefined || held.holderId === take.holderId || held.lapsesAtMs <= record.atMs;
     if (!isFree) return;
     this._leases.set(take.lease, {
@@ -64,7 +64,7 @@
     });
   }
 
-  private _release(release: LeaseRecord, held: HeldLease | undefined): void {
+  private _release(release: LeaseRecord, held: LeaseState | undefined): void {
     if (held?.holderId === release.holderId) this._leases.delete(release.lease);
   }
 }
--- a/packages/lease/src/index.ts
+++ b/packages/lease/src/index.ts
@@ -1,3 +1,3 @@
 export * from "./orders.js";
-export * from "./LeaseFold.js";
+export * from "./LeaseProjection.js";
 export * from "./LeaseHolder.js";
--- a/packages/lease/src/tests/leaseTests.ts
+++ b/packages/lease/src/tests/leaseTests.ts
@@ -9,7 +9,7 @@
 } from "@shedtiller/logservice";
 import { Timeline } from "@shedtiller/timeline";
 import test from "ava";
-import { LeaseFold, leasesStream } from "../LeaseFold.js";
+import { LeaseProjection, leasesStream } from "../LeaseProjection.js";
 import { LeaseHolder } from "../LeaseHolder.js";
 
 /** A log in memory whose clock the test sets. */
@@ -47,7 +47,7 @@
 }
 
 function createHolder(log: LogService, name: string, durationMs: number, stop: AbortController) {
-  const fold = new LeaseFold();
+  const fold = new LeaseProjection();
   const follower = new LogFollower(log, leasesStream, fold);
   void follower.run(stop.signal);
   const holder = new LeaseHolder({
@@ -55,7 +55,7 @@
     holder: name,
     durationMs,
     log,
-    fold,
+    projection: fold,
     follower,
     timeline: new Timeline(name),
   });
@@ -65,7 +65,7 @@
 test("of two that take a lease at once, both zones' views give it to the first in the log", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const [a, b] = [createHolder(log, "a", 60_000, stop), createHolder(log, "b", 60_000, stop)];
-  const kept = await Promise.all([a.holder.keep(), b.holder.keep()]);
+  const kept = await Promise.all([a.holder.acquireOrRenew(), b.holder.acquireOrRenew()]);
   stop.abort();
   t.deepEqual(kept, [true, false]);
   t.is(a.holder.getToken(), 0);
@@ -76,13 +76,13 @@
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const durationMs = 400;
   const [a, b] = [createHolder(log, "a", durationMs, stop), createHolder(log, "b", durationMs, stop)];
-  t.true(await a.holder.keep());
+  t.true(await a.holder.acquireOrRenew());
   const first = a.holder.getToken();
   // The holder stands still past its lapse, and wakes still having the token in its memory.
   await utils.waitUntil(() => a.holder.getToken() === undefined, 10_000, 1);
   t.is(a.holder.getToken(), undefined);
   log.nowMs += durationMs + 1;
-  while (!(await b.holder.keep())) await utils.sleep(10);
+  while (!(await b.holder.acquireOrRenew())) await utils.sleep(10);
   stop.abort();
   t.true((b.holder.getToken() ?? 0) > (first ?? 0));
 });
@@ -90,9 +90,9 @@
 test("a lease that was given back is free at once", async (t) => {
   const [log, stop] = [new ClockedLog(), new AbortController()];
   const [a, b] = [createHolder(log, "a", 60_000, stop), createHolder(log, "b", 60_000, stop)];
-  t.true(await a.holder.keep());
+  t.true(await a.holder.acquireOrRenew());
   await a.holder.release();
   await b.follower.waitFor(1);
-  t.true(await b.holder.keep());
+  t.true(await b.holder.acquireOrRenew());
   stop.abort();
 });
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -167,7 +167,7 @@
   }
 
   /** Names of the live instances of our own zone that take duties, ourselves included. */
-  getDutyCandidates(): string[] {
+  getZoneRoleCandidates(): string[] {
     const peers = this.getLinked().filter(
       (m) => m.availabilityZone === this.self.availabilityZone && !m.isLeaving,
     );
@@ -176,8 +176,8 @@
   }
 
   /** Tells whether a duty of our zone is ours now. Two instances may both think so for a moment. */
-  ownsDuty(duty: string): boolean {
-    return utils.pickOwner(duty, this.getDutyCandidates()) === this.self.name;
+  ownsZoneRole(duty: string): boolean {
+    return utils.pickOwner(duty, this.getZoneRoleCandidates()) === this.self.name;
   }
 
   /** Whether no other zone is reached, though others are listed; with the time since when. */
--- a/packages/membership/src/NewsExchange.ts
+++ b/packages/membership/src/PeerBroadcast.ts
@@ -13,41 +13,41 @@
 const toldPerZone = 2;
 
 /** What an exchange works with. */
-export interface NewsExchangeStructure<T> {
+export interface PeerBroadcastStructure<T> {
   readonly membership: Pick<Membership, "self" | "getLinked" | "notifyAll" | "onLinked" | "onNotice">;
   readonly topic: string;
   readonly schema: zod.ZodType<T>;
   /** Told of a message that does not have its form; it is dropped, since a peer of another version may send it. */
   readonly onInvalid: (topic: string, from: PeerIdentity) => void;
   /** Takes what a peer told; gives what of it was news, or undefined where nothing was. */
-  readonly take: (told: T) => T | undefined;
+  readonly applyUpdate: (told: T) => T | undefined;
   /** All that is known here; undefined where nothing is. */
-  readonly tellAll: () => T | undefined;
+  readonly getFullState: () => T | undefined;
   /** From 0 to 1, replaced in tests. */
   readonly random?: (() => number) | undefined;
 }
 
 /** One for each kind of news at an instance. */
-export class NewsExchange<T> {
-  constructor(private readonly _structure: NewsExchangeStructure<T>) {
+export class PeerBroadcast<T> {
+  constructor(private readonly _structure: PeerBroadcastStructure<T>) {
     const { membership, topic } = _structure;
     membership.onNotice(topic, (body, from) => this._take(body, from));
     membership.onLinked((peer) => this._greet(peer));
   }
 
   /** Tells what was found here. */
-  tell(news: T): void {
+  broadcast(news: T): void {
     const first = this._getFirstTold();
     this._notify(news, (member) => this._isOwnZone(member) || first.has(member.name));
   }
 
   private _greet(peer: PeerIdentity): void {
-    const all = this._structure.tellAll();
+    const all = this._structure.getFullState();
     if (all !== undefined) this._notify(all, (member) => member.name === peer.name);
   }
 
   private _take(body: unknown, from: PeerIdentity): void {
-    const { schema, topic, onInvalid, take } = this._structure;
+    const { schema, topic, onInvalid, applyUpdate: take } = this._structure;
     const told = schema.safeParse(body);
     if (!told.success) return onInvalid(topic, from);
     const news = take(told.data);
@@ -58,7 +58,7 @@
   private _getFirstTold(): Set<string> {
     const { membership, random = Math.random } = this._structure;
     const zones = utils.groupBy(membership.getLinked(), (member) => member.availabilityZone);
-    const told = [...zones.values()].flatMap((members) => utils.pickSome(members, toldPerZone, random));
+    const told = [...zones.values()].flatMap((members) => utils.sample(members, toldPerZone, random));
     return new Set(told.map((member) => member.name));
   }
 
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -6,4 +6,4 @@
 export * from "./TrafficCounter.js";
 export * from "./controlBudget.js";
 export * from "./pickContacts.js";
-export * from "./NewsExchange.js";
+export * from "./PeerBroadcast.js";
--- a/packages/membership/src/tests/membershipTests.ts
+++ b/packages/membership/src/tests/membershipTests.ts
@@ -116,7 +116,7 @@
   t.true(await utils.waitUntil(isFull(2), waitMs));
   const duties = Array.from({ length: 30 }, (_value, index) => `report:g${index}`);
   const countOwners = (duty: string): number =>
-    [...peers.members.values()].filter((m) => m.ownsDuty(duty)).length;
+    [...peers.members.values()].filter((m) => m.ownsZoneRole(duty)).length;
   for (const duty of duties) t.is(countOwners(duty), 1);
   peers.kill("a");
   t.true(await utils.waitUntil(isFull(1), waitMs));
@@ -130,9 +130,9 @@
   peers.list();
   await utils.waitUntil(() => a.getLinked().length === 1 && b.getLinked().length === 1, waitMs);
   a.leave();
-  t.true(await utils.waitUntil(() => b.getDutyCandidates().length === 1, waitMs));
-  t.deepEqual(b.getDutyCandidates(), ["b"]);
-  t.deepEqual(a.getDutyCandidates(), ["b"]);
+  t.true(await utils.waitUntil(() => b.getZoneRoleCandidates().length === 1, waitMs));
+  t.deepEqual(b.getZoneRoleCandidates(), ["b"]);
+  t.deepEqual(a.getZoneRoleCandidates(), ["b"]);
   peers.close();
 });
 
--- a/packages/pipeline/src/engine/EngineLink.ts
+++ b/packages/pipeline/src/engine/EngineLink.ts
@@ -8,7 +8,7 @@
   ImportedFrame,
   RefusalReason,
   StageKey,
-  StandingFrame,
+  StageStatusFrame,
 } from "./engineFrames.js";
 
 /** The engine itself said that it did not run a frame. */
@@ -41,7 +41,7 @@
   abstract apply(frame: ApplyFrame): Promise<results.Result<AppliedFrame, EngineError>>;
 
   /** Asks where a stage stands. */
-  abstract probe(key: StageKey): Promise<results.Result<StandingFrame, EngineError>>;
+  abstract probe(key: StageKey): Promise<results.Result<StageStatusFrame, EngineError>>;
 
   /** Fetches a stage's KV cache. */
   abstract exportCache(key: StageKey): Promise<results.Result<ExportedFrame, EngineError>>;
--- a/packages/pipeline/src/engine/WsEngineConnector.ts
+++ b/packages/pipeline/src/engine/WsEngineConnector.ts
@@ -20,7 +20,7 @@
 
   constructor(
     private readonly _events: Omit<EngineLinkEvents, "onClosed"> & { onLinkLost(endpoint: string): void },
-    private readonly _patience = new utils.Patience(connectTimeoutMs, longestConnectTimeoutMs),
+    private readonly _patience = new utils.AdaptiveTimeout(connectTimeoutMs, longestConnectTimeoutMs),
   ) {
     super();
   }
@@ -41,7 +41,7 @@
 
   private async _open(endpoint: string, address: string): Promise<LinkResult> {
     const startMs = utils.monotonicMs();
-    const timeoutMs = this._patience.getMs(address);
+    const timeoutMs = this._patience.getTimeoutMs(address);
     const socket = new ws.WebSocket(`ws://${address}${enginePath}`, {
       handshakeTimeout: timeoutMs,
       perMessageDeflate: false,
@@ -59,7 +59,7 @@
       return results.Err(new errors.NotReachedError(address, failure));
     }
     const link = new WsEngineLink(endpoint, socket, {
-      onLeaving: (name) => this._events.onLeaving(name),
+      onDraining: (name) => this._events.onDraining(name),
       onStrayReply: (name) => this._events.onStrayReply(name),
       onClosed: (closed) => this._drop(address, closed),
     });
--- a/packages/pipeline/src/engine/WsEngineLink.ts
+++ b/packages/pipeline/src/engine/WsEngineLink.ts
@@ -10,7 +10,7 @@
   /** The link is gone. */
   onClosed(link: WsEngineLink, error: unknown): void;
   /** The engine says that it is about to go. */
-  onLeaving(endpoint: string): void;
+  onDraining(endpoint: string): void;
   /** A reply matched no call: late, crossed or doubled. */
   onStrayReply(endpoint: string): void;
 }
@@ -20,7 +20,7 @@
 /** Matches replies to calls by request, attempt, stage and position; anything else is dropped and counted. */
 export class WsEngineLink extends EngineLink {
   private readonly _applies = new Map<string, Waiter<frames.AppliedFrame>>();
-  private readonly _probes = new Map<string, Waiter<frames.StandingFrame>>();
+  private readonly _probes = new Map<string, Waiter<frames.StageStatusFrame>>();
   private readonly _exports = new Map<string, Waiter<frames.ExportedFrame>>();
   private readonly _imports = new Map<string, Waiter<frames.ImportedFrame>>();
 
@@ -43,7 +43,7 @@
     return this._call(this._applies, getApplyKey(frame), frame);
   }
 
-  override probe(key: frames.StageKey): Promise<results.Result<frames.StandingFrame, EngineError>> {
+  override probe(key: frames.StageKey): Promise<results.Result<frames.StageStatusFrame, EngineError>> {
     return this._call(this._probes, getStageText(key), { kind: "probe", ...frames.pickStageKey(key) });
   }
 
@@ -97,7 +97,7 @@
       case "imported":
         return this._settle(this._imports, getStageText(frame), results.Ok(frame));
       case "leaving":
-        return this._events.onLeaving(this.endpoint);
+        return this._events.onDraining(this.endpoint);
     }
   }
 
--- a/packages/pipeline/src/engine/engineFrames.ts
+++ b/packages/pipeline/src/engine/engineFrames.ts
@@ -55,7 +55,7 @@
 });
 
 /** Where a stage stands, and its last outcome in case the reply was lost. */
-export const standingFrameSchema = zod.object({
+export const stageStatusFrameSchema = zod.object({
   kind: zod.literal("standing"),
   ...stageKeyShape,
   /** The position that the stage expects next. */
@@ -87,15 +87,15 @@
   position: wholeNumber,
 });
 /** The engine is about to go: no new streams, please. */
-export const leavingFrameSchema = zod.object({ kind: zod.literal("leaving") });
+export const drainingFrameSchema = zod.object({ kind: zod.literal("leaving") });
 
 export const fromEngineSchema = zod.discriminatedUnion("kind", [
   appliedFrameSchema,
-  standingFrameSchema,
+  stageStatusFrameSchema,
   refusedFrameSchema,
   exportedFrameSchema,
   importedFrameSchema,
-  leavingFrameSchema,
+  drainingFrameSchema,
 ]);
 
 export type ApplyFrame = zod.infer<typeof applyFrameSchema>;
@@ -104,7 +104,7 @@
 export type ImportFrame = zod.infer<typeof importFrameSchema>;
 export type ToEngineFrame = zod.infer<typeof toEngineSchema>;
 export type AppliedFrame = zod.infer<typeof appliedFrameSchema>;
-export type StandingFrame = zod.infer<typeof standingFrameSchema>;
+export type StageStatusFrame = zod.infer<typeof stageStatusFrameSchema>;
 export type RefusedFrame = zod.infer<typeof refusedFrameSchema>;
 export type ExportedFrame = zod.infer<typeof exportedFrameSchema>;
 export type ImportedFrame = zod.infer<typeof importedFrameSchema>;
--- a/packages/pipeline/src/index.ts
+++ b/packages/pipeline/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./engine/index.js";
-export * from "./request/CrashGuard.js";
+export * from "./request/CrashQuarantine.js";
 export * from "./request/PipelineRequest.js";
 export * from "./request/PipelineContext.js";
 export * from "./request/PipelineRun.js";
--- a/packages/pipeline/src/request/BoundaryHistory.ts
+++ b/packages/pipeline/src/request/BoundaryHistory.ts
@@ -11,13 +11,13 @@
     return this._usedBytes;
   }
 
-  tryTake(sizeBytes: number): boolean {
+  tryReserve(sizeBytes: number): boolean {
     if (this._usedBytes + sizeBytes > this.limitBytes) return false;
     this._usedBytes += sizeBytes;
     return true;
   }
 
-  give(sizeBytes: number): void {
+  release(sizeBytes: number): void {
     this._usedBytes -= sizeBytes;
   }
 }
@@ -49,7 +49,7 @@
     this._lastFrom = this._length;
     this._length += count;
     if (!this._isComplete) return;
-    if (!this._budget.tryTake(activations.byteLength)) return this.release();
+    if (!this._budget.tryReserve(activations.byteLength)) return this.release();
     this._sizeBytes += activations.byteLength;
     this._chunks.push(activations);
   }
@@ -66,7 +66,7 @@
 
   /** Gives the memory back. */
   release(): void {
-    this._budget.give(this._sizeBytes);
+    this._budget.release(this._sizeBytes);
     this._sizeBytes = 0;
     this._chunks = [];
     this._isComplete = false;
--- a/packages/pipeline/src/request/CrashGuard.ts
+++ b/packages/pipeline/src/request/CrashQuarantine.ts
@@ -8,22 +8,22 @@
 }
 
 /** Knows requests by a digest, since a repeat has another id. */
-export abstract class CrashGuard {
+export abstract class CrashQuarantine {
   /** How long a request is held back from now on; undefined where it may run. */
-  abstract getHeldBackMs(digest: string): number | undefined;
+  abstract getQuarantineMs(digest: string): number | undefined;
   /** Notes that an engine ended its connection to a run without a token; resolves once it is known whether it crashed. */
   abstract noteLost(digest: string, engine: LostEngine): Promise<void>;
   /** Notes that a run gave a token. */
-  abstract noteOutlived(digest: string): void;
+  abstract noteSurvived(digest: string): void;
 }
 
 /** Holds nothing back. */
-export class NoCrashGuard extends CrashGuard {
-  override getHeldBackMs(): undefined {
+export class NoCrashQuarantine extends CrashQuarantine {
+  override getQuarantineMs(): undefined {
     return undefined;
   }
   override noteLost(): Promise<void> {
     return Promise.resolve();
   }
-  override noteOutlived(): void {}
+  override noteSurvived(): void {}
 }
--- a/packages/pipeline/src/request/PipelineContext.ts
+++ b/packages/pipeline/src/request/PipelineContext.ts
@@ -1,5 +1,5 @@
 /** What all requests of one instance share. */
-import { NoCrashGuard, type CrashGuard } from "./CrashGuard.js";
+import { NoCrashQuarantine, type CrashQuarantine } from "./CrashQuarantine.js";
 import type { utils } from "@shedtiller/common";
 import type { ChainChooser, EndpointDirectory } from "@shedtiller/routing";
 import type { Timeline } from "@shedtiller/timeline";
@@ -31,7 +31,7 @@
   readonly historyLimitBytes?: number;
   /** Instances that share the engines, this one included. */
   readonly getInstanceCount?: () => number;
-  readonly crashes?: CrashGuard;
+  readonly crashes?: CrashQuarantine;
 }
 
 /** Shared parts, and what is learned of each endpoint. */
@@ -44,7 +44,7 @@
   readonly random: utils.RandomSource;
   readonly historyBudget: HistoryBudget;
   readonly getInstanceCount: () => number;
-  readonly crashes: CrashGuard;
+  readonly crashes: CrashQuarantine;
   readonly counters: PipelineCounters = {
     probes: 0,
     stagesLost: 0,
@@ -63,7 +63,7 @@
     this.chooser = structure.chooser;
     this.timeline = structure.timeline;
     this.random = structure.random;
-    this.crashes = structure.crashes ?? new NoCrashGuard();
+    this.crashes = structure.crashes ?? new NoCrashQuarantine();
     this.getInstanceCount = structure.getInstanceCount ?? (() => 1);
     this._silence = structure.silence ?? defaultSilenceOptions;
     this.historyBudget = new HistoryBudget(structure.historyLimitBytes ?? defaultHistoryLimitBytes);
--- a/packages/pipeline/src/request/PipelineRequest.ts
+++ b/packages/pipeline/src/request/PipelineRequest.ts
@@ -1,5 +1,5 @@
 /** What the pipeline is asked for, and how it can fail. */
-import { errors, type Ran } from "@shedtiller/common";
+import { errors, type ExecutionStatus } from "@shedtiller/common";
 
 /** How a request that has lost its version for good goes on. */
 export interface VersionChoice {
@@ -38,7 +38,7 @@
 
 /** A request that did not get its whole answer, with what is known of its having run. */
 export abstract class PipelineError extends errors.ShedtillerError {
-  abstract readonly ran: Ran;
+  abstract readonly ran: ExecutionStatus;
 }
 
 /** No chain of live endpoints covers the model. */
@@ -47,18 +47,18 @@
 
   constructor(
     readonly model: string,
-    readonly ran: Ran,
+    readonly ran: ExecutionStatus,
   ) {
     super(`No live endpoints cover all layers of the model ${model}.`);
   }
 }
 
 /** Equal requests have crashed several engines. */
-export class RequestHeldBackError extends PipelineError {
+export class RequestQuarantinedError extends PipelineError {
   readonly code = "held_back";
 
   constructor(
-    readonly ran: Ran,
+    readonly ran: ExecutionStatus,
     readonly retryAfterMs: number,
   ) {
     super("The request is held back: equal ones have crashed the engines that began to run them.");
@@ -69,7 +69,7 @@
 export class RequestDeadlineError extends PipelineError {
   readonly code = "deadline_passed";
 
-  constructor(readonly ran: Ran) {
+  constructor(readonly ran: ExecutionStatus) {
     super("The request's deadline passed before its answer was whole.");
   }
 }
@@ -78,7 +78,7 @@
 export class RequestCancelledError extends PipelineError {
   readonly code = "cancelled";
 
-  constructor(readonly ran: Ran) {
+  constructor(readonly ran: ExecutionStatus) {
     super("The request was cancelled before its answer was whole.");
   }
 }
--- a/packages/pipeline/src/request/PipelineRun.ts
+++ b/packages/pipeline/src/request/PipelineRun.ts
@@ -63,7 +63,7 @@
       const isRecorded = answer.length % tokensPerEvent === 0 || this._replacements > replacementsBefore;
       const token = next.val.token ?? 0;
       if (answer.length === 0 && this._request.digest !== undefined)
-        this._context.crashes.noteOutlived(this._request.digest);
+        this._context.crashes.noteSurvived(this._request.digest);
       isEnd = next.val.isEnd === true;
       this._tokens.push(token);
       answer.push(token);
@@ -173,10 +173,10 @@
     await this._context.crashes.noteLost(digest, candidate.entry);
   }
 
-  private _getHeldBack(): requests.RequestHeldBackError | undefined {
+  private _getHeldBack(): requests.RequestQuarantinedError | undefined {
     const { digest } = this._request;
-    const leftMs = digest === undefined ? undefined : this._context.crashes.getHeldBackMs(digest);
-    return leftMs === undefined ? undefined : new requests.RequestHeldBackError(this._ran, leftMs);
+    const leftMs = digest === undefined ? undefined : this._context.crashes.getQuarantineMs(digest);
+    return leftMs === undefined ? undefined : new requests.RequestQuarantinedError(this._ran, leftMs);
   }
 
   private _recordLoss(lost: Stage, cause: StageError): void {
--- a/packages/pipeline/src/request/Stage.ts
+++ b/packages/pipeline/src/request/Stage.ts
@@ -1,7 +1,7 @@
 /** One stage of a running request: an endpoint, the attempt that runs there, and how far it is. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { EngineCandidate } from "@shedtiller/routing";
-import type { AppliedFrame, ApplyFrame, StageKey, StandingFrame } from "../engine/engineFrames.js";
+import type { AppliedFrame, ApplyFrame, StageKey, StageStatusFrame } from "../engine/engineFrames.js";
 import type { EngineError, EngineLink } from "../engine/EngineLink.js";
 import type { PipelineContext } from "./PipelineContext.js";
 
@@ -18,7 +18,7 @@
 }
 
 /** The engine answers, but has lost the stream's KV cache or stands at another position. */
-export class StageForgottenError extends errors.ShedtillerError {
+export class StageStateLostError extends errors.ShedtillerError {
   readonly code = "stage_forgotten";
 
   constructor(readonly endpoint: string) {
@@ -26,7 +26,7 @@
   }
 }
 
-export type StageError = EngineError | StageSilentError | StageForgottenError;
+export type StageError = EngineError | StageSilentError | StageStateLostError;
 type Applied = results.Result<AppliedFrame, StageError>;
 
 const probeAgainFactor = 2;
@@ -97,7 +97,7 @@
     if (standing.ok) this._context.getDetector(this.endpoint).recordProbe(utils.monotonicMs() - startMs);
   }
 
-  private async _probe(link: EngineLink): Promise<results.Result<StandingFrame, EngineError> | undefined> {
+  private async _probe(link: EngineLink): Promise<results.Result<StageStatusFrame, EngineError> | undefined> {
     const detector = this._context.getDetector(this.endpoint);
     const startMs = utils.monotonicMs();
     const answer = link.probe(this.key);
@@ -111,12 +111,12 @@
   }
 
   /** Reads a standing: the outcome whose reply was lost, a lost cache, or undefined while the engine is at work. */
-  private _resolve(standing: StandingFrame, frame: ApplyFrame): Applied | undefined {
+  private _resolve(standing: StageStatusFrame, frame: ApplyFrame): Applied | undefined {
     const end = frame.position + frame.count;
     if (standing.position === end && standing.last?.position === frame.position)
       return results.Ok(standing.last);
     if (standing.isBusy) return undefined;
-    return results.Err(new StageForgottenError(this.endpoint));
+    return results.Err(new StageStateLostError(this.endpoint));
   }
 
   private _getExpectedMs(count: number): number {
--- a/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
+++ b/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
@@ -22,7 +22,7 @@
 function createConnector(): WsEngineConnector {
   const ignore = (): void => undefined;
   const events = { onLeaving: ignore, onStrayReply: ignore, onLinkLost: ignore };
-  return new WsEngineConnector(events, new utils.Patience(firstWaitMs, longestWaitMs));
+  return new WsEngineConnector(events, new utils.AdaptiveTimeout(firstWaitMs, longestWaitMs));
 }
 
 test("one handshake that is late is no proof that an engine is gone; a second one that had more time is", async (t) => {
--- a/packages/placement/src/BalanceSearch.ts
+++ b/packages/placement/src/BalanceSearch.ts
@@ -4,7 +4,7 @@
  */
 import { getSteps, type BalanceStep } from "./balanceSteps.js";
 import { isCovered } from "./isCovered.js";
-import { getTokensBeside, type CopyModel } from "./planLayerCopies.js";
+import { getKvTokenCapacity, type CopyModel } from "./planLayerCopies.js";
 import { ZoneArrangement, type BalancedSpan } from "./ZoneArrangement.js";
 
 /** Steps of one search at most; what is left is found by the next one. */
@@ -17,15 +17,15 @@
   /** Whether engines only take on layers and give none up. */
   readonly isGrowthOnly?: boolean;
   /** Spans, by index, that engines may leave for others at once, where all their layers have another holder. */
-  readonly leavable?: ReadonlySet<number>;
+  readonly relocatable?: ReadonlySet<number>;
   /** Whether only engines that held nothing at first may change. */
   readonly isFillOnly?: boolean;
   /** Layers by which one step shifts a boundary at most. */
-  readonly longestShift?: number;
+  readonly maxShift?: number;
   /** Layers that an engine loads at most: loads take time, and until the last one is done a gap stays open. */
-  readonly mostLoads?: number;
+  readonly maxLoads?: number;
   /** Tokens that have to fit beside the layers that an engine holds now and those that it gets, while it changes over. */
-  readonly leastTokensBeside?: number;
+  readonly minKvTokens?: number;
 }
 
 /** A search for a better balance. Its steps are taken one by one, so that a caller can let other work in between. */
@@ -44,7 +44,7 @@
     this._spans = [..._held];
     this._arrangement = new ZoneArrangement(_held, _model);
     this.costBefore = this.cost;
-    this._relocatable = new Set(findRedundant(_held).filter((index) => _options.leavable?.has(index)));
+    this._relocatable = new Set(findRedundant(_held).filter((index) => _options.relocatable?.has(index)));
   }
 
   /** The spans as they are now, in the order in which they were given. */
@@ -57,8 +57,8 @@
   }
 
   /** Whether every layer has room for a request. */
-  get isWhole(): boolean {
-    return this._arrangement.isWhole;
+  get isComplete(): boolean {
+    return this._arrangement.isComplete;
   }
 
   /** Takes the step that helps most; tells whether there was one. */
@@ -76,7 +76,7 @@
   private _findBestStep(): BalanceStep | undefined {
     let best: BalanceStep | undefined;
     let bestGain = leastGain;
-    for (const step of getSteps(this._spans, this._model, this._options.longestShift, this._relocatable)) {
+    for (const step of getSteps(this._spans, this._model, this._options.maxShift, this._relocatable)) {
       if (!step.every(({ index, span }) => this._isAllowed(index, span))) continue;
       const gain = this._getGain(step);
       if (gain <= bestGain) continue;
@@ -89,10 +89,10 @@
   private _isAllowed(index: number, span: BalancedSpan): boolean {
     const held = this._held[index];
     if (held === undefined) return true;
-    if (countLoads(held, span) > (this._options.mostLoads ?? Number.POSITIVE_INFINITY)) return false;
-    const leastTokens = this._options.leastTokensBeside ?? 0;
+    if (countLoads(held, span) > (this._options.maxLoads ?? Number.POSITIVE_INFINITY)) return false;
+    const leastTokens = this._options.minKvTokens ?? 0;
     const hasRoom = (layers: number): boolean =>
-      getTokensBeside(span.engine, layers, this._model) >= leastTokens;
+      getKvTokenCapacity(span.engine, layers, this._model) >= leastTokens;
     const isNew = held.end <= held.start || (this._relocatable.has(index) && !isOverlapping(held, span));
     if (isNew) return hasRoom(span.end - span.start);
     const start = Math.min(held.start, span.start);
--- a/packages/placement/src/ZoneArrangement.ts
+++ b/packages/placement/src/ZoneArrangement.ts
@@ -2,7 +2,7 @@
  * Rates how the engines of a zone hold a model's layers. Spans are put in and taken out one by one, and the rating follows at the
  * cost of the layers that they touch.
  */
-import { getTokensBeside, type CopyEngine, type CopyModel } from "./planLayerCopies.js";
+import { getKvTokenCapacity, type CopyEngine, type CopyModel } from "./planLayerCopies.js";
 import { getTokensBeyondBurst } from "./burst.js";
 
 /** An engine and the layers that it holds; `end` equals `start` where it holds none. */
@@ -67,7 +67,7 @@
   }
 
   /** Whether every layer has room for a request. */
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this._totals.covered === this._model.layerCount;
   }
 
@@ -97,7 +97,7 @@
 
   private _change(span: BalancedSpan, sign: 1 | -1): void {
     const { engine, start, end } = span;
-    const tokens = getTokensBeside(engine, end - start, this._model);
+    const tokens = getKvTokenCapacity(engine, end - start, this._model);
     const usable = getTokensBeyondBurst(tokens, this._model);
     const isHolder = usable >= leastBatchShare * getBatchTokens(this._model);
     const share = usable / engine.stepFactor ** preferencePower;
--- a/packages/placement/src/isCovered.ts
+++ b/packages/placement/src/isCovered.ts
@@ -1,11 +1,11 @@
 /** A run of layers, `end` exclusive. */
-export interface LayerRun {
+export interface LayerInterval {
   readonly start: number;
   readonly end: number;
 }
 
 /** Whether each layer of `run` is in one of `others`. */
-export function isCovered(run: LayerRun, others: readonly LayerRun[]): boolean {
+export function isCovered(run: LayerInterval, others: readonly LayerInterval[]): boolean {
   let layer = run.start;
   while (layer < run.end) {
     const at = layer;
--- a/packages/placement/src/planLayerCopies.ts
+++ b/packages/placement/src/planLayerCopies.ts
@@ -82,13 +82,13 @@
 }
 
 /** Layers that an engine can hold while `tokens` tokens fit beside them. */
-export function getLayersBeside(engine: CopyEngine, tokens: number, model: CopyModel): number {
+export function getLayerCapacity(engine: CopyEngine, tokens: number, model: CopyModel): number {
   const perLayerMb = model.layerMb + tokens * model.kvMbPerTokenLayer;
   return Math.min(model.layerCount, Math.floor(engine.memoryMb / perLayerMb));
 }
 
 /** Tokens that fit beside `layers` layers. */
-export function getTokensBeside(engine: CopyEngine, layers: number, model: CopyModel): number {
+export function getKvTokenCapacity(engine: CopyEngine, layers: number, model: CopyModel): number {
   if (layers <= 0) return 0;
   return Math.max(0, engine.memoryMb - layers * model.layerMb) / (layers * model.kvMbPerTokenLayer);
 }
@@ -203,7 +203,7 @@
     const engine = byName.get(span.name);
     if (engine === undefined) continue;
     const layers = span.end - span.start;
-    tokens = Math.min(tokens, getTokensBeside(engine, layers, model));
+    tokens = Math.min(tokens, getKvTokenCapacity(engine, layers, model));
     factor += (layers / model.layerCount) * engine.stepFactor;
   }
   const requests = tokens / model.tokensPerRequest;
@@ -220,13 +220,13 @@
  */
 function spreadLayers(engines: readonly CopyEngine[], model: CopyModel): PlannedSpan[] | undefined {
   const count = (tokens: number): number =>
-    utils.getSum(engines.map((engine) => getLayersBeside(engine, tokens, model)));
+    utils.getSum(engines.map((engine) => getLayerCapacity(engine, tokens, model)));
   if (count(1) < model.layerCount) return undefined;
   const tokens = findMostTokens(count, model.layerCount);
   const spans: PlannedSpan[] = [];
   let start = 0;
   for (const engine of engines) {
-    const end = Math.min(model.layerCount, start + getLayersBeside(engine, tokens, model));
+    const end = Math.min(model.layerCount, start + getLayerCapacity(engine, tokens, model));
     if (end > start) spans.push({ name: engine.name, start, end });
     start = end;
   }
--- a/packages/placement/src/tests/BalanceSearchTests.ts
+++ b/packages/placement/src/tests/BalanceSearchTests.ts
@@ -3,7 +3,7 @@
 import * as fc from "fast-check";
 import { ZoneArrangement, type BalancedSpan } from "../ZoneArrangement.js";
 import { planBalance } from "../BalanceSearch.js";
-import { getTokensBeside, planLayerCopies, type CopyEngine, type CopyModel } from "../planLayerCopies.js";
+import { getKvTokenCapacity, planLayerCopies, type CopyEngine, type CopyModel } from "../planLayerCopies.js";
 import { createFleet } from "./createFleet.js";
 
 const model: CopyModel = {
@@ -37,7 +37,7 @@
   const tokens = Array.from({ length: model.layerCount }, (_, layer) =>
     spans
       .filter((span) => span.start <= layer && layer < span.end)
-      .map((span) => getTokensBeside(span.engine, span.end - span.start, model))
+      .map((span) => getKvTokenCapacity(span.engine, span.end - span.start, model))
       .reduce((sum, value) => sum + value, 0),
   );
   return Math.min(...tokens);
@@ -120,11 +120,11 @@
   const held = hold(createFleet(kinds, [1, 6, 6]));
   const empty = { engine: { name: "new", memoryMb: 72_000, stepFactor: 2.4 }, start: 0, end: 0 };
   const leastTokensBeside = 100_000;
-  const after = planBalance([...held, empty], model, { leastTokensBeside });
+  const after = planBalance([...held, empty], model, { minKvTokens: leastTokensBeside });
   for (const [index, { engine, start, end }] of held.entries()) {
     const now = after[index] ?? { start, end };
     const layers = Math.max(end, now.end) - Math.min(start, now.start);
     const isGrowing = now.start < start || now.end > end;
-    t.true(!isGrowing || getTokensBeside(engine, layers, model) >= leastTokensBeside);
+    t.true(!isGrowing || getKvTokenCapacity(engine, layers, model) >= leastTokensBeside);
   }
 });
--- a/packages/placement/src/tests/planLayerCopiesTests.ts
+++ b/packages/placement/src/tests/planLayerCopiesTests.ts
@@ -1,7 +1,7 @@
 /** Plans hold whole copies, within the memory of each engine, with room for requests. */
 import test from "ava";
 import * as fc from "fast-check";
-import { getTokensBeside, planLayerCopies, type CopyModel } from "../planLayerCopies.js";
+import { getKvTokenCapacity, planLayerCopies, type CopyModel } from "../planLayerCopies.js";
 import { createFleet } from "./createFleet.js";
 
 const model: CopyModel = {
@@ -38,7 +38,7 @@
         const engine = fleet.find((item) => item.name === span.name);
         return (
           engine !== undefined &&
-          getTokensBeside(engine, span.end - span.start, model) > model.tokensPerRequest
+          getKvTokenCapacity(engine, span.end - span.start, model) > model.tokensPerRequest
         );
       });
       return holders.size === 1 && hasRoom && new Set(spans.map((span) => span.name)).size === spans.length;
--- a/packages/routing/src/EndpointRest.ts
+++ b/packages/routing/src/EndpointBackoff.ts
@@ -2,14 +2,14 @@
 import { ReturnRamp } from "./ReturnRamp.js";
 
 /** Statuses with which an endpoint turns a request away for a time (RFC 9110, section 15.6.4; RFC 6585, section 4). */
-export const turnedAwayStatuses: readonly number[] = [429, 503];
+export const backoffStatuses: readonly number[] = [429, 503];
 /** An endpoint that is out for longer leaves, or starts again; a longer time is more likely a slip. */
-export const longestRestMs = 600_000;
+export const maxBackoffMs = 600_000;
 /** A request with no second chance tries an endpoint that comes back only if nobody else has done so for this long. */
 const untriedMs = 5_000;
 
 /** One for each life of an endpoint. */
-export class EndpointRest {
+export class EndpointBackoff {
   private _fromMs = 0;
   private _untilMs = 0;
   private _isEndNoted = true;
@@ -29,7 +29,7 @@
    * Notes that it wants nothing until `untilMs`. Each answer binds for its own time, so that a shorter one takes nothing back.
    * @returns Whether it was not resting yet.
    */
-  note(untilMs: number, nowMs: number): boolean {
+  extendTo(untilMs: number, nowMs: number): boolean {
     const isNew = this.getLeftMs(nowMs) === 0;
     if (isNew) this._fromMs = nowMs;
     this._untilMs = Math.max(this._untilMs, untilMs);
@@ -44,7 +44,7 @@
   }
 
   /** Whether a request may go there now. After a rest few go first. */
-  mayBegin(nowMs: number): boolean {
+  maySend(nowMs: number): boolean {
     return this.getLeftMs(nowMs) === 0 && !this._ramp.isFull(nowMs);
   }
 
