--- a/packages/routing/src/EndpointDirectory.ts
+++ b/packages/routing/src/EndpointDirectory.ts
@@ -13,7 +13,7 @@
   readonly availabilityZone: string;
   readonly address: string;
   /** Seen to be leaving, by the list, the endpoint's own word or a peer's. Never taken back for this address. */
-  isLeaving: boolean;
+  isDraining: boolean;
   /** Our own last contact failed. Cleared by the next report that comes from the endpoint itself. */
   isUnreachable: boolean;
   report: EngineReport | undefined;
@@ -55,14 +55,14 @@
     entry.reportAtMs = utils.monotonicMs();
     entry.ownStreamsAtReport = entry.ownStreams;
     if (isDirect) entry.isUnreachable = false;
-    if (report.state === "leaving") this.markLeaving(report.name);
+    if (report.state === "leaving") this.markDraining(report.name);
   }
 
   /** Notes that an endpoint is leaving; it gets no new work from here on. */
-  markLeaving(name: string): void {
+  markDraining(name: string): void {
     const entry = this._entries.get(name);
-    if (entry === undefined || entry.isLeaving) return;
-    entry.isLeaving = true;
+    if (entry === undefined || entry.isDraining) return;
+    entry.isDraining = true;
     for (const listener of this._leavingListeners) listener(entry);
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Calls `listener` once for each endpoint that begins to leave. */
-  onLeaving(listener: (entry: EndpointEntry) => void): void {
+  onDraining(listener: (entry: EndpointEntry) => void): void {
     this._leavingListeners.push(listener);
   }
 
@@ -144,12 +144,12 @@
     if (known === undefined || known.address !== instance.address) {
       this._entries.set(instance.name, createEntry(instance));
     }
-    if (instance.state === "leaving") this.markLeaving(instance.name);
+    if (instance.state === "leaving") this.markDraining(instance.name);
   }
 }
 
 function isOpenToWork(entry: EndpointEntry): boolean {
-  return !entry.isLeaving && !entry.isUnreachable;
+  return !entry.isDraining && !entry.isUnreachable;
 }
 
 function createEntry(instance: ListedInstance): EndpointEntry {
@@ -159,7 +159,7 @@
     service: instance.service,
     availabilityZone: instance.availabilityZone,
     address: instance.address,
-    isLeaving: false,
+    isDraining: false,
     isUnreachable: false,
     isRetiring: false,
     report: undefined,
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-export * from "./EndpointRest.js";
+export * from "./EndpointBackoff.js";
 export * from "./EngineReport.js";
 export * from "./EndpointDirectory.js";
 export * from "./OutlierGuard.js";
--- a/packages/standins/src/bench/claims.ts
+++ b/packages/standins/src/bench/claims.ts
@@ -1,6 +1,6 @@
 /** What a claim adds to a call, and what it costs the log, by rate of calls over eight instances. */
 import { results, utils } from "@shedtiller/common";
-import { AtMostOnce, ClaimBatcher, ClaimFold, claimsStream } from "@shedtiller/claims";
+import { AtMostOnce, ClaimBatcher, ClaimProjection, claimsStream } from "@shedtiller/claims";
 import { HttpLogService, LogFollower } from "@shedtiller/logservice";
 import { Timeline } from "@shedtiller/timeline";
 import { StandInLog } from "../platform/StandInLog.js";
@@ -71,7 +71,7 @@
 
 function createInstance(standIn: StandInLog, name: string, signal: AbortSignal): AtMostOnce<string> {
   const log = new HttpLogService(standIn.address);
-  const fold = new ClaimFold(windowMs);
+  const fold = new ClaimProjection(windowMs);
   void new LogFollower(log, claimsStream, fold).run(signal);
   const batcher = new ClaimBatcher(
     { log, holder: name, appendsPerSecond, countAppenders: () => instanceCount },
@@ -79,7 +79,7 @@
   );
   const askHolder = async (): Promise<undefined> => undefined;
   return new AtMostOnce<string>({
-    fold,
+    projection: fold,
     batcher,
     timeline: new Timeline(name),
     holder: name,
--- a/packages/standins/src/bench/control.ts
+++ b/packages/standins/src/bench/control.ts
@@ -88,7 +88,7 @@
 function measureAccounts(report: BenchReport, count: number): void {
   const objects = Array.from({ length: count }, (_value, index) => createAccount(index));
   const heapBefore = getHeapBytes();
-  const fold = new intent.ConfigurationFold();
+  const fold = new intent.ConfigurationProjection();
   const directory = new AccountDirectory(fold);
   const changes = objects.map((value) => ({ key: intent.getObjectKey(value), baseOffset: -1, value }));
   const first = {
@@ -195,7 +195,7 @@
     };
   });
   const heapBefore = getHeapBytes();
-  const fold = new claims.ClaimFold(600_000);
+  const fold = new claims.ClaimProjection(600_000);
   const cpuMs = measureCpuMs(() => {
     for (const record of records) fold.acceptRecord(record);
   });
--- a/packages/standins/src/bench/overload.ts
+++ b/packages/standins/src/bench/overload.ts
@@ -1,5 +1,5 @@
 /** Priority classes at 0.8, 1.5 and 3 times the capacity, against first come, first served. */
-import { ArrivalOrderAdmission } from "@shedtiller/admission";
+import { FifoAdmission } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 import { ModelQueues } from "@shedtiller/entry";
 import { getHardwareBound } from "@shedtiller/placement";
@@ -51,10 +51,7 @@
     fleet.addPartsHook((container) => {
       const limit =
         (slots * structure.endpoints.length * baselineStreamsPerSlot) / structure.instances.length;
-      const queues = new ModelQueues(
-        container.get(EndpointDirectory),
-        () => new ArrivalOrderAdmission(() => limit),
-      );
+      const queues = new ModelQueues(container.get(EndpointDirectory), () => new FifoAdmission(() => limit));
       container.rebind(ModelQueues).toConstantValue(queues);
     });
   await fleet.start();
--- a/packages/standins/src/bench/routing.ts
+++ b/packages/standins/src/bench/routing.ts
@@ -1,5 +1,5 @@
 /** All ways to choose a chain, at 85% load over eight entries, with reports that lag. */
-import { ArrivalOrderAdmission } from "@shedtiller/admission";
+import { FifoAdmission } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 import { ModelQueues } from "@shedtiller/entry";
 import * as routing from "@shedtiller/routing";
@@ -75,7 +75,7 @@
     // Every request begins at once, so that only the choice makes the difference.
     const queues = new ModelQueues(
       container.get(routing.EndpointDirectory),
-      () => new ArrivalOrderAdmission(() => Infinity),
+      () => new FifoAdmission(() => Infinity),
     );
     container.rebind(ModelQueues).toConstantValue(queues);
   });
--- a/packages/standins/src/bin/demo.ts
+++ b/packages/standins/src/bin/demo.ts
@@ -52,7 +52,7 @@
   listenForFaults(fleet);
   let isStopping = false;
   const stop = (): void => {
-    if (isStopping) for (const instance of fleet.instances.values()) instance.hurry();
+    if (isStopping) for (const instance of fleet.instances.values()) instance.abortInFlightRequests();
     if (isStopping) return;
     isStopping = true;
     const drains = [...fleet.instances.values()].map((instance) => instance.drain());
--- a/packages/standins/src/engine/EngineModel.ts
+++ b/packages/standins/src/engine/EngineModel.ts
@@ -75,7 +75,7 @@
   }
 
   /** Where a stage stands; a stage that is not known stands at position 0. */
-  getStanding(key: pipeline.StageKey): pipeline.StandingFrame {
+  getStanding(key: pipeline.StageKey): pipeline.StageStatusFrame {
     const stream = this._streams.get(getStreamId(key));
     const { requestId, attempt, firstLayer } = key;
     return {
--- a/packages/standins/src/fleet/CallerClient.ts
+++ b/packages/standins/src/fleet/CallerClient.ts
@@ -1,6 +1,6 @@
 /** A caller as the traces and benches need it: sends requests and tells how they came out. */
 import { getExpectedTokens } from "../engine/layerFunction.js";
-import { errors, utils, type Ran } from "@shedtiller/common";
+import { errors, utils, type ExecutionStatus } from "@shedtiller/common";
 import { WordTokenizer } from "@shedtiller/entry";
 import { createParser } from "eventsource-parser";
 import got from "got";
@@ -86,7 +86,7 @@
   private _raw = "";
   private _text = "";
   private _isDone = false;
-  private _ran: Ran | undefined;
+  private _ran: ExecutionStatus | undefined;
   private readonly _timesMs: number[] = [];
   private readonly _startMs = utils.monotonicMs();
   private readonly _parser = createParser({ onEvent: (event) => this._acceptEvent(event.data) });
@@ -189,14 +189,18 @@
 }
 
 /** A connection that never stood proves that nothing ran; one that broke without a word proves nothing. */
-function getFailedOutcome(status: number | undefined, ran: Ran | undefined, error: unknown): CallerOutcome {
+function getFailedOutcome(
+  status: number | undefined,
+  ran: ExecutionStatus | undefined,
+  error: unknown,
+): CallerOutcome {
   if (ran !== undefined) return ran === "no" ? "refused-not-run" : "unknown";
   const code = (error as { code?: unknown } | null)?.code;
   if (status === undefined && code === "ECONNREFUSED") return "refused-not-run";
   return "cut";
 }
 
-function readRan(body: string): Ran | undefined {
+function readRan(body: string): ExecutionStatus | undefined {
   try {
     const parsed = errorBodySchema.safeParse(JSON.parse(body));
     return parsed.success ? parsed.data.error.ran : undefined;
--- a/packages/standins/src/replay/checkTrace.ts
+++ b/packages/standins/src/replay/checkTrace.ts
@@ -190,7 +190,7 @@
 async function checkStops(record: TraceRecord): Promise<string[]> {
   const failed: string[] = [];
   for (const [name, drain] of record.fleet.drains) {
-    const { cut } = await drain;
+    const { abortedRequestIds: cut } = await drain;
     if (cut.length > 0) failed.push(`${name}: its planned stop cut ${cut.length} requests.`);
     const lines = [...record.trace.requests, ...record.trace.calls].filter((line) => line.instance === name);
     for (const { id } of lines)
--- a/packages/standins/src/tests/FakeConnector.ts
+++ b/packages/standins/src/tests/FakeConnector.ts
@@ -54,7 +54,7 @@
 
   override async probe(
     key: pipeline.StageKey,
-  ): Promise<results.Result<pipeline.StandingFrame, pipeline.EngineError>> {
+  ): Promise<results.Result<pipeline.StageStatusFrame, pipeline.EngineError>> {
     if (this._connector.isSilent(this.endpoint)) return new Promise(() => undefined);
     if (!this.isOpen) return results.Err(new errors.ConnectionLostError(this.endpoint));
     return results.Ok(this._model.getStanding(key));
--- a/packages/standins/src/tests/configurationTests.ts
+++ b/packages/standins/src/tests/configurationTests.ts
@@ -26,7 +26,7 @@
 }
 
 function getOffset(fleet: Fleet, name: string): number {
-  return fleet.requireInstance(name).fold.offset;
+  return fleet.requireInstance(name).configuration.offset;
 }
 
 test("nothing changes before a plan is confirmed; then it is in force on every instance", async (t) => {
@@ -34,13 +34,14 @@
   const operator = new OperatorClient(fleet, "e1");
   const before = getOffset(fleet, "e2");
   const plan = await operator.plan({ operator: "anna", objects: [createClass("night", 4)] });
-  t.is(fleet.requireInstance("e1").fold.getObject("class", "night"), undefined);
+  t.is(fleet.requireInstance("e1").configuration.getObject("class", "night"), undefined);
   // Behind a balancer the confirmation reaches another instance than the plan did.
   const confirmed = await new OperatorClient(fleet, "e3").confirm(plan.planId);
   t.is(confirmed.status, 200);
   t.true(confirmed.isInForce);
   t.deepEqual(confirmed.missing, []);
-  for (const instance of fleet.instances.values()) t.is(instance.fold.getObject("class", "night")?.rank, 4);
+  for (const instance of fleet.instances.values())
+    t.is(instance.configuration.getObject("class", "night")?.rank, 4);
   // Snapshots may be due meanwhile, one for each zone; they change nothing. Exactly one other record was written.
   const written = fleet.log.getRecords(configurationStream).filter((record) => record.offset > before);
   const isChange = (record: { readonly payload: unknown }): boolean =>
@@ -98,7 +99,10 @@
   const winner = answers[0].status === 200 ? "anna" : "bo";
   t.is(lost?.overtakenKey, "class/night");
   t.is(lost?.overtakenByOperator, winner);
-  t.is(fleet.requireInstance("e2").fold.getObject("class", "night")?.rank, winner === "anna" ? 4 : 5);
+  t.is(
+    fleet.requireInstance("e2").configuration.getObject("class", "night")?.rank,
+    winner === "anna" ? 4 : 5,
+  );
 });
 
 test("a confirmation whose append reply is lost resolves to the truth, and changes once", async (t) => {
@@ -107,11 +111,12 @@
   const plan = await operator.plan({ operator: "anna", objects: [createClass("night", 4)] });
   fleet.log.loseNextReply();
   t.is((await operator.confirm(plan.planId)).status, 200);
-  const held = fleet.requireInstance("e2").fold.getHeldObjects().get("class/night");
+  const held = fleet.requireInstance("e2").configuration.getStoredObjects().get("class/night");
   t.is(held?.setByPlan, plan.planId);
   t.is(
-    fleet.requireInstance("e2").fold.state.outcomes.filter((outcome) => outcome.planId === plan.planId)
-      .length,
+    fleet
+      .requireInstance("e2")
+      .configuration.state.outcomes.filter((outcome) => outcome.planId === plan.planId).length,
     1,
   );
 });
@@ -138,8 +143,8 @@
   const fresh = await fleet.addInstance("e9", "a");
   t.false(fresh.isReady);
   await fresh.waitUntilReady();
-  t.is(fresh.fold.getObject("class", "night")?.rank, 4);
-  t.is(fresh.fold.offset, getOffset(fleet, "e1"));
+  t.is(fresh.configuration.getObject("class", "night")?.rank, 4);
+  t.is(fresh.configuration.offset, getOffset(fleet, "e1"));
 });
 
 test("an instance cut off from the log learns from its peers, and a cut-off zone says since when", async (t) => {
@@ -152,7 +157,7 @@
   const confirmed = await operator.confirm(plan.planId);
   t.deepEqual(confirmed.missing, ["e2"]);
   t.true(getOffset(fleet, "e2") <= written);
-  t.is(fleet.requireInstance("e2").fold.getObject("class", "night"), undefined);
+  t.is(fleet.requireInstance("e2").configuration.getObject("class", "night"), undefined);
   t.true(
     await utils.waitUntil(
       () => fleet.requireInstance("e2").membership.getCutOffSinceMs() !== undefined,
@@ -169,7 +174,7 @@
   fleet.network.cutPair("e2", "platform");
   fleet.network.mendZone("b");
   t.true(await utils.waitUntil(() => getOffset(fleet, "e2") > written, waitMs));
-  t.is(fleet.requireInstance("e2").fold.getObject("class", "night")?.rank, 4);
+  t.is(fleet.requireInstance("e2").configuration.getObject("class", "night")?.rank, 4);
 });
 
 test("a rollout of a new version orders every engine under a lease, and serves all the while", async (t) => {
@@ -225,7 +230,7 @@
   };
   const operator = new OperatorClient(fleet, "e1");
   // The other instance must not be the one that orders, or nothing would be known to be whole.
-  const orderer = fleet.requireInstance("e1").membership.ownsDuty("orders") ? "e1" : "e2";
+  const orderer = fleet.requireInstance("e1").membership.ownsZoneRole("orders") ? "e1" : "e2";
   t.is(orderer, "e1");
   const pipeline = { kind: "pipeline", name: model, version: "2", layerCount };
   const plan = await operator.plan({ operator: "anna", objects: [pipeline] });
--- a/packages/standins/src/tests/crashingRequestTests.ts
+++ b/packages/standins/src/tests/crashingRequestTests.ts
@@ -3,7 +3,7 @@
  * replica after the other, and a repeat under another id began anew. By reading, after an incident of the other daemon; here shown by
  * a run, in which one request ended engines 204 times within the three seconds that it had, and was never refused.
  */
-import { RequestCrashes } from "@shedtiller/entry";
+import { PeerCrashQuarantine } from "@shedtiller/entry";
 import { utils } from "@shedtiller/common";
 import * as pipeline from "@shedtiller/pipeline";
 import { ExpectedTimeChooser, type LayerRange } from "@shedtiller/routing";
@@ -15,7 +15,7 @@
 const ranges: Record<string, LayerRange> = Object.fromEntries(names.map((name) => [name, [0, 8]]));
 const mostCrashes = 4;
 
-function createGuard(connector: FakeConnector): RequestCrashes {
+function createGuard(connector: FakeConnector): PeerCrashQuarantine {
   const nobody = {
     self: { name: "e1", availabilityZone: "z" },
     getLinked: () => [],
@@ -23,7 +23,7 @@
     onLinked: () => undefined,
     onNotice: () => undefined,
   };
-  return new RequestCrashes({
+  return new PeerCrashQuarantine({
     membership: nobody,
     getInstanceNames: () => ["e1"],
     probe: (address) => Promise.resolve(connector.isDown(address) ? "refused" : "open"),
@@ -33,7 +33,7 @@
 
 async function run(
   connector: FakeConnector,
-  crashes: RequestCrashes,
+  crashes: PeerCrashQuarantine,
   requestId: string,
   digest: string,
 ): Promise<string> {
@@ -90,7 +90,7 @@
   const connector = new FakeConnector(ranges, []);
   const crashes = createGuard(connector);
   for (const name of names) await crashes.noteLost("sound", { name, address: name });
-  t.is(crashes.getHeldBackMs("sound"), undefined);
+  t.is(crashes.getQuarantineMs("sound"), undefined);
 });
 
 test("a run that gave a token clears its request", async (t) => {
--- a/packages/standins/src/tests/rolloutTests.ts
+++ b/packages/standins/src/tests/rolloutTests.ts
@@ -29,7 +29,7 @@
   const fleet = new Fleet(createStructure(["e1", "e2"], engines), { hasRelays: true, seed: 1 });
   await fleet.start();
   t.teardown(() => fleet.close());
-  t.true(fleet.requireInstance("e1").membership.ownsDuty("orders"));
+  t.true(fleet.requireInstance("e1").membership.ownsZoneRole("orders"));
   return fleet;
 }
 
--- a/packages/timeline/src/Timeline.ts
+++ b/packages/timeline/src/Timeline.ts
@@ -40,7 +40,7 @@
 export type TimelineEvent = zod.infer<typeof timelineEventSchema>;
 
 /** What an event tells beside its kind. */
-export interface EventStructure {
+export interface EventDetails {
   readonly requestId?: string;
   /** The endpoint, instance or object that the event is about. */
   readonly subject?: string;
@@ -65,7 +65,7 @@
   ) {}
 
   /** Records an event. */
-  add(kind: EventKind, structure: EventStructure = {}): void {
+  add(kind: EventKind, structure: EventDetails = {}): void {
     this._ring[this._nextIndex % this.capacity] = {
       stamp: this.clock.next(),
       instance: this.instance,
