--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,4 @@
 export * as errors from "./errors/index.js";
 export * as results from "./results.js";
 export * as utils from "./utils/index.js";
-export type { ExecutionStatus as ExecutionStatus } from "./errors/index.js";
+export type { ExecutionStatus } from "./errors/index.js";
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -15,12 +15,12 @@
 import * as inversify from "inversify";
 import { ConfigurationSync } from "./configuration/ConfigurationSync.js";
 import { PeerCrashQuarantine } from "./crashes/PeerCrashQuarantine.js";
+import { createAtMostOnce } from "./createAtMostOnce.js";
 import { EntryInstance } from "./EntryInstance.js";
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
 import { ZoneStateExchange } from "./feeds/ZoneStateExchange.js";
 import { AccountDirectory } from "./http/authenticate.js";
-import { storedAnswerSchema, type StoredAnswer } from "./http/StoredAnswer.js";
 import { splitAddress } from "./http/HttpListener.js";
 import { InFlightRequests } from "./InFlightRequests.js";
 import { createLogs, type LogOptions, type Logs } from "./logs/createLogs.js";
@@ -44,7 +44,6 @@
   readonly silence?: pipeline.SilenceOptions;
 }
 
-const claimsTopic = "claims";
 const leaseDurationMs = 8_000;
 
 /** Binds every part of an instance. */
@@ -284,24 +283,6 @@
     .inSingletonScope();
 }
 
-function createAtMostOnce(c: Context, settings: InstanceSettings): claims.AtMostOnce<StoredAnswer> {
-  const members = c.get(membership.Membership);
-  const once = new claims.AtMostOnce<StoredAnswer>({
-    projection: c.get(claims.ClaimProjection),
-    batcher: c.get(claims.ClaimBatcher),
-    timeline: c.get(timeline.Timeline),
-    holder: settings.instance.name,
-    answersKept: settings.claims.answersKept,
-    askHolder: async (holder, key, timeoutMs) => {
-      const reply = await members.request(holder, claimsTopic, key, timeoutMs);
-      const answer = reply.ok ? storedAnswerSchema.safeParse(reply.val) : undefined;
-      return answer?.success === true ? answer.data : undefined;
-    },
-  });
-  members.onRequest(claimsTopic, (body) => (typeof body === "string" ? once.getAnswer(body) : undefined));
-  return once;
-}
-
 function bindOrders(container: inversify.Container, settings: InstanceSettings): void {
   const { name, availabilityZone } = settings.instance;
   container.bind(lease.LeaseProjection).toConstantValue(new lease.LeaseProjection());
--- /dev/null
+++ b/packages/entry/src/createAtMostOnce.ts
@@ -0,0 +1,31 @@
+/** The instance's "at most once": its claims, and the answers that others ask it for. */
+import * as claims from "@shedtiller/claims";
+import * as membership from "@shedtiller/membership";
+import * as timeline from "@shedtiller/timeline";
+import type { InstanceSettings } from "@shedtiller/settings";
+import type * as inversify from "inversify";
+import { storedAnswerSchema, type StoredAnswer } from "./http/StoredAnswer.js";
+
+const claimsTopic = "claims";
+
+/** Creates it, and answers the others' questions by it. */
+export function createAtMostOnce(
+  c: inversify.ResolutionContext,
+  settings: InstanceSettings,
+): claims.AtMostOnce<StoredAnswer> {
+  const members = c.get(membership.Membership);
+  const once = new claims.AtMostOnce<StoredAnswer>({
+    projection: c.get(claims.ClaimProjection),
+    batcher: c.get(claims.ClaimBatcher),
+    timeline: c.get(timeline.Timeline),
+    holder: settings.instance.name,
+    answersKept: settings.claims.answersKept,
+    askHolder: async (holder, key, timeoutMs) => {
+      const reply = await members.request(holder, claimsTopic, key, timeoutMs);
+      const answer = reply.ok ? storedAnswerSchema.safeParse(reply.val) : undefined;
+      return answer?.success === true ? answer.data : undefined;
+    },
+  });
+  members.onRequest(claimsTopic, (body) => (typeof body === "string" ? once.getAnswer(body) : undefined));
+  return once;
+}
--- a/packages/gateway/src/configuration/DenialFreshness.ts
+++ b/packages/gateway/src/configuration/DenialFreshness.ts
@@ -15,7 +15,7 @@
 
 /** What a proof of denials is made of. */
 export interface DenialFreshnessStructure {
-  readonly activeConfiguration: Pick<ActiveConfiguration, "getProofAgeMs" | "waitForNews">;
+  readonly activeConfiguration: Pick<ActiveConfiguration, "getFreshnessAgeMs" | "waitForUpdate">;
   /** For how long a newer configuration has been known to exist that is not in force here. */
   readonly getBehindMs: () => number;
   /** Within this of its acknowledgement a configuration has to be in force. */
--- a/packages/gateway/src/discovery/EndpointStatements.ts
+++ b/packages/gateway/src/discovery/EndpointStatements.ts
@@ -16,7 +16,7 @@
 
 /** What statements work with. */
 export interface EndpointStatementsStructure {
-  readonly endpoints: Pick<EndpointTable, "get" | "getLife" | "noteLeaving">;
+  readonly endpoints: Pick<EndpointTable, "get" | "getLife" | "noteDraining">;
   readonly limits: Pick<EndpointLimits, "noteAnswer" | "noteReport">;
   readonly log: DecisionLog;
   /** Counts answers that say something of their endpoint. */
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -137,7 +137,13 @@
     for (const requests of [changeOverRequests, leastRepairRequests]) {
       for (const leavable of [undefined, unused]) {
         const leastTokensBeside = requests * model.tokensPerRequest;
-        const options = { leastTokensBeside, leavable, mostLoads, isGrowthOnly: true, longestShift: 1 };
+        const options = {
+          minKvTokens: leastTokensBeside,
+          relocatable: leavable,
+          maxLoads: mostLoads,
+          isGrowthOnly: true,
+          maxShift: 1,
+        };
         const repaired = await search(held, model, options, (running) => running.isComplete);
         if (repaired.isComplete) return repaired.spans;
       }
--- a/packages/gateway/src/peers/DrainingBroadcast.ts
+++ b/packages/gateway/src/peers/DrainingBroadcast.ts
@@ -11,8 +11,8 @@
   PeerBroadcastStructure<string[]>,
   "membership" | "random"
 > {
-  readonly endpoints: Pick<EndpointTable, "noteLeaving" | "getLeavingLives">;
-  readonly statements: Pick<EndpointStatements, "onLeaving">;
+  readonly endpoints: Pick<EndpointTable, "noteDraining" | "getDrainingLives">;
+  readonly statements: Pick<EndpointStatements, "onDraining">;
   readonly log: DecisionLog;
 }
 
--- a/packages/gateway/src/peers/LoadExchange.ts
+++ b/packages/gateway/src/peers/LoadExchange.ts
@@ -25,7 +25,7 @@
 
 /** What an exchange works with. */
 export interface LoadExchangeStructure {
-  readonly membership: Pick<Membership, "self" | "getDutyCandidates" | "notifyAll" | "onNotice">;
+  readonly membership: Pick<Membership, "self" | "getZoneRoleCandidates" | "notifyAll" | "onNotice">;
   readonly endpoints: EndpointTable;
   readonly log: DecisionLog;
   /** Monotonic clock, replaced in tests. */
--- a/packages/gateway/src/peers/StoreRelay.ts
+++ b/packages/gateway/src/peers/StoreRelay.ts
@@ -35,7 +35,7 @@
 
 /** What a relay works with. */
 export interface StoreRelayStructure {
-  readonly membership: Pick<Membership, "self" | "getDutyCandidates" | "notifyAll" | "onNotice">;
+  readonly membership: Pick<Membership, "self" | "getZoneRoleCandidates" | "notifyAll" | "onNotice">;
   readonly log: DecisionLog;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
--- a/packages/gateway/src/peers/ZoneDuty.ts
+++ b/packages/gateway/src/peers/ZoneDuty.ts
@@ -11,7 +11,7 @@
 /** What a duty works with. */
 export interface ZoneDutyStructure {
   readonly name: string;
-  readonly membership: Pick<Membership, "self" | "getDutyCandidates">;
+  readonly membership: Pick<Membership, "self" | "getZoneRoleCandidates">;
   readonly log: DecisionLog;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
--- a/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -204,7 +204,7 @@
 });
 
 const asked = { method: "POST", path: "/a/x", accountName: "farm", body: Buffer.from("{}") };
-const soundRequest = { asked, digest: digestRequest(asked) };
+const soundRequest = { identity: asked, digest: digestRequest(asked) };
 
 test("a request equal to one that ended well of late is not held for crashes that it was at", async (t) => {
   const scene = new Scene();
--- a/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
@@ -43,7 +43,7 @@
   }
 }
 
-const threeSeconds = { comeBack: { kind: "named", afterMs: 3_000 } } as const;
+const threeSeconds = { retryAfter: { kind: "named", afterMs: 3_000 } } as const;
 
 test("an endpoint that turns a request away and names a time rests, in one line; other answers name no rest", (t) => {
   const scene = new Scene();
--- a/packages/gateway/src/tests/peers/DrainingBroadcastTests.ts
+++ b/packages/gateway/src/tests/peers/DrainingBroadcastTests.ts
@@ -33,7 +33,7 @@
   const instances = zones.map((zone, index) => createInstance(network, `i${index}`, zone));
   const [told] = instances;
   const endpoint = told?.endpoints.get("a");
-  const stated = { ...emptyStatement, isLeaving: true };
+  const stated = { ...emptyStatement, isDraining: true };
   if (endpoint !== undefined)
     for (let answer = 0; answer < 3; answer++)
       told?.statements.noteAnswer(endpoint, { status: 200, stated, sentAtMs: 0 });
--- a/packages/gateway/src/tests/peers/PeerNetwork.ts
+++ b/packages/gateway/src/tests/peers/PeerNetwork.ts
@@ -5,7 +5,14 @@
 
 type NetworkMember = Pick<
   Membership,
-  "self" | "getDutyCandidates" | "getLinked" | "notifyAll" | "onLinked" | "onNotice" | "onRequest" | "request"
+  | "self"
+  | "getZoneRoleCandidates"
+  | "getLinked"
+  | "notifyAll"
+  | "onLinked"
+  | "onNotice"
+  | "onRequest"
+  | "request"
 >;
 
 /** The instances of a test, and the links between them. */
--- a/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
+++ b/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
@@ -21,7 +21,7 @@
 
 function createConnector(): WsEngineConnector {
   const ignore = (): void => undefined;
-  const events = { onLeaving: ignore, onStrayReply: ignore, onLinkLost: ignore };
+  const events = { onDraining: ignore, onStrayReply: ignore, onLinkLost: ignore };
   return new WsEngineConnector(events, new utils.AdaptiveTimeout(firstWaitMs, longestWaitMs));
 }
 
