--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -54,7 +54,7 @@
   private _releaseIntervalMs = initialReleaseIntervalMs;
 
   constructor(
-    private readonly _keeper: ActiveConfiguration,
+    private readonly _activeConfiguration: ActiveConfiguration,
     private readonly _endpoints: EndpointTable,
     private readonly _chooser: ChainChooser,
     private readonly _demand: RequestDemand,
@@ -184,7 +184,7 @@
 
   /** Reserves a chain with free capacity whose first engine has a permit; returns undefined if there is none. */
   private _tryReserve(acquisition: ChainAcquisition): ChainReservation | undefined {
-    const profile = this._keeper.table?.getEngineProfile(acquisition.service);
+    const profile = this._activeConfiguration.table?.getEngineProfile(acquisition.service);
     if (profile === undefined) return undefined;
     const endpoints = this._endpoints.getUsable(acquisition.service);
     const stages = this._chooser.choose(endpoints, profile, acquisition.demand);
--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -54,7 +54,7 @@
     return this._choosePreferringRedundancy(endpoints, profile, { ...demand, refusedBy: undefined });
   }
 
-  /** Chooses a chain by the demand's `spares`; if redundancy is only preferred, falls back to a chain without it. */
+  /** Chooses a chain by the demand's `redundantFirstEngine`; if redundancy is only preferred, falls back to a chain without it. */
   private _choosePreferringRedundancy(
     endpoints: readonly Endpoint[],
     profile: EngineProfile,
@@ -115,17 +115,17 @@
       Math.floor((capacity * share - load.tokenLayers) / Math.max(1, tokens));
     const freeLayers = countFree(1);
     const isZoneComplete = completeZones.has(endpoint.listed.availabilityZone);
-    const freeLayersAcross = isZoneComplete ? countFree(crossZoneCapacityShare) : freeLayers;
-    // Compares all requests at the engine with its slots, since the load from peers does not tell in which requests it is the first engine.
-    const mayBegin = load.requests < endpoint.listed.slots && endpoint.hasPermit(nowMs);
+    const freeLayersCrossZone = isZoneComplete ? countFree(crossZoneCapacityShare) : freeLayers;
+    // Compares all requests at the engine with its slots, since the load that peers report includes requests that begin elsewhere.
+    const canBeFirst = load.requests < endpoint.listed.slots && endpoint.hasPermit(nowMs);
     return endpoint.listed.layers.map(({ start, end }) => ({
       endpoint,
       start,
       end,
       msPerLayer,
       freeLayers,
-      freeLayersAcross,
-      mayBegin,
+      freeLayersCrossZone,
+      canBeFirst,
     }));
   }
 }
--- a/packages/gateway/src/requests/CallerListener.ts
+++ b/packages/gateway/src/requests/CallerListener.ts
@@ -44,7 +44,7 @@
   /** Whether the configuration is recent enough to decide on API keys. */
   readonly areKeysFresh: () => boolean;
   /** Whether the configuration is recent enough to reject unknown routes and keys permanently. */
-  readonly denialFreshness: Pick<DenialFreshness, "isProven" | "wait">;
+  readonly denialFreshness: Pick<DenialFreshness, "isFresh" | "waitUntilFresh">;
   readonly forward: (request: CallerRequest) => Promise<void>;
   /** Maximum time that a request waits for the first configuration; replaced in tests. */
   readonly startupTimeoutMs?: number;
@@ -53,7 +53,7 @@
 /** Accepts the requests of callers and answers or rejects each of them. One per instance. */
 export class CallerListener {
   private readonly _server: http.Server;
-  private _inHand = 0;
+  private _inFlight = 0;
   private _isDraining = false;
   private _stopAtMs = Number.POSITIVE_INFINITY;
 
@@ -70,7 +70,7 @@
 
   /** Number of requests without a final answer. */
   get inFlight(): number {
-    return this._inHand;
+    return this._inFlight;
   }
 
   /** Starts to listen; resolves once the port is open. */
@@ -109,8 +109,8 @@
 
   private async _handle(message: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const arrivedAtMs = utils.monotonicMs();
-    this._inHand += 1;
-    response.once("close", () => (this._inHand -= 1));
+    this._inFlight += 1;
+    response.once("close", () => (this._inFlight -= 1));
     response.on("error", () => undefined);
     const fields = this._structure.codec.decodeCaller(message.rawHeaders);
     try {
@@ -142,19 +142,19 @@
     message: http.IncomingMessage,
     fields: CallerFields,
   ): Promise<AdmittedRequest | Refusal> {
-    const { denialFreshness: denials } = this._structure;
+    const { denialFreshness } = this._structure;
     const admitted = this._admit(message, fields);
-    if (!isDenial(admitted) || denials.isFresh()) return admitted;
-    const isFresh = await denials.waitUntilFresh(this._getMaxWaitMs(fields));
+    if (!isDenial(admitted) || denialFreshness.isFresh()) return admitted;
+    const isFresh = await denialFreshness.waitUntilFresh(this._getMaxWaitMs(fields));
     const decision = this._admit(message, fields);
     return isDenial(decision) && !isFresh ? staleConfigurationRefusal : decision;
   }
 
   private _admit(message: http.IncomingMessage, fields: CallerFields): AdmittedRequest | Refusal {
-    const { activeConfiguration: keeper, areKeysFresh } = this._structure;
+    const { activeConfiguration, areKeysFresh } = this._structure;
     const host = (message.headers.host ?? "").replace(/:\d+$/, "");
-    const claim = { host, path: message.url ?? "/", apiKey: fields.apiKey };
-    const admitted = admitCaller(claim, keeper.table, areKeysFresh);
+    const input = { host, path: message.url ?? "/", apiKey: fields.apiKey };
+    const admitted = admitCaller(input, activeConfiguration.table, areKeysFresh);
     if ("reason" in admitted) return admitted;
     const timeoutMs = Math.min(fields.deadlineMs ?? Number.POSITIVE_INFINITY, admitted.route.timeoutMs);
     if (utils.monotonicMs() + timeoutMs <= this._stopAtMs) return admitted;
@@ -202,7 +202,7 @@
     fields: CallerFields,
     refusal: Refusal,
   ): void {
-    const { activeConfiguration: keeper, codec, log } = this._structure;
+    const { activeConfiguration, codec, log } = this._structure;
     message.resume();
     sendRefusal(
       response,
@@ -216,8 +216,8 @@
       host: message.headers.host,
       path: message.url,
       reason: refusal.reason,
-      version: keeper.version,
-      proofAgeMs: Math.round(keeper.getFreshnessAgeMs()),
+      version: activeConfiguration.version,
+      proofAgeMs: Math.round(activeConfiguration.getFreshnessAgeMs()),
     });
   }
 }
--- a/packages/gateway/src/requests/ForwarderSet.ts
+++ b/packages/gateway/src/requests/ForwarderSet.ts
@@ -21,8 +21,8 @@
     orders: EngineOrders,
   ) {
     const chooser = new ChainChooser();
-    const { activeConfiguration: keeper, endpoints, demand, forecast } = _context;
-    this._admission = new ChainAdmission(keeper, endpoints, chooser, demand, forecast);
+    const { activeConfiguration, endpoints, demand, forecast } = _context;
+    this._admission = new ChainAdmission(activeConfiguration, endpoints, chooser, demand, forecast);
     this.monitor = new StallMonitor(_context, chooser, orders);
     this._plain = new PlainForwarder(_context, new PermitQueue(demand, forecast));
     this._streams = new StreamForwarder(_context, this._admission, this.monitor);
--- a/packages/gateway/src/requests/PermitForecast.ts
+++ b/packages/gateway/src/requests/PermitForecast.ts
@@ -85,8 +85,8 @@
    */
   describeBlocks(service: string): string[] {
     const nowMs = this._nowMs();
-    return this._getCandidates(service).flatMap(({ listed, limit, backoff: rest }) => {
-      const backoffMs = rest.getLeftMs(nowMs);
+    return this._getCandidates(service).flatMap(({ listed, limit, backoff }) => {
+      const backoffMs = backoff.getLeftMs(nowMs);
       if (backoffMs > 0) return [`${listed.address} backs off for ${Math.round(backoffMs)} ms`];
       if (limit?.perSecond === undefined) return [];
       return [`${listed.address}=${limit.perSecond}/s for ${Math.round(nowMs - limit.atMs)} ms`];
@@ -100,7 +100,7 @@
   private _getLimits(service: string): number[] | undefined {
     const nowMs = this._nowMs();
     const first = getFirstEndpoints(this._getCandidates(service)).filter(
-      ({ backoff: rest }) => rest.getLeftMs(nowMs) === 0,
+      ({ backoff }) => backoff.getLeftMs(nowMs) === 0,
     );
     if (first.length === 0 || first.some((endpoint) => endpoint.hasPermit(nowMs))) return undefined;
     return first.map((endpoint) => endpoint.limit?.perSecond ?? slowStartPerSecond);
@@ -114,7 +114,7 @@
   private _getBackoffMs(service: string, ahead = 0): number {
     const nowMs = this._nowMs();
     const candidates = this._getCandidates(service);
-    const available = candidates.filter(({ backoff: rest }) => rest.getLeftMs(nowMs) === 0);
+    const available = candidates.filter(({ backoff }) => backoff.getLeftMs(nowMs) === 0);
     if (available.length === candidates.length || isServable(available, candidates)) return 0;
     const backingOff = candidates
       .filter((candidate) => !available.includes(candidate))
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -32,9 +32,9 @@
     | "end"
     | "noteCompleted"
     | "noteLost"
-    | "getHeldBackMs"
+    | "getQuarantineMs"
     | "waitForTurn"
-    | "getShunned"
+    | "getAvoidedEndpointIds"
     | "getRisk"
   >;
   readonly statements: Pick<EndpointStatements, "noteAnswer">;
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -30,12 +30,12 @@
 const reportIntervalMs = 300;
 /** An engine that does not report within this time counts as dead. */
 const reportTimeoutMs = 400;
-/** Silence after which a stream continues at another chain; callers abandon a stream that is silent for two seconds. */
+/** Silence after which a resumable stream continues at another chain; callers abandon a stream that is silent for two seconds. */
 const maxSilenceMs = 1_200;
 
 /** Time for which an engine that rejected a moved stream gets no work from this instance: twice the interval between queries. */
 const refusedChangeBackoffMs = 600;
-/** Status of an engine that no longer knows the request. */
+/** Status of an engine that has no such request any more. */
 const unknownRequestStatus = 404;
 
 /**
@@ -219,7 +219,7 @@
   }
 
   /**
-   * Handles the rejection of a move. Abandons a stream that its first engine no longer knows. Otherwise the engine named in the rejection
+   * Handles the rejection of a move. Abandons a stream that its first engine has lost. Otherwise the engine named in the rejection
    * has no capacity or has not loaded the layers, so the next checks choose another one until the stream reaches its maximum silence.
    */
   private _handleRefusedMove(attempt: StreamAttempt, error: OrderError, chain: readonly ChainStage[]): void {
--- a/packages/gateway/src/requests/StreamAttempt.ts
+++ b/packages/gateway/src/requests/StreamAttempt.ts
@@ -65,8 +65,8 @@
     const done = new utils.Deferred<StreamEnd>();
     const { message } = answer;
     this.hasBegun = true;
-    const end = (how: StreamEnd): void => {
-      done.resolve(this.request.signal.aborted ? "caller-left" : how);
+    const end = (result: StreamEnd): void => {
+      done.resolve(this.request.signal.aborted ? "caller-left" : result);
       answer.abort();
     };
     this.abort.signal.addEventListener("abort", () => end("broken"), { once: true });
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -45,7 +45,7 @@
 const initialFirstEventMs = 100;
 
 /** By crash risk: whether a request begins only (or preferably) where another engine of the zone has the first layers, too. */
-const sparesByRisk = { none: undefined, some: "rather", high: "only" } as const;
+const redundancyByRisk = { none: undefined, some: "rather", high: "only" } as const;
 
 /** Reason for which the gateway rejects a stream. */
 type StreamRefusal =
@@ -146,7 +146,7 @@
         ...estimateTokens(request.fields),
         availabilityZone: this.context.availabilityZone,
         refusedBy: avoided,
-        redundantFirstEngine: sparesByRisk[this.context.crashes.getRisk(request)],
+        redundantFirstEngine: redundancyByRisk[this.context.crashes.getRisk(request)],
       },
       // A stream that has begun goes first, since its caller already waits for the next event.
       priority: request.isHeadSent ? resumedPriority : request.priority,
--- a/packages/gateway/src/requests/admitCaller.ts
+++ b/packages/gateway/src/requests/admitCaller.ts
@@ -50,17 +50,17 @@
  * @param areKeysFresh - Whether the configuration is recent enough to decide on API keys.
  */
 export function admitCaller(
-  claim: AdmissionInput,
+  input: AdmissionInput,
   table: RouteTable | undefined,
   areKeysFresh: () => boolean,
 ): AdmittedRequest | Refusal {
   if (table === undefined)
     return { status: 503, reason: "no-configuration", retryAfterMs: notReadyRetryAfterMs };
-  const route = table.getRoute(claim.host, claim.path);
+  const route = table.getRoute(input.host, input.path);
   if (route === undefined) return { status: 404, reason: "no-route" };
   const anonymous = { table, route, account: undefined };
   if (!table.hasAccounts) return anonymous;
-  const { apiKey } = claim;
+  const { apiKey } = input;
   if (apiKey === undefined && route.isAnonymousAllowed) return anonymous;
   if (!areKeysFresh()) {
     return staleConfigurationRefusal;
--- a/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
+++ b/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
@@ -15,11 +15,11 @@
 function setUp() {
   const endpoints = new EndpointTable();
   endpoints.setAll(new Map([["a", createListed("a", { layers: [{ start: 0, end: 4 }] })]]));
-  const keeper = new ActiveConfiguration();
+  const activeConfiguration = new ActiveConfiguration();
   const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
-  keeper.accept({ ...createConfiguration(1), services });
+  activeConfiguration.accept({ ...createConfiguration(1), services });
   const { demand, forecast } = createPermitParts(endpoints);
-  const admission = new ChainAdmission(keeper, endpoints, new ChainChooser(), demand, forecast);
+  const admission = new ChainAdmission(activeConfiguration, endpoints, new ChainChooser(), demand, forecast);
   const served: string[] = [];
   const acquire = async (name: string, changes: Partial<ChainAcquisition> = {}) => {
     const reservation = await admission.acquire({
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -115,7 +115,7 @@
     () => 1_000,
     () => numbers.shift() ?? 0.5,
   );
-  const moved = { ...demand, firstEndpointId: "a", firstEnd: 2, isSpread: true };
+  const moved = { ...demand, firstEndpointId: "a", firstEnd: 2, isRandomized: true };
   t.is(describe(randomized.choose(engines, profile, moved)), "a=0-2,c=2-4");
   t.is(describe(randomized.choose(engines, profile, moved)), "a=0-2,b=2-4");
 });
@@ -184,8 +184,10 @@
   const redundant = ["b", "c"].map((id) =>
     createEngine(id, 0, 4, { availabilityZone: "west", kind: "slow" }),
   );
-  const choose = (engines: typeof redundant, spares: "rather" | "only" | undefined): string | undefined =>
-    describe(chooser.choose(engines, profile, { ...demand, redundantFirstEngine: spares }));
+  const choose = (
+    engines: typeof redundant,
+    redundantFirstEngine: "rather" | "only" | undefined,
+  ): string | undefined => describe(chooser.choose(engines, profile, { ...demand, redundantFirstEngine }));
   t.is(choose([sole, ...redundant], undefined), "a=0-4");
   t.is(choose([sole, ...redundant], "only"), "b=0-4");
   t.is(choose([sole, ...redundant], "rather"), "b=0-4");
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -47,7 +47,7 @@
   readonly name: string;
   readonly availabilityZone: string;
   readonly startedAtMs: number;
-  readonly keeper: ActiveConfiguration;
+  readonly activeConfiguration: ActiveConfiguration;
   readonly inLink: SimulatedLink;
   /** Returns when a version or a newer one came into force; infinite if it did not. */
   readonly getInForceAtMs: (version: number) => number;
@@ -94,8 +94,8 @@
   /** Starts an instance without any state. */
   start(name: string, availabilityZone: string): void {
     const { clock } = this;
-    const keeper = new ActiveConfiguration(clock.nowMs);
-    const history = new ConfigurationHistory(keeper);
+    const activeConfiguration = new ActiveConfiguration(clock.nowMs);
+    const history = new ConfigurationHistory(activeConfiguration);
     const inLink = new SimulatedLink(clock, linkBytesPerMs);
     const processor = new SimulatedLink(clock, 1);
     const decode = (sizeBytes: number): Promise<void> => processor.pass(sizeBytes / decodeBytesPerMs);
@@ -104,21 +104,21 @@
     const identity = { name, availabilityZone };
     const membership = this.network.join({ identity, inLink, outLink, encode, decode });
     const activations: { version: number; atMs: number }[] = [];
-    keeper.onChanged(({ version }) => void activations.push({ version, atMs: clock.nowMs() }));
+    activeConfiguration.onChanged(({ version }) => void activations.push({ version, atMs: clock.nowMs() }));
     const getInForceAtMs = (version: number): number =>
       activations.find((activation) => activation.version >= version)?.atMs ?? Number.POSITIVE_INFINITY;
     const isCutOff = (): boolean => this.withoutStore.has(availabilityZone);
     const log = new DecisionLog(new SilentSink(), clock.nowMs);
     const feed = this.store.createFeed({ inLink, decode, isCutOff });
     const time = { nowMs: clock.nowMs, pause: clock.sleep };
-    const watch = new ConfigurationWatch(keeper, feed, log, deadlineMs, time);
+    const watch = new ConfigurationWatch(activeConfiguration, feed, log, deadlineMs, time);
     const endpointFeed = new UnchangedFeed<ListedEndpoint>(clock, isCutOff);
     const endpointWatch = new EndpointWatch(new EndpointTable(), endpointFeed, log, time);
     const relay = new StoreRelay({ membership, log, nowMs: clock.nowMs });
     relay.add(peerTopics.configurationRead, watch.follower, new ConfigurationChangeCodec(history));
     relay.add(peerTopics.endpointsRead, endpointWatch.follower, new WholeChangeCodec(listedEndpointSchema));
-    const exchange = this._createExchange(membership, keeper, history, watch, log);
-    keeper.onChanged(({ version }) => {
+    const exchange = this._createExchange(membership, activeConfiguration, history, watch, log);
+    activeConfiguration.onChanged(({ version }) => {
       if (relay.isReader) exchange.broadcastVersion(version);
     });
     const stop = new AbortController();
@@ -127,19 +127,27 @@
     void this._repeat(relayTickMs, stop.signal, () => relay.check());
     void this._repeat(requestTickMs, stop.signal, () => exchange.askIfStale());
     const startedAtMs = clock.nowMs();
-    this._instances.set(name, { name, availabilityZone, startedAtMs, keeper, inLink, getInForceAtMs, stop });
+    this._instances.set(name, {
+      name,
+      availabilityZone,
+      startedAtMs,
+      activeConfiguration,
+      inLink,
+      getInForceAtMs,
+      stop,
+    });
   }
 
   private _createExchange(
     membership: ReturnType<FleetNetwork["join"]>,
-    keeper: ActiveConfiguration,
+    activeConfiguration: ActiveConfiguration,
     history: ConfigurationHistory,
     watch: ConfigurationWatch,
     log: DecisionLog,
   ): PeerExchange {
     return new PeerExchange({
       membership,
-      activeConfiguration: keeper,
+      activeConfiguration,
       endpoints: new EndpointTable(),
       log,
       getListAgeMs: () => 0,
--- a/packages/gateway/src/tests/patterns/CrashingFleet.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleet.ts
@@ -1,7 +1,8 @@
 /**
- * Engines that crash, by requests that crash them and for other reasons, with the real decision code of all instances, in simulated time
- * and without a network. An engine takes all its runs with it. A run waits, begins (its head), gives its first event, and goes on for
- * seconds; one that crashes its engine does so at its beginning.
+ * Simulation of engines that crash because of certain requests or for other reasons. It runs the production code that detects and
+ * quarantines crashing requests at all instances, in simulated time and without a network. A crash ends all runs at the engine. A run
+ * waits, begins (with the headers of its answer), produces its first event and continues for seconds; a crashing request crashes its
+ * engine soon after the beginning of its run.
  */
 import { results, utils } from "@shedtiller/common";
 import { pickContacts, type NoticeHandler, type PeerIdentity } from "@shedtiller/membership";
@@ -18,37 +19,37 @@
 
 const zones = ["east", "west", "harbor"];
 const messageMs = 2;
-/** As the played day shows them: an engine is back after 4 s, and a run dies up to 100 ms after its beginning. */
+/** Times from a recorded scenario: an engine is back after 4 s, and a run crashes its engine up to 100 ms after its beginning. */
 const downMs = 4_000;
-const entryGoesAfterMs = 3_600;
-const longestWaitMs = 300;
-const shortestCrashMs = 15;
-const longestCrashMs = 95;
+const delistedAfterMs = 3_600;
+const maxWaitMs = 300;
+const minCrashMs = 15;
+const maxCrashMs = 95;
 const firstEventMs = 60;
 const streamMs = 2_500;
 const maxAttempts = 3;
 
-/** What a fleet is made of. */
+/** Options of a {@link CrashingFleet}. */
 export interface CrashingFleetOptions {
   readonly instances: number;
   readonly engines: number;
   readonly seed: number;
 }
 
-/** A request, as its callers repeat it. */
+/** A request that callers may repeat. */
 export interface SentRequest {
   readonly digest: string;
   readonly isCrashing: boolean;
-  /** Longest time after its beginning at which its run ends in good order, which may be before its engine crashes. */
+  /** Maximum time from its beginning after which a crashing run completes successfully, which may be before its engine crashes. */
   readonly endsWithinMs?: number;
 }
 
 export type SentEnd = "served" | "held-back" | "lost";
 
 interface EngineRun {
-  readonly watched: { -readonly [K in keyof TrackedRun]: TrackedRun[K] };
+  readonly tracked: { -readonly [K in keyof TrackedRun]: TrackedRun[K] };
   readonly instance: SimulatedInstance;
-  readonly lost: utils.Deferred<"served" | "lost">;
+  readonly ended: utils.Deferred<"served" | "lost">;
 }
 
 interface SimulatedEngine {
@@ -59,11 +60,12 @@
 
 interface SimulatedInstance {
   readonly identity: PeerIdentity;
-  readonly guard: RequestQuarantine;
+  readonly quarantine: RequestQuarantine;
   readonly handlers: Map<string, NoticeHandler>;
   readonly linkedListeners: ((peer: PeerIdentity) => void)[];
 }
 
+/** A store without content, since these simulations do not cover persistence. */
 class NoStore extends QuarantineStore {
   override read(): Promise<results.Result<StoredQuarantine[], never>> {
     return Promise.resolve(results.Ok([]));
@@ -76,15 +78,15 @@
   }
 }
 
-/** One fleet a simulation. */
+/** Simulates a fleet of instances and its engines. */
 export class CrashingFleet {
-  /** Times at which engines crashed by the run of a request, by its digest. */
+  /** By digest of the request: the times at which it crashed engines. */
   readonly crashesAtMs = new Map<string, number[]>();
-  /** Times at which engines got a run of a request that crashes them. */
+  /** Times at which engines received crashing requests. */
   readonly arrivalsAtMs: number[] = [];
-  /** Digests that were ever held back at some instance. */
-  readonly held = new Set<string>();
-  /** Instances that others reach. */
+  /** Digests that any instance has ever quarantined. */
+  readonly quarantined = new Set<string>();
+  /** Names of the instances that are partitioned from all others. */
   private readonly _cut = new Set<string>();
   private readonly _random: utils.RandomSource;
   private readonly _engines: SimulatedEngine[] = [];
@@ -111,7 +113,7 @@
     return this._engines.filter((engine) => engine.isUp).length;
   }
 
-  /** Cuts an instance off from all others, or links it again. */
+  /** Partitions an instance from all others, or ends the partition. */
   setCut(index: number, isCut: boolean): void {
     const instance = this._instances[index];
     if (instance === undefined) return;
@@ -124,32 +126,32 @@
     }
   }
 
-  /** Whether an instance holds a request back, or will but for one trial. */
-  isHeldAt(index: number, digest: string): boolean {
-    const standing = this._instances[index]?.guard.detector.ledger.getStanding(digest);
+  /** Whether an instance quarantines a request, including one that is due for its trial. */
+  isQuarantinedAt(index: number, digest: string): boolean {
+    const standing = this._instances[index]?.quarantine.detector.ledger.getStanding(digest);
     return standing === "held" || standing === "due-for-trial";
   }
 
-  /** Sends a request to an instance, which tries it as streams are tried. */
+  /** Sends a request to an instance, which attempts it like a stream. */
   async send(
     request: SentRequest,
     index = this._random.nextInteger(this._instances.length),
   ): Promise<SentEnd> {
     const instance = this._instances[index];
     if (instance === undefined) return "lost";
-    const { detector: watch } = instance.guard;
+    const { detector } = instance.quarantine;
     for (let attempt = 1; attempt <= maxAttempts; attempt++) {
-      await watch.waitForTurn(request);
-      if (watch.getQuarantineMs(request) !== undefined) return "held-back";
-      const engine = this._pickEngine(watch.getAvoidedEndpointIds(request));
+      await detector.waitForTurn(request);
+      if (detector.getQuarantineMs(request) !== undefined) return "held-back";
+      const engine = this._pickEngine(detector.getAvoidedEndpointIds(request));
       if (engine === undefined) return "lost";
       if ((await this._run(request, instance, engine)) === "served") return "served";
     }
     return "lost";
   }
 
-  /** Engines end for a reason that no request has. */
-  crashByChance(count: number): void {
+  /** Crashes random engines for a reason unrelated to their requests. */
+  crashRandomEngines(count: number): void {
     const up = this._engines.filter((engine) => engine.isUp);
     for (let crashed = 0; crashed < count; crashed++) {
       const [engine] = up.splice(this._random.nextInteger(up.length), 1);
@@ -162,36 +164,36 @@
     instance: SimulatedInstance,
     engine: SimulatedEngine,
   ): Promise<"served" | "lost"> {
-    const watched = {
+    const tracked = {
       request: { digest: request.digest },
       endpointId: engine.endpoint.id,
       hasBegun: false,
       firstEventAtMs: undefined,
     };
-    const run: EngineRun = { watched, instance, lost: new utils.Deferred() };
-    const { detector: watch } = instance.guard;
+    const run: EngineRun = { tracked, instance, ended: new utils.Deferred() };
+    const { detector } = instance.quarantine;
     if (request.isCrashing) this.arrivalsAtMs.push(this._clock.nowMs());
-    watch.begin(watched);
+    detector.begin(tracked);
     engine.runs.add(run);
-    void this._live(run, engine, request);
-    const end = await run.lost.promise;
+    void this._simulateRun(run, engine, request);
+    const end = await run.ended.promise;
     engine.runs.delete(run);
-    watch.end(watched);
-    const asked = { method: "POST", path: request.digest, accountName: undefined, body: Buffer.alloc(0) };
+    detector.end(tracked);
+    const identity = { method: "POST", path: request.digest, accountName: undefined, body: Buffer.alloc(0) };
     if (end === "served")
-      watch.noteCompleted("streaming", { digest: request.digest, identity: asked }, watched, engine.endpoint);
+      detector.noteCompleted("streaming", { digest: request.digest, identity }, tracked, engine.endpoint);
     return end;
   }
 
-  private async _live(run: EngineRun, engine: SimulatedEngine, request: SentRequest): Promise<void> {
+  private async _simulateRun(run: EngineRun, engine: SimulatedEngine, request: SentRequest): Promise<void> {
     const isOver = (): boolean => !engine.runs.has(run);
-    await this._clock.sleep(this._random.nextUnit() * longestWaitMs);
+    await this._clock.sleep(this._random.nextUnit() * maxWaitMs);
     if (isOver()) return;
-    run.watched.hasBegun = true;
+    run.tracked.hasBegun = true;
     if (request.isCrashing) {
       if (request.endsWithinMs !== undefined)
-        void this._endWell(run, this._random.nextUnit() * request.endsWithinMs);
-      await this._clock.sleep(shortestCrashMs + this._random.nextUnit() * (longestCrashMs - shortestCrashMs));
+        void this._complete(run, this._random.nextUnit() * request.endsWithinMs);
+      await this._clock.sleep(minCrashMs + this._random.nextUnit() * (maxCrashMs - minCrashMs));
       if (request.endsWithinMs === undefined && isOver()) return;
       if (!engine.isUp) return;
       const times = this.crashesAtMs.get(request.digest) ?? [];
@@ -200,17 +202,17 @@
     }
     await this._clock.sleep(firstEventMs);
     if (isOver()) return;
-    run.watched.firstEventAtMs = this._clock.nowMs();
+    run.tracked.firstEventAtMs = this._clock.nowMs();
     await this._clock.sleep(streamMs);
-    run.lost.resolve("served");
+    run.ended.resolve("served");
   }
 
-  /** A run that gives its events and ends, whatever its engine does then. */
-  private async _endWell({ watched, lost }: EngineRun, afterMs: number): Promise<void> {
+  /** Completes a run successfully after a time, even if its engine crashes afterwards. */
+  private async _complete({ tracked, ended }: EngineRun, afterMs: number): Promise<void> {
     await this._clock.sleep(afterMs / 2);
-    watched.firstEventAtMs = this._clock.nowMs();
+    tracked.firstEventAtMs = this._clock.nowMs();
     await this._clock.sleep(afterMs / 2);
-    lost.resolve("served");
+    ended.resolve("served");
   }
 
   private _crash(engine: SimulatedEngine): void {
@@ -219,21 +221,21 @@
     const { endpoint } = engine;
     const runs = [...engine.runs];
     engine.runs.clear();
-    for (const { instance, watched, lost } of runs) {
-      void instance.guard.detector.noteLost(watched, endpoint);
-      lost.resolve("lost");
+    for (const { instance, tracked, ended } of runs) {
+      void instance.quarantine.detector.noteLost(tracked, endpoint);
+      ended.resolve("lost");
     }
-    this._clock.at(this._clock.nowMs() + entryGoesAfterMs, () => this._listEngines());
+    this._clock.at(this._clock.nowMs() + delistedAfterMs, () => this._listEngines());
     this._clock.at(this._clock.nowMs() + downMs, () => {
       Object.assign(engine, this._createEngine());
       this._listEngines();
     });
   }
 
-  private _pickEngine(shunned: readonly string[]): SimulatedEngine | undefined {
+  private _pickEngine(avoidedIds: readonly string[]): SimulatedEngine | undefined {
     const up = this._engines.filter((engine) => engine.isUp);
-    const apart = up.filter((engine) => !shunned.includes(engine.endpoint.id));
-    return this._random.pick(apart.length > 0 ? apart : up);
+    const preferred = up.filter((engine) => !avoidedIds.includes(engine.endpoint.id));
+    return this._random.pick(preferred.length > 0 ? preferred : up);
   }
 
   private _createEngine(): SimulatedEngine {
@@ -252,7 +254,7 @@
   private _createInstance(identity: PeerIdentity): SimulatedInstance {
     const handlers = new Map<string, NoticeHandler>();
     const linkedListeners: ((peer: PeerIdentity) => void)[] = [];
-    const guard = new RequestQuarantine({
+    const quarantine = new RequestQuarantine({
       membership: {
         self: identity,
         getLinked: () => this._getPeers(instance).map((peer) => toMember(peer.identity)),
@@ -272,9 +274,9 @@
       nowMs: this._clock.nowMs,
       pause: this._clock.sleep,
     });
-    const instance: SimulatedInstance = { identity, guard, handlers, linkedListeners };
-    guard.detector.ledger.onQuarantineChanged((digest, hold) => {
-      if (hold !== undefined) this.held.add(digest);
+    const instance: SimulatedInstance = { identity, quarantine, handlers, linkedListeners };
+    quarantine.detector.ledger.onQuarantineChanged((digest, entry) => {
+      if (entry !== undefined) this.quarantined.add(digest);
     });
     return instance;
   }
--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -16,7 +16,14 @@
 
 export type FleetMembership = Pick<
   Membership,
-  "self" | "getDutyCandidates" | "getLinked" | "notifyAll" | "onLinked" | "onNotice" | "onRequest" | "request"
+  | "self"
+  | "getZoneRoleCandidates"
+  | "getLinked"
+  | "notifyAll"
+  | "onLinked"
+  | "onNotice"
+  | "onRequest"
+  | "request"
 >;
 
 /** An instance with its links and its processor. */
--- a/packages/gateway/src/tests/patterns/ManyChoosers.ts
+++ b/packages/gateway/src/tests/patterns/ManyChoosers.ts
@@ -1,6 +1,6 @@
 /**
- * Many instances that choose chains on old knowledge of load, in simulated time and without a network. Each instance knows its own
- * requests at once and the sum of the others' as it was some hundred milliseconds before, as a zone's collector tells it.
+ * Simulation of instances that choose chains by stale load data, in simulated time and without a network. Each instance has its own load
+ * immediately, and the sum of the load of all others as it was some hundred milliseconds ago, as the collector of a zone reports it.
  */
 import { utils } from "@shedtiller/common";
 import * as placement from "@shedtiller/placement";
@@ -21,15 +21,15 @@
 import { subtract } from "../../peers/endpointLoads.js";
 import { createListed } from "../testData.js";
 
-/** Each instance tells its load this often, and the collector tells the sum as often: what is known is one to two of these old. */
-const tellIntervalMs = 200;
+/** Interval of the reports from instances to the collector and of its reports back, so that the data is one to two intervals old. */
+const reportIntervalMs = 200;
 const tickMs = 5;
-/** From here on 17 in 100 first events are late, by measurement. */
-const crowdedShare = 1.35;
-/** Requests before this moment find a zone that still fills. */
+/** Load at an engine as a multiple of its unqueued requests, from which on 17 % of the first events were measured to be late. */
+const overloadFactor = 1.35;
+/** Requests before this time are not counted, since the zone is not yet filled. */
 const warmUpMs = 5_000;
 
-/** What a run is made of. */
+/** Options of {@link ManyChoosers}. */
 export interface ManyChoosersOptions {
   readonly profile: EngineProfile;
   /** Number of engines by kind. */
@@ -38,24 +38,24 @@
   readonly requestsPerSecond: number;
   readonly durationMs: number;
   readonly seed: number;
-  /** Whether an engine's refusal is told to all instances at once. */
-  readonly areRefusalsTold: boolean;
-  /** How long no instance knows any load but its own, as after a start of all; all requests count then. */
-  readonly blindMs?: number;
-  /** How many others each instance takes to be like itself meanwhile. */
+  /** Whether the rejection of an engine is broadcast to all instances immediately. */
+  readonly areRefusalsBroadcast: boolean;
+  /** Time for which instances have no load but their own, as after a simultaneous start. If set, all requests are counted. */
+  readonly withoutReportsMs?: number;
+  /** Number of other instances that each instance assumes to have the same load as itself meanwhile. */
   readonly assumedPeers?: number;
 }
 
-/** What came of a run. */
+/** Result of a simulation. */
 export interface ManyChoosersResult {
   readonly requests: number;
-  /** Requests whose first engine chain refused them, for want of room at one of its engines. */
+  /** Number of requests that an engine of their first chain rejected for lack of capacity. */
   readonly refused: number;
-  /** Requests for which the instance itself saw no room. */
+  /** Number of requests for which the instance found no chain with free capacity. */
   readonly withoutChain: number;
-  /** Starts at the busiest first engine, as a multiple of the mean over engines that hold the first layer. */
+  /** Number of requests that began at the busiest first engine, as a multiple of the mean over all engines with the first layer. */
   readonly busiestToMean: number;
-  /** Requests that began at a chain where prompts have to wait: an engine has 1.35 times the requests that it reads without a queue. */
+  /** Number of requests at chains where prompts queue, since an engine has 1.35 times its unqueued requests. */
   readonly queued: number;
   /** Mean time of a token, in ms. */
   readonly tokenMs: number;
@@ -65,28 +65,33 @@
 
 interface Running {
   readonly endsAtMs: number;
+  /** Reservation in the instance's view. */
   readonly reservation: ChainReservation;
-  readonly truth: ChainReservation;
+  /** Reservation in the actual load. */
+  readonly actual: ChainReservation;
 }
 
-/** One zone in simulated time. */
+/** Simulates the requests of one zone. */
 export class ManyChoosers {
   private _nowMs = 0;
   private readonly _random: utils.RandomSource;
-  private readonly _truth: EndpointTable;
+  /** The endpoints with their actual load. */
+  private readonly _actual: EndpointTable;
+  /** The endpoints with their load as each instance has it. */
   private readonly _views: readonly EndpointTable[];
   private readonly _chooser: ChainChooser;
   private _running: Running[] = [];
-  /** Load by endpoint as all instances told it last: of all, and of each instance. */
-  private _told = new Map<string, EndpointLoad>();
-  private _toldOwn: Map<string, EndpointLoad>[] = [];
+  /** The last reported load by endpoint, of all instances together. */
+  private _reported = new Map<string, EndpointLoad>();
+  /** The last reported load by endpoint, of each instance. */
+  private _reportedOwn: Map<string, EndpointLoad>[] = [];
   private readonly _counts = { requests: 0, refused: 0, withoutChain: 0, queued: 0, tokenMs: 0, stages: 0 };
   private readonly _starts = new Map<string, number>();
 
   constructor(private readonly _options: ManyChoosersOptions) {
     this._random = new utils.RandomSource(_options.seed);
     const listed = planZone(_options);
-    this._truth = createTable(listed, () => this._nowMs);
+    this._actual = createTable(listed, () => this._nowMs);
     this._views = Array.from({ length: _options.instances }, () => createTable(listed, () => this._nowMs));
     for (const view of this._views) view.assumePeers(_options.assumedPeers ?? 0);
     this._chooser = new ChainChooser(
@@ -98,12 +103,12 @@
   run(): ManyChoosersResult {
     const { durationMs, requestsPerSecond } = this._options;
     const perTick = (requestsPerSecond * tickMs) / utils.msPerSecond;
-    let nextTellMs = 0;
+    let nextReportMs = 0;
     for (; this._nowMs < durationMs; this._nowMs += tickMs) {
       this._endDue();
-      if (this._nowMs >= nextTellMs && this._nowMs >= (this._options.blindMs ?? 0)) {
-        this._tell();
-        nextTellMs += tellIntervalMs;
+      if (this._nowMs >= nextReportMs && this._nowMs >= (this._options.withoutReportsMs ?? 0)) {
+        this._report();
+        nextReportMs += reportIntervalMs;
       }
       for (let due = drawPoisson(perTick, this._random); due > 0; due--) this._arrive();
     }
@@ -113,20 +118,20 @@
   private _endDue(): void {
     const [ended, running] = partition(this._running, ({ endsAtMs }) => endsAtMs <= this._nowMs);
     this._running = running;
-    for (const { reservation, truth } of ended) {
+    for (const { reservation, actual } of ended) {
       reservation.release();
-      truth.release();
+      actual.release();
     }
   }
 
-  /** What was collected one interval before reaches all instances now; what they have now is collected. */
-  private _tell(): void {
+  /** Delivers the load collected one interval ago to all instances, and collects the current load. */
+  private _report(): void {
     for (const [index, view] of this._views.entries()) {
-      const others = subtract(this._told, this._toldOwn[index] ?? new Map());
+      const others = subtract(this._reported, this._reportedOwn[index] ?? new Map());
       view.setPeerLoads("collected", others);
     }
-    this._told = new Map(this._truth.getAll().map((endpoint) => [endpoint.id, endpoint.ownLoad]));
-    this._toldOwn = this._views.map(
+    this._reported = new Map(this._actual.getAll().map((endpoint) => [endpoint.id, endpoint.ownLoad]));
+    this._reportedOwn = this._views.map(
       (view) => new Map(view.getAll().map((endpoint) => [endpoint.id, endpoint.ownLoad])),
     );
   }
@@ -140,7 +145,7 @@
       answerTokens: Math.round(profile.usualAnswerTokens * (0.5 + this._random.nextUnit())),
       availabilityZone: "east",
     };
-    const isCounted = this._options.blindMs !== undefined || this._nowMs >= warmUpMs;
+    const isCounted = this._options.withoutReportsMs !== undefined || this._nowMs >= warmUpMs;
     if (isCounted) this._counts.requests += 1;
     const chain = this._chooser.choose(view.getAll(), profile, demand);
     if (chain === undefined) {
@@ -149,15 +154,15 @@
     }
     const tokens = demand.promptTokens + demand.answerTokens;
     const full = chain.find(({ endpointId, start, end }) => {
-      const endpoint = this._truth.get(endpointId);
+      const endpoint = this._actual.get(endpointId);
       if (endpoint === undefined) return true;
-      const roomTokenLayers = getCapacityTokenLayers(endpoint, profile);
-      return endpoint.ownLoad.tokenLayers + tokens * (end - start) > roomTokenLayers;
+      const capacityTokenLayers = getCapacityTokenLayers(endpoint, profile);
+      return endpoint.ownLoad.tokenLayers + tokens * (end - start) > capacityTokenLayers;
     });
     if (full !== undefined) {
       if (isCounted) this._counts.refused += 1;
-      const told = this._options.areRefusalsTold ? this._views : [view];
-      for (const each of told) each.get(full.endpointId)?.noteFull(this._nowMs);
+      const informed = this._options.areRefusalsBroadcast ? this._views : [view];
+      for (const each of informed) each.get(full.endpointId)?.noteFull(this._nowMs);
       return;
     }
     this._start(view, chain, demand, isCounted);
@@ -171,12 +176,12 @@
   ): void {
     const tokens = demand.promptTokens + demand.answerTokens;
     const reservation = new ChainReservation(view, chain, tokens);
-    const truth = new ChainReservation(this._truth, chain, tokens);
+    const actual = new ChainReservation(this._actual, chain, tokens);
     const { tokenMs, prefillMs } = this._getTimes(chain, demand.promptTokens, tokens);
     const endsAtMs = this._nowMs + prefillMs + tokenMs * demand.answerTokens;
-    this._running.push({ endsAtMs, reservation, truth });
+    this._running.push({ endsAtMs, reservation, actual });
     if (!isCounted) return;
-    if (chain.some(({ endpointId }) => this._isCrowded(endpointId))) this._counts.queued += 1;
+    if (chain.some(({ endpointId }) => this._isOverloaded(endpointId))) this._counts.queued += 1;
     this._counts.tokenMs += tokenMs;
     this._counts.stages += chain.length;
     const [first] = chain;
@@ -184,10 +189,10 @@
       this._starts.set(first.endpointId, (this._starts.get(first.endpointId) ?? 0) + 1);
   }
 
-  private _isCrowded(endpointId: string): boolean {
-    const endpoint = this._truth.get(endpointId);
+  private _isOverloaded(endpointId: string): boolean {
+    const endpoint = this._actual.get(endpointId);
     if (endpoint === undefined) return false;
-    return endpoint.ownLoad.requests > crowdedShare * getUnqueuedRequests(endpoint, this._options.profile);
+    return endpoint.ownLoad.requests > overloadFactor * getUnqueuedRequests(endpoint, this._options.profile);
   }
 
   private _getTimes(
@@ -199,20 +204,20 @@
     let tokenMs = 0;
     let prefillMs = 0;
     for (const { endpointId, start, end } of chain) {
-      const endpoint = this._truth.get(endpointId);
+      const endpoint = this._actual.get(endpointId);
       const kind = endpoint === undefined ? undefined : getKind(endpoint, profile);
       if (endpoint === undefined || kind === undefined) continue;
       const share = (end - start) / profile.layerCount;
       tokenMs += hopMs + share * getStepMs(profile, endpoint.ownLoad.requests, tokens) * kind.stepFactor;
-      const readMs = (promptTokens / profile.prefillTokensPerSecond) * utils.msPerSecond;
-      prefillMs += share * readMs * kind.prefillFactor;
+      const promptMs = (promptTokens / profile.prefillTokensPerSecond) * utils.msPerSecond;
+      prefillMs += share * promptMs * kind.prefillFactor;
     }
     return { tokenMs, prefillMs };
   }
 
   private _getResult(): ManyChoosersResult {
     const { requests, refused, withoutChain, queued, tokenMs, stages } = this._counts;
-    const firsts = this._truth.getAll().filter((endpoint) => endpoint.listed.layers[0]?.start === 0);
+    const firsts = this._actual.getAll().filter((endpoint) => endpoint.listed.layers[0]?.start === 0);
     const started = utils.getSum([...this._starts.values()]);
     const busiest = Math.max(...this._starts.values());
     return {
@@ -227,7 +232,7 @@
   }
 }
 
-/** Engines with the layers that the planner gives them. */
+/** Creates the engines of a zone with the layers that the planner assigns to them. */
 function planZone({ profile, engines }: ManyChoosersOptions): ListedEndpoint[] {
   const model = toCopyModel(profile);
   const members = Object.entries(engines).flatMap(([kind, count]) =>
@@ -245,12 +250,12 @@
       )
       .map((span) => [span.name, span]),
   );
-  const held = members.map(({ engine }) => ({ engine, start: 0, end: 0, ...first.get(engine.name) }));
+  const assigned = members.map(({ engine }) => ({ engine, start: 0, end: 0, ...first.get(engine.name) }));
   const burstRequests = placement.getBurstRequests(
-    held.map(({ engine }) => engine),
+    assigned.map(({ engine }) => engine),
     model,
   );
-  const spans = placement.planBalance(held, { ...model, burstRequests });
+  const spans = placement.planBalance(assigned, { ...model, burstRequests });
   return members.map(({ kind, engine }, index) => {
     const span = spans[index] ?? { start: 0, end: 0 };
     const layers = span.end > span.start ? [{ start: span.start, end: span.end }] : [];
@@ -268,7 +273,7 @@
   return [items.filter(isFirst), items.filter((item) => !isFirst(item))];
 }
 
-/** A Poisson number by Knuth's method; fine for small means. */
+/** Draws a Poisson-distributed number by Knuth's method, which is suitable for small means. */
 function drawPoisson(mean: number, random: utils.RandomSource): number {
   const limit = Math.exp(-mean);
   let count = -1;
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -47,7 +47,7 @@
   return text === undefined ? { kind: "none" } : { kind: "named", perSecond: Number(text) };
 }
 
-function decodeReturn(text: string | undefined): StatedRetryAfter {
+function decodeRetryAfter(text: string | undefined): StatedRetryAfter {
   return text === undefined ? { kind: "none" } : { kind: "named", afterMs: Number(text) };
 }
 
@@ -79,7 +79,7 @@
       stated: {
         ...emptyStatement,
         limit: decodeLimit(lookUp(headers, "x-limit")),
-        retryAfter: decodeReturn(lookUp(headers, "x-rest-ms")),
+        retryAfter: decodeRetryAfter(lookUp(headers, "x-rest-ms")),
         isDraining: lookUp(headers, "x-leaving") !== undefined,
       },
     };
@@ -129,7 +129,7 @@
 
 /** The request path of one gateway. */
 export class GatewayFixture {
-  readonly keeper = new ActiveConfiguration();
+  readonly activeConfiguration = new ActiveConfiguration();
   readonly endpoints = new EndpointTable();
   areKeysFresh = true;
   /** The clock of quarantines. It advances only when a test sets it, so that the speed of a test does not affect its result. */
@@ -137,7 +137,7 @@
   /** Time since which a newer configuration is known to exist. */
   behindMs = 0;
   private readonly _servers: http.Server[] = [];
-  private readonly _caller = new HttpClient();
+  private readonly _httpClient = new HttpClient();
   private _listener: CallerListener | undefined;
   private _port = 0;
 
@@ -155,9 +155,9 @@
     const codec = new TestCodec();
     const permits = createPermitParts(this.endpoints);
     const context = {
-      keeper: this.keeper,
+      activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
-      caller: this._caller,
+      httpClient: this._httpClient,
       codec,
       budgets,
       log,
@@ -181,11 +181,11 @@
         log,
       }),
       ...permits,
-      tellFull: () => undefined,
+      broadcastFull: () => undefined,
     };
     const chooser = new ChainChooser();
     const admission = new ChainAdmission(
-      this.keeper,
+      this.activeConfiguration,
       this.endpoints,
       chooser,
       permits.demand,
@@ -204,16 +204,16 @@
     };
     const areKeysFresh = (): boolean => this.areKeysFresh;
     this._port = await getFreePort();
-    const { keeper } = this;
+    const { activeConfiguration } = this;
     this._listener = new CallerListener({
       host: "127.0.0.1",
       port: this._port,
-      activeConfiguration: keeper,
+      activeConfiguration,
       codec,
       log,
       areKeysFresh,
       denialFreshness: new DenialFreshness({
-        activeConfiguration: keeper,
+        activeConfiguration,
         getBehindMs: () => this.behindMs,
         getDeadlineMs: () => generousMs,
       }),
@@ -226,8 +226,11 @@
   /** Sets the gateway's configuration. */
   configure(route: Route): void {
     const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
-    this.keeper.accept({ ...createConfiguration(this.keeper.version + 1, [route]), services });
-    this.keeper.confirmFreshness(this.keeper.version, utils.monotonicMs());
+    this.activeConfiguration.accept({
+      ...createConfiguration(this.activeConfiguration.version + 1, [route]),
+      services,
+    });
+    this.activeConfiguration.confirmFreshness(this.activeConfiguration.version, utils.monotonicMs());
   }
 
   /** Resolves once a request is in flight. */
@@ -281,7 +284,7 @@
 
   close(): void {
     this._listener?.close();
-    this._caller.close();
+    this._httpClient.close();
     for (const server of this._servers) {
       server.close();
       server.closeAllConnections();
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -54,16 +54,16 @@
     createListed(id, { layers: [{ start, end }], address: `${id}:1` }),
   ];
   endpoints.setAll(new Map([listed("a", 0, 2), listed("b", 2, 4), listed("c", 2, 4), listed("d", 2, 4)]));
-  const keeper = new ActiveConfiguration();
+  const activeConfiguration = new ActiveConfiguration();
   const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
-  keeper.accept({ ...createConfiguration(1), services });
+  activeConfiguration.accept({ ...createConfiguration(1), services });
   const orders = new FakeEngines();
   // The chain that begins at "a" waits for the engine "b".
   orders.reports.set("a", { stalled: [{ requestId: "r1", address: "b:1" }] });
   const context = {
-    keeper,
+    activeConfiguration,
     endpoints,
-    caller: new HttpClient(),
+    httpClient: new HttpClient(),
     codec: {} as MessageCodec,
     budgets: new RetryBudgets({ ratio: 1, slack: 10, windowMs: 10_000 }),
     log: new DecisionLog(new SilentSink(), () => 0),
@@ -82,7 +82,7 @@
     }),
     ...createPermitParts(endpoints),
     statements: { noteAnswer: () => undefined },
-    tellFull: () => undefined,
+    broadcastFull: () => undefined,
   };
   const chooser = new ChainChooser(
     () => clock.nowMs,
--- a/packages/gateway/src/tests/requests/denialTests.ts
+++ b/packages/gateway/src/tests/requests/denialTests.ts
@@ -45,7 +45,7 @@
 
 test("while the configuration is long out of date, unknown routes and keys get a retryable rejection immediately", async (t) => {
   const fixture = await setUp(t);
-  fixture.keeper.accept(createConfiguration(1, [route]));
+  fixture.activeConfiguration.accept(createConfiguration(1, [route]));
   for (const [path, account] of [
     ["/b/x", "k1"],
     ["/a/x", "other"],
@@ -59,51 +59,51 @@
 test("a configuration counts as current until shortly before the deadline, but not while a newer one is known to exist", (t) => {
   let nowMs = 10_000;
   let behindMs = 0;
-  const keeper = new ActiveConfiguration(() => nowMs);
-  const denials = new DenialFreshness({
-    activeConfiguration: keeper,
+  const activeConfiguration = new ActiveConfiguration(() => nowMs);
+  const freshness = new DenialFreshness({
+    activeConfiguration,
     getBehindMs: () => behindMs,
     getDeadlineMs: () => deadlineMs,
     nowMs: () => nowMs,
   });
-  keeper.accept(createConfiguration(1));
-  t.false(denials.isFresh());
-  keeper.confirmFreshness(1, nowMs);
-  t.true(denials.isFresh());
+  activeConfiguration.accept(createConfiguration(1));
+  t.false(freshness.isFresh());
+  activeConfiguration.confirmFreshness(1, nowMs);
+  t.true(freshness.isFresh());
   behindMs = 1;
-  t.false(denials.isFresh());
+  t.false(freshness.isFresh());
   behindMs = 0;
   nowMs += deadlineMs - 1;
-  t.false(denials.isFresh());
+  t.false(freshness.isFresh());
 });
 
 test("a wait for a current configuration ends with its confirmation or at its timeout", async (t) => {
   let nowMs = 10_000;
-  const keeper = new ActiveConfiguration(() => nowMs);
-  const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
-  const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
-  keeper.accept(createConfiguration(1));
-  keeper.confirmFreshness(1, nowMs);
+  const activeConfiguration = new ActiveConfiguration(() => nowMs);
+  const structure = { activeConfiguration, getBehindMs: () => 0, getDeadlineMs: () => deadlineMs };
+  const freshness = new DenialFreshness({ ...structure, nowMs: () => nowMs });
+  activeConfiguration.accept(createConfiguration(1));
+  activeConfiguration.confirmFreshness(1, nowMs);
   nowMs += deadlineMs;
-  const proven = denials.waitUntilFresh(deadlineMs);
-  keeper.confirmFreshness(1, nowMs);
-  t.true(await proven);
+  const confirmed = freshness.waitUntilFresh(deadlineMs);
+  activeConfiguration.confirmFreshness(1, nowMs);
+  t.true(await confirmed);
   nowMs += deadlineMs;
-  const unproven = denials.waitUntilFresh(1);
+  const unconfirmed = freshness.waitUntilFresh(1);
   nowMs += 1;
-  t.false(await unproven);
+  t.false(await unconfirmed);
 });
 
 test("long-polling reads confirm the configuration often enough for permanent rejections", (t) => {
   for (const boundMs of [1_000, 2_000, deadlineMs, 60_000]) {
     let nowMs = 0;
-    const keeper = new ActiveConfiguration(() => nowMs);
-    const structure = { keeper, getBehindMs: () => 0, getDeadlineMs: () => boundMs };
-    const denials = new DenialFreshness({ ...structure, nowMs: () => nowMs });
-    keeper.accept(createConfiguration(1));
-    keeper.confirmFreshness(1, 0);
+    const activeConfiguration = new ActiveConfiguration(() => nowMs);
+    const structure = { activeConfiguration, getBehindMs: () => 0, getDeadlineMs: () => boundMs };
+    const freshness = new DenialFreshness({ ...structure, nowMs: () => nowMs });
+    activeConfiguration.accept(createConfiguration(1));
+    activeConfiguration.confirmFreshness(1, 0);
     // A confirmation counts from the send of its read, so the next one arrives after two held reads at the latest.
     nowMs = 2 * getLongPollMs(boundMs);
-    t.true(denials.isFresh(), `${boundMs} ms`);
+    t.true(freshness.isFresh(), `${boundMs} ms`);
   }
 });
