--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -8,10 +8,10 @@
 import { ChainReservation } from "./ChainReservation.js";
 import type { ChainDemand } from "./findCheapestChain.js";
 
-/** Capacity also becomes free when streams of peers end, which this instance learns from the load that they report. */
+/** Interval at which waiting requests are retried, since capacity also becomes free when streams of peers end. */
 const pollIntervalMs = 50;
 
-/** Number of waiting requests that may find no chain in one pass over the queue; each of them costs a search. */
+/** Maximum number of waiting requests that find no chain in one pass over the queue; each of them costs a search. */
 const maxMisses = 3;
 /** Weight of past releases in the moving average of the time between two released chains. */
 const releaseSmoothing = 16;
@@ -78,7 +78,7 @@
     const reservation = ahead === 0 ? this._tryReserve(acquisition) : undefined;
     if (reservation !== undefined) return reservation;
     // A second engine with the first layers appears only after a load of layers, which takes seconds, so waiting is useless.
-    if (acquisition.demand.redundantFirstEngine === "only") return undefined;
+    if (acquisition.demand.redundantFirstEngine === "required") return undefined;
     // An immediate rejection leaves the caller time for a retry; a rejection after a useless wait does not.
     if (this._getWaitMs(acquisition.service, ahead) > acquisition.maxWaitMs) return undefined;
     return this._wait(acquisition);
--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -61,7 +61,7 @@
     demand: ChainDemand,
   ): ChainStage[] | undefined {
     const chain = this._chooseAmong(endpoints, profile, demand);
-    if (chain !== undefined || demand.redundantFirstEngine !== "rather") return chain;
+    if (chain !== undefined || demand.redundantFirstEngine !== "preferred") return chain;
     return this._chooseAmong(endpoints, profile, { ...demand, redundantFirstEngine: undefined });
   }
 
--- a/packages/gateway/src/chains/findCheapestChain.ts
+++ b/packages/gateway/src/chains/findCheapestChain.ts
@@ -18,11 +18,11 @@
    */
   readonly isRandomized?: boolean | undefined;
   /**
-   * Whether the first engine must be redundant ("only"), or is so preferably ("rather"): another engine of its zone has the first layers,
-   * too. Set for a request that may have crashed an engine. A zone that loses its last engine with the first layers serves no requests
-   * until another one has loaded them.
+   * Whether the first engine must be redundant, or is preferably so: another engine of its zone has the first layers, too. Set for a
+   * request that may have crashed an engine. A zone that loses its last engine with the first layers serves no requests until another
+   * one has loaded them.
    */
-  readonly redundantFirstEngine?: "rather" | "only" | undefined;
+  readonly redundantFirstEngine?: "preferred" | "required" | undefined;
   /** Addresses of engines that rejected this request; the cause of a rejection rarely ends within milliseconds. */
   readonly refusedBy?: ReadonlySet<string> | undefined;
 }
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -44,8 +44,8 @@
 /** Time to the first event before any stream has run: the prefill time at a chain of medium accelerators. */
 const initialFirstEventMs = 100;
 
-/** By crash risk: whether a request begins only (or preferably) where another engine of the zone has the first layers, too. */
-const redundancyByRisk = { none: undefined, some: "rather", high: "only" } as const;
+/** By crash risk: whether the first engine must be redundant, so that its crash leaves the zone another one with the first layers. */
+const redundancyByRisk = { none: undefined, some: "preferred", high: "required" } as const;
 
 /** Reason for which the gateway rejects a stream. */
 type StreamRefusal =
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -186,13 +186,13 @@
   );
   const choose = (
     engines: typeof redundant,
-    redundantFirstEngine: "rather" | "only" | undefined,
+    redundantFirstEngine: "preferred" | "required" | undefined,
   ): string | undefined => describe(chooser.choose(engines, profile, { ...demand, redundantFirstEngine }));
   t.is(choose([sole, ...redundant], undefined), "a=0-4");
-  t.is(choose([sole, ...redundant], "only"), "b=0-4");
-  t.is(choose([sole, ...redundant], "rather"), "b=0-4");
-  t.is(choose([sole, ...redundant.slice(1)], "rather"), "a=0-4");
-  t.is(choose([sole, ...redundant.slice(1)], "only"), undefined);
+  t.is(choose([sole, ...redundant], "required"), "b=0-4");
+  t.is(choose([sole, ...redundant], "preferred"), "b=0-4");
+  t.is(choose([sole, ...redundant.slice(1)], "preferred"), "a=0-4");
+  t.is(choose([sole, ...redundant.slice(1)], "required"), undefined);
   redundant[0]?.circuitBreaker.noteFailed(990, 995);
-  t.is(choose(redundant, "only"), undefined, "the other engine has just failed and may have crashed");
+  t.is(choose(redundant, "required"), undefined, "the other engine has just failed and may have crashed");
 });
