--- a/packages/gateway/src/requests/RetryBudgets.ts
+++ b/packages/gateway/src/requests/RetryBudgets.ts
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Sets the number of instances that share the slack. A decrease takes effect one window later, since the instances that left may have
-   * used their shares of the current window.
+   * Sets the number of instances that share the slack. If this instance has retried before, a decrease takes effect one window later, since
+   * the instances that left may have used their shares of the current window.
    */
   setInstanceCount(count: number): void {
     const sharers = Math.max(1, count);
