--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -7,7 +7,7 @@
   type TrialMessage,
 } from "./crashMessages.js";
 
-/** Weight of its crashes from which a request is quarantined. */
+/** Weight of the crashes against a request at which the request is quarantined. */
 export const quarantineWeight = 3;
 /**
  * From this number of other endpoints that crashed at about the same time without running the request, the crash may have a common cause (a
--- a/packages/gateway/src/orders/LayerReconciler.ts
+++ b/packages/gateway/src/orders/LayerReconciler.ts
@@ -181,8 +181,8 @@
   if (order.isUrgent) return undefined;
   const layers = order.span.end - order.span.start;
   const engine = toCopyEngine(endpoint, profile);
-  const roomTokenLayers = placement.getKvTokenCapacity(engine, layers, toCopyModel(profile)) * layers;
-  return report.usedTokenLayers < roomTokenLayers ? undefined : "in use";
+  const capacityTokenLayers = placement.getKvTokenCapacity(engine, layers, toCopyModel(profile)) * layers;
+  return report.usedTokenLayers < capacityTokenLayers ? undefined : "in use";
 }
 
 function getPoolKey(endpoint: Endpoint): string {
--- a/packages/gateway/src/orders/LostEngineDetector.ts
+++ b/packages/gateway/src/orders/LostEngineDetector.ts
@@ -15,7 +15,7 @@
 
 interface Probe {
   failures: number;
-  isUnderWay: boolean;
+  isRunning: boolean;
   /** Monotonic time of the next probe. */
   nextAtMs: number;
 }
@@ -55,17 +55,17 @@
 
   /** Probes an engine until it answers or counts as lost. */
   async check(member: Endpoint): Promise<void> {
-    const probe = this._probes.get(member.id) ?? { failures: 0, isUnderWay: false, nextAtMs: 0 };
+    const probe = this._probes.get(member.id) ?? { failures: 0, isRunning: false, nextAtMs: 0 };
     this._probes.set(member.id, probe);
-    if (probe.isUnderWay || this._nowMs() < probe.nextAtMs) return;
-    probe.isUnderWay = true;
+    if (probe.isRunning || this._nowMs() < probe.nextAtMs) return;
+    probe.isRunning = true;
     while (!(await this._probeOnce(member))) {
       probe.failures += 1;
       if (probe.failures === failuresUntilLost) this._logWarning(member, "engine-lost");
       if (probe.failures >= failuresUntilLost) break;
       await utils.sleep(retryMs);
     }
-    probe.isUnderWay = false;
+    probe.isRunning = false;
     probe.nextAtMs = this._nowMs() + lostProbeIntervalMs;
   }
 
--- a/packages/gateway/src/orders/planZoneOrders.ts
+++ b/packages/gateway/src/orders/planZoneOrders.ts
@@ -80,9 +80,9 @@
   const both = { start: Math.min(listed.start, wanted.start), end: Math.max(listed.end, wanted.end) };
   const isGrowing = both.start < listed.start || both.end > listed.end;
   if (!isGrowing) return wanted;
-  const hasRoom =
+  const hasCapacity =
     placement.getKvTokenCapacity(member.engine, both.end - both.start, model) >= model.tokensPerRequest;
-  if (hasRoom) return both;
+  if (hasCapacity) return both;
   return isComplete ? undefined : wanted;
 }
 
--- a/packages/routing/src/SlowStart.ts
+++ b/packages/routing/src/SlowStart.ts
@@ -13,7 +13,7 @@
   private _startedAtMs = 0;
   private _sentAtMs = 0;
 
-  /** Whether the endpoint takes as many requests as any other. */
+  /** Whether the slow start is over, so that the endpoint takes as many requests as any other. */
   get isOver(): boolean {
     return this._allowed >= unrestrictedRequests;
   }
