--- a/packages/admission/src/AdmissionQueue.ts
+++ b/packages/admission/src/AdmissionQueue.ts
@@ -6,12 +6,12 @@
 /** Options of {@link AdmissionQueue}. */
 export interface AdmissionOptions {
   /** Maximum wait; a request that would wait longer is rejected at once. */
-  readonly longestWaitMs: number;
+  readonly maxWaitMs: number;
   /** Share of the capacity that each rank below the highest leaves free for the ranks above it. */
   readonly reservePerRank: number;
 }
 
-export const defaultAdmissionOptions: AdmissionOptions = { longestWaitMs: 2_000, reservePerRank: 0.05 };
+export const defaultAdmissionOptions: AdmissionOptions = { maxWaitMs: 2_000, reservePerRank: 0.05 };
 
 const rateTimeConstantMs = 2_000;
 const grantTimeConstantMs = 10_000;
@@ -152,7 +152,7 @@
       const waiting = ordered[index];
       if (waiting === undefined) continue;
       const waitMs = ((index + 1) / perSecond) * utils.msPerSecond;
-      const maxWaitMs = Math.min(this._options.longestWaitMs, waiting.request.deadlineMs - this._nowMs());
+      const maxWaitMs = Math.min(this._options.maxWaitMs, waiting.request.deadlineMs - this._nowMs());
       if (waitMs > maxWaitMs) return waiting;
     }
     return undefined;
--- a/packages/admission/src/tests/admissionTests.ts
+++ b/packages/admission/src/tests/admissionTests.ts
@@ -22,7 +22,7 @@
   };
 }
 
-const withoutShedding = { longestWaitMs: 1_000_000, reservePerRank: 0 };
+const withoutShedding = { maxWaitMs: 1_000_000, reservePerRank: 0 };
 
 test("the shares of instances that have the same demands add up to the limit", (t) => {
   const demands = fc.array(fc.double({ min: 0, max: 500, noNaN: true }), { minLength: 1, maxLength: 12 });
@@ -93,7 +93,7 @@
 });
 
 test("under overload the lowest class is rejected at once, with a time after which to retry", async (t) => {
-  const queue = new AdmissionQueue(() => 1, { longestWaitMs: 2_000, reservePerRank: 0 }, clock);
+  const queue = new AdmissionQueue(() => 1, { maxWaitMs: 2_000, reservePerRank: 0 }, clock);
   await queue.acquire(createRequest({}));
   const high = [1, 2].map(() => queue.acquire(createRequest({ rank: 1 })));
   const low = await Promise.all([1, 2, 3].map(() => queue.acquire(createRequest({ rank: 5 }))));
@@ -104,7 +104,7 @@
 });
 
 test("before any request has ended, a short queue does not count as a long wait", async (t) => {
-  const queue = new AdmissionQueue(() => 8, { longestWaitMs: 2_000, reservePerRank: 0 }, clock);
+  const queue = new AdmissionQueue(() => 8, { maxWaitMs: 2_000, reservePerRank: 0 }, clock);
   const granted = Array.from({ length: 8 }, () => queue.acquire(createRequest({})));
   await Promise.all(granted);
   for (let count = 0; count < 8; count++) void queue.acquire(createRequest({}));
--- a/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
+++ b/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
@@ -24,7 +24,8 @@
     this.coordinators = new Map(Object.entries(coordinators));
     this.coordinator = new PermitCoordinator({
       availabilityZone: zone,
-      getLimit: (asked) => (asked === key ? { perSecond, availabilityZone: endpointZone } : undefined),
+      getLimit: (requestedKey) =>
+        requestedKey === key ? { perSecond, availabilityZone: endpointZone } : undefined,
       getLimitedZones: () => new Set([endpointZone]),
       getCoordinators: () => this.coordinators,
       getKnownSinceMs: () => this.knownSinceMs,
@@ -55,20 +56,20 @@
 const whole = perSecond * seconds;
 
 test("if all instances are present, the whole limit is granted", (t) => {
-  const got = new Fixture().run(spanMs, ["a", "b"], 2);
-  t.true(got <= whole && got > whole * 0.9, String(got));
+  const granted = new Fixture().run(spanMs, ["a", "b"], 2);
+  t.true(granted <= whole && granted > whole * 0.9, String(granted));
 });
 
 test("if instances are missing, only the quota shares that are present are granted", (t) => {
-  const got = new Fixture().run(spanMs, ["a", "b"], 8);
-  t.true(got <= whole / 4 + 1, String(got));
+  const granted = new Fixture().run(spanMs, ["a", "b"], 8);
+  t.true(granted <= whole / 4 + 1, String(granted));
 });
 
 test("two coordinators of one zone together grant the whole limit, and no more", (t) => {
   const fixtures = [new Fixture(), new Fixture()];
-  const got = fixtures.map((fixture, index) => fixture.run(spanMs, [`a${index}`, `b${index}`], 4));
-  const sum = got.reduce((total, count) => total + count, 0);
-  t.true(sum <= whole + 2 && sum > whole * 0.9, got.join(" and "));
+  const granted = fixtures.map((fixture, index) => fixture.run(spanMs, [`a${index}`, `b${index}`], 4));
+  const sum = granted.reduce((total, count) => total + count, 0);
+  t.true(sum <= whole + 2 && sum > whole * 0.9, granted.join(" and "));
 });
 
 test("quota shares of instances that have been absent for long are granted only by the majority", (t) => {
@@ -100,8 +101,8 @@
   t.deepEqual(request?.zones, ["west"]);
   fixture.coordinators.clear();
   t.is(fixture.run(loanMs - tickMs, ["a"], 2), 0, "the loan has not expired");
-  const got = fixture.run(spanMs, ["a"], 2);
-  t.true(got > whole * 0.4 && got <= whole / 2 + 2, String(got));
+  const granted = fixture.run(spanMs, ["a"], 2);
+  t.true(granted > whole * 0.4 && granted <= whole / 2 + 2, String(granted));
 });
 
 test("limits that serve the same requests together grant no more permits than are demanded", (t) => {
--- a/packages/admission/src/tests/permits/PermitPoolTests.ts
+++ b/packages/admission/src/tests/permits/PermitPoolTests.ts
@@ -36,8 +36,8 @@
 const busy = { count: 10, waiting: 10 };
 
 test("nearly as many permits are granted as the limit allows, and no more", (t) => {
-  const got = new Fixture(10).run(20_000, { a: busy }).get("a") ?? 0;
-  t.true(got <= 200 && got >= 180, String(got));
+  const granted = new Fixture(10).run(20_000, { a: busy }).get("a") ?? 0;
+  t.true(granted <= 200 && granted >= 180, String(granted));
 });
 
 test("permits without demand do not accumulate", (t) => {
@@ -54,15 +54,15 @@
 });
 
 test("permits are shared by demand, and a participant with little demand is not starved", (t) => {
-  const got = new Fixture(10).run(20_000, { a: { count: 9, waiting: 0 }, b: { count: 1, waiting: 0 } });
-  const [a = 0, b = 0] = [got.get("a"), got.get("b")];
+  const granted = new Fixture(10).run(20_000, { a: { count: 9, waiting: 0 }, b: { count: 1, waiting: 0 } });
+  const [a = 0, b = 0] = [granted.get("a"), granted.get("b")];
   t.true(a > 4 * b, `${a} and ${b}`);
   t.true(b >= 10, String(b));
 });
 
 test("waiting requests are granted permits before expected requests", (t) => {
-  const got = new Fixture(2).run(10_000, { a: { count: 5, waiting: 0 }, b: { count: 5, waiting: 5 } });
-  t.is(got.get("a"), 0);
+  const granted = new Fixture(2).run(10_000, { a: { count: 5, waiting: 0 }, b: { count: 5, waiting: 5 } });
+  t.is(granted.get("a"), 0);
 });
 
 test("outstanding permits that are not reported as used block further grants for a while", (t) => {
--- a/packages/gateway/src/GatewayInstance.ts
+++ b/packages/gateway/src/GatewayInstance.ts
@@ -375,7 +375,7 @@
       "endpoints_resting",
       "Endpoints in a rest that they asked this instance for",
       () =>
-        this.endpoints.getAll().filter(({ backoff: rest }) => rest.getLeftMs(utils.monotonicMs()) > 0).length,
+        this.endpoints.getAll().filter(({ backoff }) => backoff.getLeftMs(utils.monotonicMs()) > 0).length,
     );
     this.metrics.addGauge(
       "endpoints_leaving",
--- a/packages/gateway/src/configuration/DenialFreshness.ts
+++ b/packages/gateway/src/configuration/DenialFreshness.ts
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Waits until the configuration in force is fresh or a newer one is loaded, and returns whether it is fresh then. A freshness that is
-   * overdue by more than `timeoutMs` is not awaited.
+   * Waits up to `timeoutMs` until the configuration in force is fresh, and returns whether it is. It does not wait if the age of the
+   * freshness exceeds its maximum by more than `timeoutMs`.
    */
   async waitUntilFresh(timeoutMs: number): Promise<boolean> {
     const { activeConfiguration } = this._structure;
--- a/packages/gateway/src/peers/PeerExchange.ts
+++ b/packages/gateway/src/peers/PeerExchange.ts
@@ -133,11 +133,11 @@
     endpointId: string,
     topic: string,
     more: object = {},
-    wants?: (member: Member) => boolean,
+    isRecipient?: (member: Member) => boolean,
   ): void {
     const { endpoints, membership } = this._structure;
     const lifeId = endpoints.get(endpointId)?.lifeId ?? endpointId;
-    membership.notifyAll(topic, { lifeId, ...more }, wants);
+    membership.notifyAll(topic, { lifeId, ...more }, isRecipient);
   }
 
   private readonly _isOwnZone = (member: Member): boolean =>
--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -14,14 +14,14 @@
 const checkIntervalMs = 200;
 /** While a limit is in force, coordinators of zones request permits at this interval, and so do instances at which requests wait. */
 export const permitTickMs = checkIntervalMs / 2;
-/** Instances without waiting requests request permits only every nth tick. */
+/** Instances at which no requests wait send permit requests only every nth tick. */
 const ticksPerRequest = 2;
 /** A request that begins to wait triggers a permit request at once, unless the last permit request is younger than this. */
 const minRequestGapMs = 50;
 const requestTimeoutMs = 400;
 /** Time from the permit request to the expiry of a permit. Unused permits go back and are granted to others. */
 const permitLifeMs = 300;
-/** Permits are requested ahead for the arrivals that are expected within this time, which lasts until the next response. */
+/** Permits are requested ahead for the arrivals that are expected within this time, that is, until the next response. */
 const forecastMs = 400;
 /** An instance with a lower arrival rate than this requests no permits ahead of arrivals. */
 const minArrivalsPerSecond = 0.05;
@@ -42,7 +42,7 @@
 }
 
 /**
- * Obtains permits for endpoints that name a rate limit, from the coordinator of the zone, or from the own coordinator if this instance has
+ * Obtains permits for endpoints that name a rate limit, from the coordinator of the zone, or from its own coordinator if this instance has
  * that role. Nothing is sent while no endpoint names a limit.
  */
 export class PermitExchange {
@@ -173,12 +173,12 @@
   ): LimitDemand | undefined {
     const { demand } = this._structure;
     const { service, isDraining } = endpoint.listed;
-    const account = endpoint.permits.takeAccount(nowMs);
+    const usage = endpoint.permits.takeAccount(nowMs);
     const localPermits = utils.getSum(sameService.map(({ permits }) => permits.getCount(nowMs)));
     const waiting = isDraining ? 0 : demand.getWaiting(service);
     const ahead = isDraining ? 0 : Math.max(0, this._getExpectedArrivals(service) - localPermits);
-    if (waiting + ahead + account.used + account.returned + account.charged === 0) return undefined;
-    return { key: endpoint.lifeId, group: service, count: waiting + ahead, waiting, ...account };
+    if (waiting + ahead + usage.used + usage.returned + usage.charged === 0) return undefined;
+    return { key: endpoint.lifeId, group: service, count: waiting + ahead, waiting, ...usage };
   }
 
   private _hasWaitingRequests({ listed }: Endpoint): boolean {
--- a/packages/gateway/src/tests/peers/PeerNetwork.ts
+++ b/packages/gateway/src/tests/peers/PeerNetwork.ts
@@ -50,10 +50,10 @@
         if (handler === undefined) return results.Err(new errors.ConnectionLostError(name));
         return results.Ok(await handler(body, self));
       },
-      notifyAll: (topic, body, wants = () => true) => {
+      notifyAll: (topic, body, isRecipient = () => true) => {
         for (const peer of getOthers()) {
           const member = toMember(peer);
-          if (wants(member)) this._deliver(self, peer.name, topic, body);
+          if (isRecipient(member)) this._deliver(self, peer.name, topic, body);
         }
       },
     };
--- a/packages/gateway/src/tests/peers/PermitExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PermitExchangeTests.ts
@@ -72,8 +72,8 @@
   fixture.nowMs += 1_000;
   t.is(fixture.countPermits(), 0);
   for (let tick = 0; tick < 2; tick++) await fixture.exchange.tick();
-  const [wanted] = fixture.permitRequests[1]?.wants ?? [];
-  t.deepEqual([wanted?.used, wanted?.returned], [1, 1]);
+  const [demand] = fixture.permitRequests[1]?.wants ?? [];
+  t.deepEqual([demand?.used, demand?.returned], [1, 1]);
 });
 
 test("an instance at which requests wait requests permits in each tick, for all of these requests", async (t) => {
--- a/packages/gateway/src/tests/peers/instanceLeaveTests.ts
+++ b/packages/gateway/src/tests/peers/instanceLeaveTests.ts
@@ -1,4 +1,4 @@
-/** Real memberships on loopback: what an instance's peers make of its planned stop. */
+/** Tests, with real memberships on loopback, how the peers of an instance handle its planned stop. */
 import { utils } from "@shedtiller/common";
 import type { ListedInstance } from "@shedtiller/logservice";
 import { Membership } from "@shedtiller/membership";
