--- a/packages/claims/src/ClaimProjection.ts
+++ b/packages/claims/src/ClaimProjection.ts
@@ -12,7 +12,7 @@
   /** The key is older than the horizon or its timestamp is in the future, so it is not known whether its work ran. */
   | { readonly kind: "out-of-window" };
 
-interface HeldKey {
+interface StoredKey {
   readonly claimId: string;
   readonly holder: string;
   readonly timeMs: number;
@@ -30,7 +30,7 @@
 export class ClaimProjection implements LogSink {
   /** Number of records that could not be parsed. */
   unknownRecords = 0;
-  private readonly _keys = new Map<string, HeldKey>();
+  private readonly _keys = new Map<string, StoredKey>();
   private readonly _waiting = new Map<string, utils.Deferred<ClaimOutcome>>();
   private _latestMs = 0;
   private _recordsSinceSweep = 0;
@@ -110,6 +110,6 @@
     this._recordsSinceSweep += 1;
     if (this._recordsSinceSweep < sweepEveryRecords) return;
     this._recordsSinceSweep = 0;
-    for (const [key, held] of this._keys) if (held.timeMs <= this.horizonMs) this._keys.delete(key);
+    for (const [key, stored] of this._keys) if (stored.timeMs <= this.horizonMs) this._keys.delete(key);
   }
 }
--- a/packages/gateway/src/peers/ZoneRole.ts
+++ b/packages/gateway/src/peers/ZoneRole.ts
@@ -33,6 +33,7 @@
     this._activeAtMs = this._nowMs();
   }
 
+  /** Name of the instance that holds the role. */
   get holder(): string {
     return this._holder;
   }
