--- a/packages/standins/src/HttpStandIn.ts
+++ b/packages/standins/src/HttpStandIn.ts
@@ -1,4 +1,4 @@
-/** Base of the stand-ins: an HTTP server on loopback that can die, hang and come back on the same port. */
+/** Base class of the HTTP stand-ins. */
 import type * as http from "node:http";
 import type * as net from "node:net";
 import { errors, utils } from "@shedtiller/common";
@@ -6,7 +6,7 @@
 
 export const loopback = "127.0.0.1";
 
-/** A restify server whose connections are tracked, so that faults act on real sockets. */
+/** HTTP server on loopback that can be killed and restarted on the same port. Tracks its connections in order to reset them. */
 export abstract class HttpStandIn {
   protected readonly server: restify.Server;
   private readonly _sockets = new Set<net.Socket>();
@@ -17,10 +17,10 @@
     this.server = restify.createServer({ name });
     this.server.use(restify.plugins.queryParser());
     this.server.use(restify.plugins.bodyParser({ mapParams: false }));
-    this.httpServer.on("connection", (socket: net.Socket) => this._track(socket));
+    this.httpServer.on("connection", (socket: net.Socket) => this._trackSocket(socket));
   }
 
-  /** The server under restify's. */
+  /** The underlying Node.js server of the restify server. */
   get httpServer(): http.Server {
     return this.server.server as http.Server;
   }
@@ -34,7 +34,7 @@
     return this._port;
   }
 
-  /** Listens; on a port that the system picks unless one is given. */
+  /** Starts listening. The system chooses the port if `port` is 0. */
   async start(port = 0): Promise<void> {
     await listen(this.httpServer, port);
     const bound = this.httpServer.address();
@@ -43,24 +43,24 @@
     this._port = bound.port;
   }
 
-  /** Vanishes: every connection is reset and new ones are refused. */
-  async vanish(): Promise<void> {
+  /** Resets all connections and refuses new ones, as the crash of a process does. */
+  async kill(): Promise<void> {
     const closed = new Promise((resolve) => this.httpServer.close(resolve));
     for (const socket of this._sockets) utils.resetSocket(socket);
     await closed;
   }
 
-  /** Comes back on the port that it had. */
-  async comeBack(): Promise<void> {
+  /** Starts listening again on the previous port. */
+  async restart(): Promise<void> {
     await listen(this.httpServer, this._port);
   }
 
-  /** Ends for good. */
+  /** Stops the server permanently. */
   async close(): Promise<void> {
-    if (this.httpServer.listening) await this.vanish();
+    if (this.httpServer.listening) await this.kill();
   }
 
-  private _track(socket: net.Socket): void {
+  private _trackSocket(socket: net.Socket): void {
     socket.setNoDelay(true);
     this._sockets.add(socket);
     socket.on("error", () => undefined);
--- a/packages/standins/src/bench/overload.ts
+++ b/packages/standins/src/bench/overload.ts
@@ -48,7 +48,7 @@
   const structure = createStructure();
   const fleet = new Fleet(structure, { isSilent: true, seed });
   if (!isOurs)
-    fleet.addPartsHook((container) => {
+    fleet.addContainerHook((container) => {
       const limit =
         (slots * structure.endpoints.length * baselineStreamsPerSlot) / structure.instances.length;
       const queues = new ModelQueues(container.get(EndpointDirectory), () => new FifoAdmission(() => limit));
--- a/packages/standins/src/bench/recovery.ts
+++ b/packages/standins/src/bench/recovery.ts
@@ -121,11 +121,11 @@
   const answer = sendModelRequest({ address, key, model, layerCount, prompt, outputTokens: 40 });
   await utils.sleep(400 + ((trial * 37) % 100));
   const engine = fleet.requireEngine(findSecondStage(fleet));
-  if (failure === "death") await engine.vanish();
+  if (failure === "death") await engine.kill();
   else engine.hang();
   const positions = getPosition(fleet, engine.name);
   await utils.sleep(downMs);
-  if (failure === "death") await engine.comeBack();
+  if (failure === "death") await engine.restart();
   else engine.resume();
   const { tokenTimesMs } = await answer;
   const gaps = tokenTimesMs.slice(1).map((timeMs, index) => timeMs - (tokenTimesMs[index] ?? 0));
@@ -150,9 +150,9 @@
 }
 
 function getTrialApplications(fleet: Fleet) {
-  const ids = fleet.applications.getRequestIds();
+  const ids = fleet.executionLog.getRequestIds();
   const isTrial = (id: string): boolean =>
-    (fleet.applications.getApplications(id)[0]?.count ?? 0) === promptTokens;
+    (fleet.executionLog.getExecutions(id)[0]?.count ?? 0) === promptTokens;
   const id = ids.filter(isTrial).pop() ?? "";
-  return fleet.applications.getApplications(id);
+  return fleet.executionLog.getExecutions(id);
 }
--- a/packages/standins/src/bench/routing.ts
+++ b/packages/standins/src/bench/routing.ts
@@ -68,7 +68,7 @@
 ): Promise<void> {
   const fleet = new Fleet(createStructure(), { isSilent: true, seed, reportLagMs: lagMs });
   let name = "";
-  fleet.addPartsHook((container) => {
+  fleet.addContainerHook((container) => {
     const chooser = create(new utils.RandomSource(seed + fleet.instances.size));
     name = chooser.name;
     container.rebind(routing.ChainChooser).toConstantValue(chooser);
--- a/packages/standins/src/bin/demo.ts
+++ b/packages/standins/src/bin/demo.ts
@@ -39,9 +39,9 @@
   const engine = fleet.requireEngine("g2");
   const downMs = 10_000;
   process.stdout.write("The engine g2 dies.\n");
-  await engine.vanish();
+  await engine.kill();
   await utils.sleep(downMs);
-  await engine.comeBack();
+  await engine.restart();
   process.stdout.write("The engine g2 is back.\n");
 }
 
--- a/packages/standins/src/engine/EngineModel.ts
+++ b/packages/standins/src/engine/EngineSimulator.ts
@@ -1,16 +1,16 @@
-/** The work inside a stand-in engine: streams with their KV caches, and the batching of calls. */
+/** Simulation of an engine: streams with their KV caches, and continuous batching of calls. */
 import { utils } from "@shedtiller/common";
 import type * as pipeline from "@shedtiller/pipeline";
 import type { LayerRange } from "@shedtiller/routing";
-import type { ApplicationLog } from "./ApplicationLog.js";
+import type { ExecutionLog } from "./ExecutionLog.js";
 import { activationBytes, applyLayers, embed, unembed } from "./layerFunction.js";
 
-/** How fast an engine is. */
+/** Speed and batch size of a simulated engine. */
 export interface EngineSpeed {
-  /** Time of one batched step. */
+  /** Duration of one batched step, without prefill. */
   stepMs: number;
   prefillMsPerToken: number;
-  /** Calls that one step takes. */
+  /** Maximum number of calls in one step. */
   slots: number;
 }
 
@@ -18,11 +18,11 @@
   readonly key: pipeline.StageKey;
   readonly layers: LayerRange;
   readonly cache: Uint32Array;
-  readonly beganAtMs: number;
+  readonly startedAtMs: number;
   position: number;
   isBusy: boolean;
   isReleased: boolean;
-  last: pipeline.AppliedFrame | undefined;
+  lastReply: pipeline.AppliedFrame | undefined;
 }
 
 interface Call {
@@ -31,41 +31,41 @@
   readonly reply: (frame: pipeline.AppliedFrame) => void;
 }
 
-/** Batches continuously: each step takes up to `slots` waiting calls, the highest priority first. */
-export class EngineModel {
+/** Simulates an engine with continuous batching: each step runs up to `slots` waiting calls, the highest priority first. */
+export class EngineSimulator {
   private readonly _streams = new Map<string, Stream>();
   private _waiting: Call[] = [];
   private _isRunning = false;
-  private _freeAtMs = 0;
+  private _busyUntilMs = 0;
   private _generation = 0;
 
   constructor(
     readonly endpoint: string,
     readonly speed: EngineSpeed,
-    private readonly _layerCountOf: (model: string) => number,
-    private readonly _applications: ApplicationLog,
+    private readonly _getLayerCount: (model: string) => number,
+    private readonly _executionLog: ExecutionLog,
   ) {}
 
-  /** Streams that hold cache here. */
+  /** Number of streams with a KV cache. */
   get activeStreams(): number {
     return this._streams.size;
   }
 
-  /** Loses all memory, as a process that dies does. */
+  /** Discards all streams and waiting calls, as a crash of the process does. */
   clear(): void {
     this._generation += 1;
     this._streams.clear();
     this._waiting = [];
   }
 
-  /** Takes a call, or gives the reason why it is not run. */
+  /** Queues a call, or returns the reason for which the call is refused. */
   apply(
     frame: pipeline.ApplyFrame,
     model: string,
     reply: (frame: pipeline.AppliedFrame) => void,
   ): pipeline.RefusalReason | undefined {
     if (frame.remainingMs <= 0) return "expired";
-    const stream = this._streams.get(getStreamId(frame)) ?? this._beginStream(frame);
+    const stream = this._streams.get(getStreamId(frame)) ?? this._startStream(frame);
     if (stream === undefined) return "unknown-stream";
     if (stream.isBusy || stream.position !== frame.position) return "wrong-position";
     stream.isBusy = true;
@@ -74,8 +74,8 @@
     return undefined;
   }
 
-  /** Where a stage stands; a stage that is not known stands at position 0. */
-  getStanding(key: pipeline.StageKey): pipeline.StageStatusFrame {
+  /** Returns the position and the last reply of a stage. An unknown stage has position 0. */
+  getStageStatus(key: pipeline.StageKey): pipeline.StageStatusFrame {
     const stream = this._streams.get(getStreamId(key));
     const { requestId, attempt, firstLayer } = key;
     return {
@@ -85,7 +85,7 @@
       firstLayer,
       position: stream?.position ?? 0,
       isBusy: stream?.isBusy ?? false,
-      last: stream?.last,
+      last: stream?.lastReply,
     };
   }
 
@@ -97,14 +97,14 @@
     this._waiting = this._waiting.filter((call) => call.stream !== stream);
   }
 
-  /** Copies a stage's cache out. */
+  /** Returns a copy of the KV cache of a stage; undefined if the stage is unknown or busy. */
   exportCache(key: pipeline.StageKey): { position: number; cache: Uint8Array } | undefined {
     const stream = this._streams.get(getStreamId(key));
     if (stream === undefined || stream.isBusy) return undefined;
     return { position: stream.position, cache: new Uint8Array(stream.cache.slice().buffer) };
   }
 
-  /** Puts a cache into place as the beginning of a stream. */
+  /** Creates a stream from an imported KV cache. */
   importCache(frame: pipeline.ImportFrame): void {
     const bytes = Uint8Array.from(frame.cache);
     const cache = new Uint32Array(bytes.buffer, 0, frame.layers[1] - frame.layers[0]);
@@ -115,7 +115,7 @@
     });
   }
 
-  private _beginStream(frame: pipeline.ApplyFrame): Stream | undefined {
+  private _startStream(frame: pipeline.ApplyFrame): Stream | undefined {
     if (frame.position !== 0) return undefined;
     const stream = createStream(frame, frame.layers);
     this._streams.set(getStreamId(frame), stream);
@@ -125,11 +125,11 @@
   private async _runSteps(model: string): Promise<void> {
     this._isRunning = true;
     const generation = this._generation;
-    this._freeAtMs = Math.max(this._freeAtMs, utils.monotonicMs());
+    this._busyUntilMs = Math.max(this._busyUntilMs, utils.monotonicMs());
     while (this._waiting.length > 0 && generation === this._generation) {
       const batch = this._takeBatch();
-      this._freeAtMs += this._getDurationMs(batch);
-      const waitMs = this._freeAtMs - utils.monotonicMs();
+      this._busyUntilMs += this._getDurationMs(batch);
+      const waitMs = this._busyUntilMs - utils.monotonicMs();
       if (waitMs > 0) await utils.sleep(waitMs);
       if (generation !== this._generation) break;
       for (const call of batch) this._finish(call, model);
@@ -154,9 +154,9 @@
     const outputs = runLayers(stream, frame);
     stream.position = frame.position + frame.count;
     stream.isBusy = false;
-    const isLast = frame.layers[1] === this._layerCountOf(model);
-    stream.last = createApplied(frame, outputs, isLast);
-    this._applications.add({
+    const isLast = frame.layers[1] === this._getLayerCount(model);
+    stream.lastReply = createAppliedFrame(frame, outputs, isLast);
+    this._executionLog.add({
       requestId: frame.requestId,
       attempt: frame.attempt,
       endpoint: this.endpoint,
@@ -165,9 +165,9 @@
       position: frame.position,
       count: frame.count,
       atMs: utils.monotonicMs(),
-      streamBeganAtMs: stream.beganAtMs,
+      streamStartedAtMs: stream.startedAtMs,
     });
-    call.reply(stream.last);
+    call.reply(stream.lastReply);
   }
 }
 
@@ -176,11 +176,11 @@
     key,
     layers,
     cache: new Uint32Array(layers[1] - layers[0]),
-    beganAtMs: utils.monotonicMs(),
+    startedAtMs: utils.monotonicMs(),
     position: 0,
     isBusy: false,
     isReleased: false,
-    last: undefined,
+    lastReply: undefined,
   };
 }
 
@@ -205,7 +205,7 @@
   return new Uint32Array(bytes.buffer, 0, Math.floor(bytes.byteLength / activationBytes));
 }
 
-function createApplied(
+function createAppliedFrame(
   frame: pipeline.ApplyFrame,
   outputs: Uint32Array,
   isLast: boolean,
--- a/packages/standins/src/engine/StandInEngine.ts
+++ b/packages/standins/src/engine/StandInEngine.ts
@@ -1,4 +1,4 @@
-/** A stand-in model engine: the HTTP and WebSocket form around `EngineModel`, and the faults that traces name. */
+/** Stand-in for a model engine: the HTTP and WebSocket interface of an `EngineSimulator`, with fault injection. */
 import * as pipeline from "@shedtiller/pipeline";
 import { errors, utils } from "@shedtiller/common";
 import { orderSchema } from "@shedtiller/lease";
@@ -7,10 +7,10 @@
 import * as ws from "ws";
 import { HttpStandIn } from "../HttpStandIn.js";
 import type { StandInWeightStore } from "../platform/StandInWeightStore.js";
-import type { ApplicationLog } from "./ApplicationLog.js";
-import { EngineModel } from "./EngineModel.js";
+import type { ExecutionLog } from "./ExecutionLog.js";
+import { EngineSimulator } from "./EngineSimulator.js";
 
-/** What an engine is made of. */
+/** Static properties of a stand-in engine. */
 export interface EngineStructure {
   readonly name: string;
   readonly availabilityZone: string;
@@ -23,21 +23,21 @@
   readonly slots: number;
   readonly checksOrders: boolean;
   readonly memoryLayers?: number;
-  /** Layers that `stepMs` and `prefillMsPerToken` are given for; the layers held at first unless stated. */
+  /** Number of layers to which `stepMs` and `prefillMsPerToken` apply; defaults to the number of initially loaded layers. */
   readonly speedLayers?: number;
 }
 
-/** What an engine works with. */
-export interface EngineSurroundings {
-  readonly applications: ApplicationLog;
-  readonly weights: StandInWeightStore;
-  readonly layerCountOf: (model: string) => number;
-  /** How old the load is that is reported. */
+/** Dependencies of {@link StandInEngine}. */
+export interface EngineDependencies {
+  readonly executionLog: ExecutionLog;
+  readonly weightStore: StandInWeightStore;
+  readonly getLayerCount: (model: string) => number;
+  /** Age of the load that the engine reports. */
   readonly reportLagMs: number;
 }
 
-/** One order as the engine took it. */
-export interface TakenOrder {
+/** An order that the engine accepted. */
+export interface AcceptedOrder {
   readonly fencingToken: number;
   readonly atMs: number;
   readonly version: string;
@@ -47,17 +47,17 @@
 const defaultMemoryLayers = 64;
 const conflictStatus = 409;
 
-/** An engine on loopback. */
+/** Serves the engine protocol on loopback and injects faults into its replies. */
 export class StandInEngine extends HttpStandIn {
-  readonly model: EngineModel;
-  /** Orders in the order in which they took effect. */
-  readonly takenOrders: TakenOrder[] = [];
-  /** Monotonic milliseconds since when the engine is listed as leaving. */
-  leavingSinceMs: number | undefined;
-  private readonly _links = new ws.WebSocketServer({ noServer: true, perMessageDeflate: false });
+  readonly simulator: EngineSimulator;
+  /** Accepted orders, in the sequence in which they took effect. */
+  readonly acceptedOrders: AcceptedOrder[] = [];
+  /** Monotonic time in milliseconds at which draining started; undefined while the engine is not draining. */
+  drainingSinceMs: number | undefined;
+  private readonly _webSocketServer = new ws.WebSocketServer({ noServer: true, perMessageDeflate: false });
   private readonly _replyFaults: ReplyFault[] = [];
-  private readonly _loads: { atMs: number; streams: number }[] = [];
-  private _heldReply: (() => void) | undefined;
+  private readonly _loadSamples: { atMs: number; streams: number }[] = [];
+  private _deferredReply: (() => void) | undefined;
   private _hang: utils.Deferred<void> | undefined;
   private _modelName: string;
   private _version: string;
@@ -67,30 +67,31 @@
 
   constructor(
     readonly structure: EngineStructure,
-    private readonly _surroundings: EngineSurroundings,
+    private readonly _dependencies: EngineDependencies,
   ) {
     super(structure.name);
     this._modelName = structure.model;
     this._version = structure.version;
     this._layers = structure.layers;
     const { stepMs, prefillMsPerToken, slots } = structure;
-    this.model = new EngineModel(
+    this.simulator = new EngineSimulator(
       structure.name,
       { stepMs, prefillMsPerToken, slots },
-      _surroundings.layerCountOf,
-      _surroundings.applications,
+      _dependencies.getLayerCount,
+      _dependencies.executionLog,
     );
     this._addRoutes();
-    this._links.on("connection", (socket: ws.WebSocket) => this._serve(socket));
+    this._webSocketServer.on("connection", (socket: ws.WebSocket) => this._serve(socket));
   }
 
-  /** Says that it will go; what it has is served on. */
-  leave(): void {
-    this.leavingSinceMs = utils.monotonicMs();
-    for (const client of this._links.clients) client.send(pipeline.encodeFrame({ kind: "leaving" }));
+  /** Reports that the engine is draining. Existing streams continue. */
+  startDraining(): void {
+    this.drainingSinceMs = utils.monotonicMs();
+    for (const client of this._webSocketServer.clients)
+      client.send(pipeline.encodeFrame({ kind: "leaving" }));
   }
 
-  /** Stops answering; after `resume` it answers late what came meanwhile. */
+  /** Stops answering. Requests that arrive before `resume` are answered after it. */
   hang(): void {
     this._hang ??= new utils.Deferred<void>();
   }
@@ -100,16 +101,16 @@
     this._hang = undefined;
   }
 
-  /** Spoils the next replies: one that is lost after the work ran, or two that swap their order. */
-  spoilReply(fault: ReplyFault): void {
+  /** Injects a fault into the next replies: "lost" drops one reply after the work ran, "crossed" swaps two replies. */
+  addReplyFault(fault: ReplyFault): void {
     this._replyFaults.push(fault);
   }
 
-  override async vanish(): Promise<void> {
-    this.model.clear();
+  override async kill(): Promise<void> {
+    this.simulator.clear();
     this.resume();
-    for (const client of this._links.clients) client.terminate();
-    await super.vanish();
+    for (const client of this._webSocketServer.clients) client.terminate();
+    await super.kill();
   }
 
   getReport(): EngineReport {
@@ -121,13 +122,13 @@
       model: this._modelName,
       version: this._version,
       layers: this._layers,
-      stepMs: this.model.speed.stepMs,
-      prefillMsPerToken: this.model.speed.prefillMsPerToken,
+      stepMs: this.simulator.speed.stepMs,
+      prefillMsPerToken: this.simulator.speed.prefillMsPerToken,
       slots: structure.slots,
-      activeStreams: this.model.activeStreams,
+      activeStreams: this.simulator.activeStreams,
       checksOrders: structure.checksOrders,
       fencingToken: this._fencingToken,
-      state: this.leavingSinceMs === undefined ? this._state : "leaving",
+      state: this.drainingSinceMs === undefined ? this._state : "leaving",
     };
   }
 
@@ -138,39 +139,40 @@
     });
     this.server.post("/v1/orders", async (request: restify.Request, response: restify.Response) => {
       await this._hang?.promise;
-      await this._takeOrder(request.body, response);
+      await this._handleOrder(request.body, response);
     });
     this.httpServer.on("upgrade", (request, socket, head) => {
-      this._links.handleUpgrade(request, socket, head, (client) =>
-        this._links.emit("connection", client, request),
+      this._webSocketServer.handleUpgrade(request, socket, head, (client) =>
+        this._webSocketServer.emit("connection", client, request),
       );
     });
   }
 
-  /** The load as it was `reportLagMs` ago, as far as it was looked at. */
+  /** Returns the load of about `reportLagMs` ago. Samples are taken only when the state is read. */
   private _getLaggedStreams(): number {
     const nowMs = utils.monotonicMs();
-    this._loads.push({ atMs: nowMs, streams: this.model.activeStreams });
-    const dueMs = nowMs - this._surroundings.reportLagMs;
-    while (this._loads[1] !== undefined && this._loads[1].atMs <= dueMs) this._loads.shift();
-    return this._loads[0]?.streams ?? 0;
+    this._loadSamples.push({ atMs: nowMs, streams: this.simulator.activeStreams });
+    const dueMs = nowMs - this._dependencies.reportLagMs;
+    while (this._loadSamples[1] !== undefined && this._loadSamples[1].atMs <= dueMs)
+      this._loadSamples.shift();
+    return this._loadSamples[0]?.streams ?? 0;
   }
 
-  private async _takeOrder(body: unknown, response: restify.Response): Promise<void> {
+  private async _handleOrder(body: unknown, response: restify.Response): Promise<void> {
     const order = orderSchema.safeParse(body);
     if (!order.success) throw errors.fromSchemaIssues("order", order.error.issues);
-    const isOld = order.data.fencingToken < this._fencingToken || order.data.expiresAtMs < utils.wallMs();
-    if (this.structure.checksOrders && isOld) {
+    const isStale = order.data.fencingToken < this._fencingToken || order.data.expiresAtMs < utils.wallMs();
+    if (this.structure.checksOrders && isStale) {
       response.send(conflictStatus, { reason: "stale", fencingToken: this._fencingToken });
       return;
     }
     this._fencingToken = Math.max(this._fencingToken, order.data.fencingToken);
-    this.takenOrders.push({
+    this.acceptedOrders.push({
       fencingToken: order.data.fencingToken,
       atMs: utils.monotonicMs(),
       version: order.data.version,
     });
-    void this._load(order.data.model, order.data.version, order.data.layers);
+    void this._loadLayers(order.data.model, order.data.version, order.data.layers);
     if (this._replyFaults[0] === "lost") {
       this._replyFaults.shift();
       response.socket?.destroy();
@@ -179,40 +181,40 @@
     response.send({ accepted: true });
   }
 
-  private async _load(model: string, version: string, layers: LayerRange | undefined): Promise<void> {
-    const held = this._layers;
+  private async _loadLayers(model: string, version: string, layers: LayerRange | undefined): Promise<void> {
+    const loaded = this._layers;
     const isSame = model === this._modelName && version === this._version;
-    if (isSame && held?.[0] === layers?.[0] && held?.[1] === layers?.[1]) return;
+    if (isSame && loaded?.[0] === layers?.[0] && loaded?.[1] === layers?.[1]) return;
     this._state = "loading";
     this._modelName = model;
     this._version = version;
     this._layers = layers;
-    this.model.clear();
-    if (layers !== undefined) await this._surroundings.weights.fetchLayers(layers[1] - layers[0]);
+    this.simulator.clear();
+    if (layers !== undefined) await this._dependencies.weightStore.fetchLayers(layers[1] - layers[0]);
     this._setSpeed(layers);
     this._state = "live";
   }
 
-  /** Step times grow with the layers held. */
+  /** Scales the step times with the number of loaded layers. */
   private _setSpeed(layers: LayerRange | undefined): void {
     const { structure } = this;
     const first = structure.layers;
     const speedLayers = structure.speedLayers ?? (first === undefined ? undefined : first[1] - first[0]);
     if (layers === undefined || speedLayers === undefined) return;
     const factor = (layers[1] - layers[0]) / speedLayers;
-    this.model.speed.stepMs = structure.stepMs * factor;
-    this.model.speed.prefillMsPerToken = structure.prefillMsPerToken * factor;
+    this.simulator.speed.stepMs = structure.stepMs * factor;
+    this.simulator.speed.prefillMsPerToken = structure.prefillMsPerToken * factor;
   }
 
   private _serve(socket: ws.WebSocket): void {
     socket.on("error", () => socket.terminate());
     socket.on("message", (data) => {
-      if (this._hang === undefined) return this._accept(socket, data);
-      void this._hang.promise.then(() => this._accept(socket, data));
+      if (this._hang === undefined) return this._handleMessage(socket, data);
+      void this._hang.promise.then(() => this._handleMessage(socket, data));
     });
   }
 
-  private _accept(socket: ws.WebSocket, data: ws.RawData): void {
+  private _handleMessage(socket: ws.WebSocket, data: ws.RawData): void {
     const decoded = pipeline.decodeFrame(data, pipeline.toEngineSchema, "entry");
     if (decoded.err) return socket.terminate();
     const frame = decoded.val;
@@ -220,13 +222,13 @@
       case "apply":
         return this._apply(socket, frame);
       case "release":
-        return this.model.release(frame);
+        return this.simulator.release(frame);
       case "probe":
-        return this._send(socket, this.model.getStanding(frame));
+        return this._send(socket, this.simulator.getStageStatus(frame));
       case "export":
         return this._export(socket, frame);
       case "import":
-        this.model.importCache(frame);
+        this.simulator.importCache(frame);
         return this._send(socket, {
           ...pipeline.pickStageKey(frame),
           kind: "imported",
@@ -237,8 +239,8 @@
 
   private _apply(socket: ws.WebSocket, frame: pipeline.ApplyFrame): void {
     const reason =
-      this._getRefusal(frame) ??
-      this.model.apply(frame, this._modelName, (applied) => this._reply(socket, applied));
+      this._getRefusalReason(frame) ??
+      this.simulator.apply(frame, this._modelName, (applied) => this._reply(socket, applied));
     if (reason === undefined) return;
     this._send(socket, {
       ...pipeline.pickStageKey(frame),
@@ -248,14 +250,14 @@
     });
   }
 
-  private _getRefusal(frame: pipeline.ApplyFrame): pipeline.RefusalReason | undefined {
-    const held = this._layers;
-    if (this._state !== "live" || held === undefined) return "not-loaded";
-    return held[0] === frame.layers[0] && held[1] === frame.layers[1] ? undefined : "not-loaded";
+  private _getRefusalReason(frame: pipeline.ApplyFrame): pipeline.RefusalReason | undefined {
+    const loaded = this._layers;
+    if (this._state !== "live" || loaded === undefined) return "not-loaded";
+    return loaded[0] === frame.layers[0] && loaded[1] === frame.layers[1] ? undefined : "not-loaded";
   }
 
   private _export(socket: ws.WebSocket, frame: pipeline.ExportFrame): void {
-    const exported = this.model.exportCache(frame);
+    const exported = this.simulator.exportCache(frame);
     if (exported === undefined) {
       return this._send(socket, {
         ...pipeline.pickStageKey(frame),
@@ -276,31 +278,31 @@
     const fault = this._replyFaults.shift();
     if (fault === "lost") return;
     const send = (): void => this._send(socket, applied);
-    if (fault === "crossed") return this._cross(send);
+    if (fault === "crossed") return this._swapWithNext(send);
     send();
   }
 
-  /** Holds one reply back until the next one has gone, or for a moment when there is none. */
-  private _cross(send: () => void): void {
-    const held = this._heldReply;
-    if (held !== undefined) {
-      this._heldReply = undefined;
+  /** Defers one reply until the next one has been sent, or for 200 ms if there is no other. */
+  private _swapWithNext(send: () => void): void {
+    const deferred = this._deferredReply;
+    if (deferred !== undefined) {
+      this._deferredReply = undefined;
       send();
-      return held();
+      return deferred();
     }
-    const holdMs = 200;
+    const maxDelayMs = 200;
     this._replyFaults.unshift("crossed");
     const release = (): void => {
       clearTimeout(timer);
       send();
     };
     const timer = setTimeout(() => {
-      if (this._heldReply !== release) return;
-      this._heldReply = undefined;
+      if (this._deferredReply !== release) return;
+      this._deferredReply = undefined;
       if (this._replyFaults[0] === "crossed") this._replyFaults.shift();
       send();
-    }, holdMs);
-    this._heldReply = release;
+    }, maxDelayMs);
+    this._deferredReply = release;
   }
 
   private _send(socket: ws.WebSocket, frame: pipeline.FromEngineFrame): void {
--- a/packages/standins/src/engine/layerFunction.ts
+++ b/packages/standins/src/engine/layerFunction.ts
@@ -1,11 +1,12 @@
 /**
- * What the stand-in engines compute. Each layer mixes its input with its own cache, so that the token at a position
- * depends on every layer, in order, at every earlier position: a wrong, doubled, missing or foreign token shows.
+ * Computation of the stand-in engines. Each layer mixes its input with its own cache, so that the token at a position depends on the
+ * ordered execution of every layer at every earlier position. Each wrong, duplicate or missing execution, and each one for another
+ * request, therefore changes the answer.
  */
 
-/** Number of different tokens. */
+/** Number of distinct tokens. */
 export const vocabularySize = 32_768;
-/** Bytes of one position's activation. */
+/** Size in bytes of the activation of one position. */
 export const activationBytes = 4;
 
 function mix(a: number, b: number): number {
@@ -14,28 +15,28 @@
   return (h ^ (h >>> 13)) >>> 0;
 }
 
-/** The input of layer 0 for a token at a position. */
+/** Returns the input of layer 0 for a token at a position. */
 export function embed(token: number, position: number): number {
   return mix(token + 1, Math.imul(position + 1, 0x27d4eb2f));
 }
 
-/** Applies layers [first, first + cache.length) to one position, updating the cache. */
+/** Applies layers [first, first + cache.length) to one position and updates the cache. */
 export function applyLayers(first: number, cache: Uint32Array, input: number): number {
   let value = input;
   for (let index = 0; index < cache.length; index++) {
-    const held = mix(cache[index] ?? 0, value);
-    cache[index] = held;
-    value = mix(held, first + index + 1);
+    const state = mix(cache[index] ?? 0, value);
+    cache[index] = state;
+    value = mix(state, first + index + 1);
   }
   return value;
 }
 
-/** The token that the last layer's output stands for. */
+/** Returns the token that the output of the last layer encodes. */
 export function unembed(output: number): number {
   return output % vocabularySize;
 }
 
-/** The tokens that a whole model must answer, computed without any engine. */
+/** Returns the expected answer of a model, computed without any engine. */
 export function getExpectedTokens(prompt: readonly number[], layerCount: number, count: number): number[] {
   const cache = new Uint32Array(layerCount);
   const answer: number[] = [];
--- a/packages/standins/src/fleet/CallerClient.ts
+++ b/packages/standins/src/fleet/CallerClient.ts
@@ -1,4 +1,4 @@
-/** A caller as the traces and benches need it: sends requests and tells how they came out. */
+/** Client of the caller interface for trace replays and benchmarks: sends requests and reports their outcomes. */
 import { getExpectedTokens } from "../engine/layerFunction.js";
 import { errors, utils, type ExecutionStatus } from "@shedtiller/common";
 import { WordTokenizer } from "@shedtiller/entry";
@@ -6,24 +6,24 @@
 import got from "got";
 import * as zod from "zod";
 
-/** How a request came out. */
+/** Outcome of a request as its caller observed it. */
 export type CallerOutcome = "answered" | "wrong" | "refused-not-run" | "unknown" | "cut";
 
-/** What a caller saw of one request. */
+/** Observations of a caller about one request. */
 export interface CallerReport {
   readonly outcome: CallerOutcome;
-  /** Id under which the instance ran it, where one was told. */
+  /** Request id that the instance returned; undefined if the response had none. */
   readonly requestId: string | undefined;
   readonly firstTokenMs: number | undefined;
   readonly totalMs: number;
   readonly status: number | undefined;
   readonly retryAfterS: number | undefined;
-  /** Times of the tokens since the request was sent. */
+  /** Arrival time of each token, relative to the sending of the request. */
   readonly tokenTimesMs: readonly number[];
   readonly detail: string;
 }
 
-/** A model request. */
+/** Parameters of a streamed model request. */
 export interface ModelRequest {
   readonly address: string;
   readonly key: string;
@@ -45,14 +45,14 @@
   choices: zod.array(zod.object({ text: zod.string(), finish_reason: zod.string().nullable() })),
 });
 
-/** Makes a prompt of exactly `tokens` tokens that no other name has. */
+/** Returns a prompt of exactly `tokens` tokens that is unique to `name`. */
 export function createPrompt(name: string, tokens: number): string {
   return `${name} `.repeat(Math.ceil(tokens / (name.length + 1))).slice(0, tokens);
 }
 
-/** Sends a streamed model request and checks each token of the answer. */
+/** Sends a streamed model request and compares the answer with the expected tokens. */
 export async function sendModelRequest(request: ModelRequest): Promise<CallerReport> {
-  const watch = new AnswerWatch(request);
+  const reader = new AnswerReader(request);
   const startMs = utils.monotonicMs();
   try {
     const stream = got.stream.post(`http://${request.address}/v1/completions`, {
@@ -66,28 +66,28 @@
     stream.once(
       "response",
       (response: { statusCode: number; headers: Record<string, string | undefined> }) => {
-        watch.status = response.statusCode;
-        watch.headers = response.headers;
+        reader.status = response.statusCode;
+        reader.headers = response.headers;
       },
     );
-    // The loop below meets the error, too; without a listener it would end the process as well.
+    // The loop below rethrows the error. Without a listener, the stream would also raise it as an uncaught exception.
     stream.on("error", () => undefined);
-    for await (const chunk of stream) watch.accept(String(chunk));
-    return watch.finish(startMs, undefined);
+    for await (const chunk of stream) reader.accept(String(chunk));
+    return reader.finish(startMs, undefined);
   } catch (error) {
-    return watch.finish(startMs, error);
+    return reader.finish(startMs, error);
   }
 }
 
-/** Reads the answer of one request as it comes. */
-class AnswerWatch {
+/** Parses the response of one streamed request incrementally and classifies its outcome. */
+class AnswerReader {
   status: number | undefined;
   headers: Record<string, string | undefined> = {};
-  private _raw = "";
+  private _errorBody = "";
   private _text = "";
   private _isDone = false;
-  private _ran: ExecutionStatus | undefined;
-  private readonly _timesMs: number[] = [];
+  private _executionStatus: ExecutionStatus | undefined;
+  private readonly _tokenTimesMs: number[] = [];
   private readonly _startMs = utils.monotonicMs();
   private readonly _parser = createParser({ onEvent: (event) => this._acceptEvent(event.data) });
 
@@ -95,19 +95,19 @@
 
   accept(chunk: string): void {
     if (this.status === okStatus) this._parser.feed(chunk);
-    else this._raw += chunk;
+    else this._errorBody += chunk;
   }
 
   finish(startMs: number, error: unknown): CallerReport {
     return {
       outcome: this._getOutcome(error),
       requestId: this.headers["shedtiller-request-id"],
-      firstTokenMs: this._timesMs[0],
+      firstTokenMs: this._tokenTimesMs[0],
       totalMs: utils.monotonicMs() - startMs,
       status: this.status,
-      retryAfterS: toNumber(this.headers["retry-after"]),
-      tokenTimesMs: this._timesMs,
-      detail: error === undefined ? this._raw : errors.describeError(error),
+      retryAfterS: parseOptionalNumber(this.headers["retry-after"]),
+      tokenTimesMs: this._tokenTimesMs,
+      detail: error === undefined ? this._errorBody : errors.describeError(error),
     };
   }
 
@@ -119,13 +119,13 @@
     const value: unknown = JSON.parse(data);
     const failure = errorBodySchema.safeParse(value);
     if (failure.success) {
-      this._ran = failure.data.error.ran;
+      this._executionStatus = failure.data.error.ran;
       return;
     }
     const text = chunkSchema.parse(value).choices[0]?.text ?? "";
     if (text === "") return;
     this._text += text;
-    this._timesMs.push(utils.monotonicMs() - this._startMs);
+    this._tokenTimesMs.push(utils.monotonicMs() - this._startMs);
   }
 
   private _getOutcome(error: unknown): CallerOutcome {
@@ -133,13 +133,17 @@
     const expected = getExpectedTokens(tokenizer.encode(prompt), layerCount, outputTokens);
     const text = expected.map((token) => tokenizer.decode(token)).join("");
     if (this._isDone) return this._text === text ? "answered" : "wrong";
-    // What came before a failure must be a part of the right answer, too.
+    // Tokens received before a failure must be a prefix of the expected answer.
     if (!text.startsWith(this._text)) return "wrong";
-    return getFailedOutcome(this.status, this._ran ?? readRan(this._raw), error);
+    return getFailedOutcome(
+      this.status,
+      this._executionStatus ?? readExecutionStatus(this._errorBody),
+      error,
+    );
   }
 }
 
-/** A service call. */
+/** Parameters of a service call. */
 export interface ServiceRequest {
   readonly address: string;
   readonly key: string;
@@ -148,7 +152,7 @@
   readonly body: object;
 }
 
-/** Sends a call to a plain service. */
+/** Sends a call to a service and reports its outcome. */
 export async function sendServiceCall(request: ServiceRequest): Promise<CallerReport> {
   const startMs = utils.monotonicMs();
   const headers: Record<string, string> = { authorization: `Bearer ${request.key}` };
@@ -165,12 +169,12 @@
     return {
       outcome: isAnswer
         ? "answered"
-        : getFailedOutcome(response.statusCode, readRan(response.body), undefined),
-      requestId: toText(response.headers["shedtiller-request-id"]),
+        : getFailedOutcome(response.statusCode, readExecutionStatus(response.body), undefined),
+      requestId: getFirstHeader(response.headers["shedtiller-request-id"]),
       firstTokenMs: undefined,
       totalMs: utils.monotonicMs() - startMs,
       status: response.statusCode,
-      retryAfterS: toNumber(toText(response.headers["retry-after"])),
+      retryAfterS: parseOptionalNumber(getFirstHeader(response.headers["retry-after"])),
       tokenTimesMs: [],
       detail: response.body,
     };
@@ -188,7 +192,10 @@
   }
 }
 
-/** A connection that never stood proves that nothing ran; one that broke without a word proves nothing. */
+/**
+ * Classifies a request that was not answered. A refused connection proves that nothing ran. A connection that broke without an error
+ * response proves nothing.
+ */
 function getFailedOutcome(
   status: number | undefined,
   ran: ExecutionStatus | undefined,
@@ -200,7 +207,7 @@
   return "cut";
 }
 
-function readRan(body: string): ExecutionStatus | undefined {
+function readExecutionStatus(body: string): ExecutionStatus | undefined {
   try {
     const parsed = errorBodySchema.safeParse(JSON.parse(body));
     return parsed.success ? parsed.data.error.ran : undefined;
@@ -209,10 +216,10 @@
   }
 }
 
-function toNumber(text: string | undefined): number | undefined {
+function parseOptionalNumber(text: string | undefined): number | undefined {
   return text === undefined ? undefined : Number(text);
 }
 
-function toText(header: string | string[] | undefined): string | undefined {
+function getFirstHeader(header: string | string[] | undefined): string | undefined {
   return Array.isArray(header) ? header[0] : header;
 }
--- a/packages/standins/src/fleet/Fleet.ts
+++ b/packages/standins/src/fleet/Fleet.ts
@@ -1,17 +1,18 @@
-/** A fleet in one process: real entry instances, and stand-ins for everything around them, over real sockets. */
+/** A fleet in one process: real entry instances with stand-ins for their dependencies, connected by real sockets. */
 import { errors, utils } from "@shedtiller/common";
 import { composeEntry, EntryInstance, type DrainReport } from "@shedtiller/entry";
 import * as intent from "@shedtiller/intent";
 import type { ListedInstance } from "@shedtiller/logservice";
 import { instanceSettingsSchema, type InstanceSettings } from "@shedtiller/settings";
 import type * as inversify from "inversify";
-import { ApplicationLog } from "../engine/ApplicationLog.js";
+import { ExecutionLog } from "../engine/ExecutionLog.js";
 import { StandInEngine } from "../engine/StandInEngine.js";
 import { callerNode, StandInNetwork, type NetworkNode } from "../network/StandInNetwork.js";
 import { StandInInstanceList } from "../platform/StandInInstanceList.js";
 import { StandInLog } from "../platform/StandInLog.js";
 import { StandInWeightStore } from "../platform/StandInWeightStore.js";
-import { RunCounts, StandInService } from "../service/StandInService.js";
+import { RunCounts } from "../service/RunCounts.js";
+import { StandInService } from "../service/StandInService.js";
 import type { FleetOptions, FleetStructure } from "./FleetStructure.js";
 import { getLayerCount, seedConfiguration } from "./seedConfiguration.js";
 
@@ -19,28 +20,28 @@
 const defaultListLagMs = 300;
 const platformNode: NetworkNode = { name: "platform", availabilityZone: undefined };
 
-/** Changes the parts of an instance before it is made, as an embedder may. */
-export type PartsHook = (container: inversify.Container) => void;
+/** Rebinds components in the container of an instance before the instance is created, as an embedder may. */
+export type ContainerHook = (container: inversify.Container) => void;
 
-/** Starts, breaks and ends a fleet. */
+/** Manages the life cycle of a fleet, and injects failures of its instances and endpoints. */
 export class Fleet {
-  readonly applications = new ApplicationLog();
+  readonly executionLog = new ExecutionLog();
   readonly runs = new RunCounts();
-  readonly weights = new StandInWeightStore();
+  readonly weightStore = new StandInWeightStore();
   readonly network = new StandInNetwork();
   readonly log: StandInLog;
-  readonly list: StandInInstanceList;
+  readonly instanceList: StandInInstanceList;
   readonly engines = new Map<string, StandInEngine>();
   readonly services = new Map<string, StandInService>();
   readonly instances = new Map<string, EntryInstance>();
-  /** The key of each client account. */
+  /** API key of each client account, by account name. */
   readonly accountKeys: ReadonlyMap<string, string>;
   readonly operatorToken = intent.createAccountKey();
-  /** What each planned stop came to. */
+  /** Drain report of each planned stop, by instance name. */
   readonly drains = new Map<string, Promise<DrainReport>>();
   readonly peerSecret = utils.newId();
-  private readonly _listed = new Map<string, { port: number; node: NetworkNode }>();
-  private readonly _hooks: PartsHook[] = [];
+  private readonly _listedNodes = new Map<string, { port: number; node: NetworkNode }>();
+  private readonly _containerHooks: ContainerHook[] = [];
 
   constructor(
     readonly structure: FleetStructure,
@@ -48,20 +49,23 @@
   ) {
     const { appendsPerSecond, appendMs, logRetentionMs: retentionMs } = options;
     this.log = new StandInLog({ appendsPerSecond, appendMs, retentionMs });
-    this.list = new StandInInstanceList(options.listLagMs ?? defaultListLagMs, (viewer, instance) =>
-      this._view(viewer, instance),
+    this.instanceList = new StandInInstanceList(options.listLagMs ?? defaultListLagMs, (viewer, instance) =>
+      this._resolveAddress(viewer, instance),
     );
     this.accountKeys = seedConfiguration(structure, this.log);
   }
 
-  /** Lets `hook` change the parts of every instance that is made from here on. */
-  addPartsHook(hook: PartsHook): void {
-    this._hooks.push(hook);
+  /** Applies `hook` to the container of every instance that is created afterwards. */
+  addContainerHook(hook: ContainerHook): void {
+    this._containerHooks.push(hook);
   }
 
-  /** Starts everything and waits until each instance knows all endpoints and peers. */
+  /**
+   * Starts all stand-ins and instances, and waits until the fleet is settled.
+   * @throws {@link errors.DeadlineError} if the fleet is not settled within 20 s.
+   */
   async start(): Promise<void> {
-    await Promise.all([this.log.start(), this.list.start()]);
+    await Promise.all([this.log.start(), this.instanceList.start()]);
     await Promise.all([...this._createEngines(), ...this._createServices()]);
     for (const [index, { name, availabilityZone }] of this.structure.instances.entries()) {
       await this.addInstance(name, availabilityZone, index);
@@ -71,7 +75,7 @@
     }
   }
 
-  /** Whether every instance is ready and knows all endpoints and peers. */
+  /** Whether every instance is ready, has a report from each engine and is linked with all its peers. */
   get isSettled(): boolean {
     const instances = [...this.instances.values()];
     return instances.every((instance) => {
@@ -83,7 +87,7 @@
     });
   }
 
-  /** Starts one more instance. */
+  /** Starts an additional instance. */
   async addInstance(name: string, availabilityZone: string, index?: number): Promise<EntryInstance> {
     const node = { name, availabilityZone };
     const settings = await this._createSettings(node, index);
@@ -94,11 +98,11 @@
       silence: this.options.silence,
       seed,
     });
-    for (const hook of this._hooks) hook(container);
+    for (const hook of this._containerHooks) hook(container);
     const instance = container.get(EntryInstance);
     await instance.start();
     this.instances.set(name, instance);
-    this._listNow(
+    this._addToInstanceList(
       { name, role: "entry", availabilityZone, address: "", state: "live" },
       instance.membership.port,
       node,
@@ -106,15 +110,15 @@
     return instance;
   }
 
-  /** Lists an instance that runs in another process. */
-  listOutside(name: string, availabilityZone: string, peerPort: number): void {
-    this._listNow({ name, role: "entry", availabilityZone, address: "", state: "live" }, peerPort, {
+  /** Adds an instance that runs in another process to the instance list. */
+  addExternalInstance(name: string, availabilityZone: string, peerPort: number): void {
+    this._addToInstanceList({ name, role: "entry", availabilityZone, address: "", state: "live" }, peerPort, {
       name,
       availabilityZone,
     });
   }
 
-  /** Address under which callers reach an instance. */
+  /** Returns the address at which callers reach an instance. */
   async getCallerAddress(name: string): Promise<string> {
     const instance = this.requireInstance(name);
     if (this.options.hasRelays !== true) return `127.0.0.1:${instance.callerPort}`;
@@ -122,65 +126,65 @@
   }
 
   requireInstance(name: string): EntryInstance {
-    return requireKnown(this.instances, name);
+    return requireByName(this.instances, name);
   }
 
   requireEngine(name: string): StandInEngine {
-    return requireKnown(this.engines, name);
+    return requireByName(this.engines, name);
   }
 
-  /** Vanishes an instance: no word to anybody. */
+  /** Kills an instance without notice to its peers or callers. */
   async killInstance(name: string): Promise<void> {
-    this.network.dropNode(name);
+    this.network.disconnectNode(name);
     await this.requireInstance(name).kill();
     this.instances.delete(name);
-    this.list.remove(name);
+    this.instanceList.remove(name);
   }
 
-  /** Stops an instance as planned. */
+  /** Starts the planned stop of an instance. Its drain report is added to `drains`. */
   stopInstance(name: string): void {
     const instance = this.requireInstance(name);
     const drain = instance.drain().then((report) => {
       this.instances.delete(name);
-      this.list.remove(name);
+      this.instanceList.remove(name);
       return report;
     });
     this.drains.set(name, drain);
   }
 
-  /** An endpoint begins to leave: listed so, and by its own word. */
-  leaveEndpoint(name: string): void {
-    const endpoint = this.engines.get(name) ?? requireKnown(this.services, name);
-    endpoint.leave();
+  /** Starts draining an endpoint: the endpoint reports it, and the instance list shows the state "leaving". */
+  drainEndpoint(name: string): void {
+    const endpoint = this.engines.get(name) ?? requireByName(this.services, name);
+    endpoint.startDraining();
     const { availabilityZone } = endpoint.structure;
     const service = endpoint instanceof StandInService ? endpoint.structure.service : undefined;
     const role = service === undefined ? "engine" : "service";
-    this.list.set({ name, role, availabilityZone, address: "", state: "leaving", service });
+    this.instanceList.set({ name, role, availabilityZone, address: "", state: "leaving", service });
   }
 
-  /** Ends everything. */
+  /** Stops all instances and stand-ins. */
   async close(): Promise<void> {
     for (const engine of this.engines.values()) engine.resume();
     for (const service of this.services.values()) service.resume();
     await Promise.all([...this.instances.values()].map((instance) => instance.kill()));
     this.network.close();
-    const standIns = [...this.engines.values(), ...this.services.values(), this.log, this.list];
+    const standIns = [...this.engines.values(), ...this.services.values(), this.log, this.instanceList];
     await Promise.all(standIns.map((standIn) => standIn.close()));
   }
 
   private _createEngines(): Promise<void>[] {
-    const surroundings = {
-      applications: this.applications,
-      weights: this.weights,
+    const dependencies = {
+      executionLog: this.executionLog,
+      weightStore: this.weightStore,
       reportLagMs: this.options.reportLagMs ?? 0,
-      layerCountOf: (model: string) => getLayerCount(this.structure, model),
+      getLayerCount: (model: string) => getLayerCount(this.structure, model),
     };
     return this.structure.endpoints.map(async (structure) => {
-      const engine = new StandInEngine(structure, surroundings);
+      const engine = new StandInEngine(structure, dependencies);
       this.engines.set(structure.name, engine);
       await engine.start();
       const { name, availabilityZone } = structure;
-      this._listNow(
+      this._addToInstanceList(
         { name, role: "engine", availabilityZone, address: "", state: "live" },
         engine.port,
         structure,
@@ -195,7 +199,7 @@
         this.services.set(name, endpoint);
         await endpoint.start();
         const node = { name, availabilityZone };
-        this._listNow(
+        this._addToInstanceList(
           { name, role: "service", availabilityZone, address: "", state: "live", service },
           endpoint.port,
           node,
@@ -204,23 +208,23 @@
     });
   }
 
-  private _listNow(instance: ListedInstance, port: number, node: NetworkNode): void {
-    this._listed.set(instance.name, {
+  private _addToInstanceList(instance: ListedInstance, port: number, node: NetworkNode): void {
+    this._listedNodes.set(instance.name, {
       port,
       node: { name: node.name, availabilityZone: node.availabilityZone },
     });
-    this.list.setNow(instance);
+    this.instanceList.setNow(instance);
   }
 
-  private async _view(viewer: string, instance: ListedInstance): Promise<string> {
-    const { port, node } = requireKnown(this._listed, instance.name);
-    const from = this._listed.get(viewer)?.node;
+  private async _resolveAddress(viewer: string, instance: ListedInstance): Promise<string> {
+    const { port, node } = requireByName(this._listedNodes, instance.name);
+    const from = this._listedNodes.get(viewer)?.node;
     if (this.options.hasRelays !== true || from === undefined) return `127.0.0.1:${port}`;
     return this.network.getAddress(from, node, port);
   }
 
   private _getNode(name: string): NetworkNode {
-    return requireKnown(this._listed, name).node;
+    return requireByName(this._listedNodes, name).node;
   }
 
   private async _createSettings(node: NetworkNode, index: number | undefined): Promise<InstanceSettings> {
@@ -246,7 +250,7 @@
       },
       platform: {
         logAddress: await getPlatformAddress(this.log.port),
-        instanceListAddress: await getPlatformAddress(this.list.port),
+        instanceListAddress: await getPlatformAddress(this.instanceList.port),
         ...(appendsPerSecond === undefined ? {} : { appendsPerSecond }),
         ...(logRetentionMs === undefined ? {} : { logRetentionMs }),
       },
@@ -255,7 +259,7 @@
   }
 }
 
-function requireKnown<V>(map: ReadonlyMap<string, V>, name: string): V {
+function requireByName<V>(map: ReadonlyMap<string, V>, name: string): V {
   const value = map.get(name);
   if (value === undefined) throw new errors.InvalidInputError(name, "is not in the fleet");
   return value;
--- a/packages/standins/src/fleet/FleetStructure.ts
+++ b/packages/standins/src/fleet/FleetStructure.ts
@@ -1,4 +1,4 @@
-/** What a fleet of entry instances and stand-ins is made of. The setup line of a trace has the same form. */
+/** Schema of the composition of a fleet. The setup line of a trace extends the same schema. */
 import type { SilenceOptions } from "@shedtiller/pipeline";
 import { layerRangeSchema } from "@shedtiller/routing";
 import * as zod from "zod";
@@ -29,7 +29,7 @@
 
 export const fleetAccountSchema = zod.strictObject({
   name,
-  /** 1 is the highest. */
+  /** Rank of the priority class; 1 is the highest priority. */
   priority: zod.number().int().positive(),
   concurrency: zod.number().int().positive().optional(),
   tokensPerMinute: zod.number().positive().optional(),
@@ -46,11 +46,11 @@
 export type FleetEngine = zod.infer<typeof fleetEngineSchema>;
 export type FleetStructure = zod.infer<typeof fleetStructureSchema>;
 
-/** How a fleet runs beside its structure. */
+/** Runtime options of a fleet. */
 export interface FleetOptions {
-  /** Lag of the instance list. */
+  /** Delay before a change of the instance list becomes visible. */
   readonly listLagMs?: number;
-  /** Put relays between everything, so that links can be cut; off where only speed counts. */
+  /** Whether all links go through relays, so that faults can be injected. Off in benchmarks, which measure speed. */
   readonly hasRelays?: boolean;
   readonly isSilent?: boolean;
   readonly appendsPerSecond?: number;
@@ -58,11 +58,11 @@
   readonly logRetentionMs?: number;
   readonly claimsHorizonMs?: number;
   readonly seed?: number;
-  /** How old the loads are that engines report. */
+  /** Age of the load that engines report. */
   readonly reportLagMs?: number;
-  /** How instances tell silence. */
+  /** Settings by which instances detect an unresponsive engine. */
   readonly silence?: SilenceOptions;
-  /** Ports of the first instance's listeners; the others follow. Picked by the system unless given. */
+  /** Listener port of the first instance; further instances use the next ports. The system chooses ports if undefined. */
   readonly firstCallerPort?: number;
   readonly firstOperatorPort?: number;
 }
--- a/packages/standins/src/fleet/demoStructure.ts
+++ b/packages/standins/src/fleet/demoStructure.ts
@@ -1,4 +1,4 @@
-/** The fleet of `npm start`: Lakeshore's three availability zones with mixed accelerators. */
+/** Structure of the fleet that `npm start` runs: three availability zones with mixed accelerators. */
 import type { FleetEngine, FleetStructure } from "./FleetStructure.js";
 
 const model = "assistant";
@@ -24,7 +24,7 @@
   };
 }
 
-/** Two stages in each zone, and two engines that hold their stage twice. */
+/** Returns the demo structure: each zone covers all layers, and `harbor-depot` has a spare engine for layers 16 to 32. */
 export function createDemoStructure(): FleetStructure {
   const small = {
     accelerator: "small",
--- a/packages/standins/src/fleet/seedConfiguration.ts
+++ b/packages/standins/src/fleet/seedConfiguration.ts
@@ -1,10 +1,10 @@
-/** The configuration that a fleet of stand-ins begins with, as operators confirmed it before. */
+/** Initial configuration of a fleet, written to the log as a plan that an operator has confirmed. */
 import { utils } from "@shedtiller/common";
 import * as intent from "@shedtiller/intent";
 import type { StandInLog } from "../platform/StandInLog.js";
 import type { FleetStructure } from "./FleetStructure.js";
 
-/** Layers of a model: up to the last one that an endpoint holds. */
+/** Returns the number of layers of a model: the highest end of the layer ranges that the endpoints have loaded. */
 export function getLayerCount(structure: FleetStructure, model: string): number {
   const ends = structure.endpoints
     .filter((engine) => engine.model === model)
@@ -12,12 +12,12 @@
   return Math.max(0, ...ends);
 }
 
-/** Name of the priority class of a rank. */
+/** Returns the name of the priority class with a rank. */
 export function getClassName(rank: number): string {
   return `priority-${rank}`;
 }
 
-/** Writes the first confirmation into the log, and gives the key of each account. */
+/** Appends the initial confirmation to the log, and returns the API key of each account. */
 export function seedConfiguration(structure: FleetStructure, log: StandInLog): Map<string, string> {
   const keys = new Map<string, string>();
   const objects: intent.ConfigurationObject[] = [];
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,6 +1,6 @@
 export * from "./HttpStandIn.js";
-export * from "./engine/ApplicationLog.js";
-export * from "./engine/EngineModel.js";
+export * from "./engine/ExecutionLog.js";
+export * from "./engine/EngineSimulator.js";
 export * from "./engine/StandInEngine.js";
 export * from "./engine/layerFunction.js";
 export * from "./fleet/CallerClient.js";
@@ -14,4 +14,5 @@
 export * from "./platform/StandInLog.js";
 export * from "./platform/StandInWeightStore.js";
 export * from "./replay/index.js";
+export * from "./service/RunCounts.js";
 export * from "./service/StandInService.js";
--- a/packages/standins/src/network/Relay.ts
+++ b/packages/standins/src/network/Relay.ts
@@ -1,41 +1,41 @@
-/** A TCP relay on loopback that stands for one link, and can be cut, held or made slow. */
+/** TCP relay on loopback that simulates one network link and injects cuts, one-way cuts, delays and silent connections. */
 import * as net from "node:net";
 import { errors, utils } from "@shedtiller/common";
 
-/** State that links share, so that one cut acts on many. */
+/** State of a link. Several relays may share one state, so that one fault affects all of them. */
 export interface LinkState {
-  /** Nothing passes, in either direction; what was sent waits, as packets that are sent again. */
+  /** Whether nothing is delivered in either direction. Data that is sent meanwhile is queued, as TCP retransmits lost packets. */
   isCut: boolean;
-  /** What the target sends waits, though what is sent to it passes. */
+  /** Whether data from the target is queued while data to the target is delivered. */
   isReplyCut?: boolean;
-  /** Added each way. */
+  /** Delay that is added in each direction. */
   delayMs: number;
 }
 
 const loopback = "127.0.0.1";
-const pumpMs = 2;
+const pollIntervalMs = 2;
 
-interface Parcel {
+interface PendingDelivery {
   readonly dueMs: number;
   readonly deliver: () => void;
 }
 
-/** Passes connections on to one target. */
+/** Forwards connections to one target port. */
 export class Relay {
   private readonly _server = net.createServer({ pauseOnConnect: true }, (socket) => this._accept(socket));
   private readonly _sockets = new Set<net.Socket>();
-  /** Sockets that pass nothing any more. */
-  private readonly _silent = new WeakSet<net.Socket>();
+  /** Sockets whose data is discarded. */
+  private readonly _silencedSockets = new WeakSet<net.Socket>();
   private _port = 0;
   private _isClosed = false;
 
-  /** @param getState - Gives the state of the link now. */
+  /** @param getState - Returns the current state of the link. */
   constructor(
     private readonly _targetPort: number,
     private readonly _getState: () => LinkState,
   ) {}
 
-  /** Starts to listen and gives the relay's port. */
+  /** Starts listening and returns the port of the relay. */
   async start(): Promise<number> {
     await this._listen(0);
     const bound = this._server.address();
@@ -44,31 +44,31 @@
     return bound.port;
   }
 
-  /** Refuses connections, as the target's own address does while nothing listens there. */
+  /** Refuses new connections, as the address of a stopped target does, and resets the open ones. */
   refuse(): void {
     if (this._server.listening) this._server.close();
     this.reset();
   }
 
-  /** Takes connections again, on the same port. */
+  /** Accepts connections again, on the same port. Has no effect after `close`. */
   async admit(): Promise<void> {
     if (!this._server.listening && !this._isClosed) await this._listen(this._port);
   }
 
-  /** Refuses connections for good. */
+  /** Refuses connections permanently. */
   close(): void {
     this._isClosed = true;
     this.refuse();
   }
 
-  /** Resets the connections that stand. */
+  /** Resets all open connections. */
   reset(): void {
     for (const socket of this._sockets) utils.resetSocket(socket);
   }
 
-  /** The connections that stand pass nothing from now on, not even their end; new ones work. */
+  /** Stops forwarding on all open connections, including their closing. New connections are forwarded. */
   silence(): void {
-    for (const socket of this._sockets) this._silent.add(socket);
+    for (const socket of this._sockets) this._silencedSockets.add(socket);
   }
 
   private _listen(port: number): Promise<void> {
@@ -82,37 +82,38 @@
   }
 
   private _accept(client: net.Socket): void {
-    this._watch(client);
+    this._trackSocket(client);
     const target = net.connect(this._targetPort, loopback);
-    this._watch(target);
+    this._trackSocket(target);
     target.once("error", () => utils.resetSocket(client));
     target.once("connect", () => {
-      this._pass(client, target, () => this._getState().isCut);
-      this._pass(target, client, () => this._getState().isCut || this._getState().isReplyCut === true);
+      this._forward(client, target, () => this._getState().isCut);
+      this._forward(target, client, () => this._getState().isCut || this._getState().isReplyCut === true);
     });
   }
 
-  private _watch(socket: net.Socket): void {
+  private _trackSocket(socket: net.Socket): void {
     socket.setNoDelay(true);
     this._sockets.add(socket);
     socket.on("error", () => undefined);
     socket.once("close", () => this._sockets.delete(socket));
   }
 
-  private _pass(from: net.Socket, to: net.Socket, isHeld: () => boolean): void {
-    const parcels: Parcel[] = [];
+  private _forward(from: net.Socket, to: net.Socket, isBlocked: () => boolean): void {
+    const pending: PendingDelivery[] = [];
     const pump = (): void => {
       const nowMs = performance.now();
-      if (to.destroyed) parcels.length = 0;
-      while (!isHeld() && parcels[0] !== undefined && parcels[0].dueMs <= nowMs) parcels.shift()?.deliver();
-      if (parcels.length > 0) setTimeout(pump, pumpMs);
+      if (to.destroyed) pending.length = 0;
+      while (!isBlocked() && pending[0] !== undefined && pending[0].dueMs <= nowMs)
+        pending.shift()?.deliver();
+      if (pending.length > 0) setTimeout(pump, pollIntervalMs);
     };
     const send = (deliver: () => void): void => {
-      if (this._silent.has(from)) return;
+      if (this._silencedSockets.has(from)) return;
       const state = this._getState();
-      if (parcels.length === 0 && !isHeld() && state.delayMs === 0) return deliver();
-      parcels.push({ dueMs: performance.now() + state.delayMs, deliver });
-      if (parcels.length === 1) setTimeout(pump, Math.max(pumpMs, state.delayMs));
+      if (pending.length === 0 && !isBlocked() && state.delayMs === 0) return deliver();
+      pending.push({ dueMs: performance.now() + state.delayMs, deliver });
+      if (pending.length === 1) setTimeout(pump, Math.max(pollIntervalMs, state.delayMs));
     };
     from.on("data", (chunk) => send(() => to.write(chunk)));
     from.once("close", (hadError) => send(() => (hadError ? utils.resetSocket(to) : to.destroySoon())));
--- a/packages/standins/src/platform/StandInInstanceList.ts
+++ b/packages/standins/src/platform/StandInInstanceList.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's instance list, with its lag. */
+/** Stand-in for the instance list of the platform. Changes become visible after a lag. */
 import { utils } from "@shedtiller/common";
 import type { ListedInstance } from "@shedtiller/logservice";
 import type * as restify from "restify";
@@ -7,23 +7,26 @@
 const okStatus = 200;
 const notModifiedStatus = 304;
 
-/** Gives the address under which a viewer reaches a listed instance. */
-export type AddressView = (viewer: string, instance: ListedInstance) => Promise<string>;
+/** Returns the address at which a viewer reaches a listed instance. */
+export type AddressResolver = (viewer: string, instance: ListedInstance) => Promise<string>;
 
-/** The list on loopback. Changes are seen `lagMs` late. */
+/** Serves the instance list on loopback. Changes become visible after `lagMs`. */
 export class StandInInstanceList extends HttpStandIn {
   private readonly _instances = new Map<string, ListedInstance>();
 
   constructor(
     readonly lagMs: number,
-    private readonly _view: AddressView,
+    private readonly _resolveAddress: AddressResolver,
   ) {
     super("instance-list");
     this.server.get("/instances", async (request: restify.Request, response: restify.Response) => {
       const viewer = String((request.query as { viewer?: string }).viewer ?? "");
-      const shown = [...this._instances.values()];
+      const listed = [...this._instances.values()];
       const instances = await Promise.all(
-        shown.map(async (instance) => ({ ...instance, address: await this._view(viewer, instance) })),
+        listed.map(async (instance) => ({
+          ...instance,
+          address: await this._resolveAddress(viewer, instance),
+        })),
       );
       const body = JSON.stringify({ instances });
       const entityTag = `"${utils.hash32(body)}"`;
@@ -33,21 +36,22 @@
     });
   }
 
-  /** Lists an instance or changes its state, after the lag. */
+  /** Adds an instance or changes its state, after the lag. */
   set(instance: ListedInstance): void {
-    this._later(() => this._instances.set(instance.name, instance));
+    this._applyAfterLag(() => this._instances.set(instance.name, instance));
   }
 
-  /** Lists an instance at once, for what was there before the fleet began. */
+  /** Adds an instance without the lag, for instances that exist before the fleet starts. */
   setNow(instance: ListedInstance): void {
     this._instances.set(instance.name, instance);
   }
 
+  /** Removes an instance, after the lag. */
   remove(name: string): void {
-    this._later(() => this._instances.delete(name));
+    this._applyAfterLag(() => this._instances.delete(name));
   }
 
-  private _later(change: () => void): void {
+  private _applyAfterLag(change: () => void): void {
     void utils.sleep(this.lagMs).then(change);
   }
 }
--- a/packages/standins/src/platform/StandInLog.ts
+++ b/packages/standins/src/platform/StandInLog.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the platform's log service: offsets, limited rate and retention, outages, lost replies. */
+/** Stand-in for the log service of the platform, with a limited append rate, retention, outages and lost replies. */
 import { utils } from "@shedtiller/common";
 import type { LogPage, LogRecord } from "@shedtiller/logservice";
 import type * as restify from "restify";
@@ -9,13 +9,13 @@
 const tooManyStatus = 429;
 const unavailableStatus = 503;
 const recordsPerPage = 2_000;
-const longestWaitMs = 30_000;
+const maxWaitMs = 30_000;
 
-/** How the log behaves. */
+/** Options of {@link StandInLog}. */
 export interface StandInLogOptions {
   readonly appendsPerSecond?: number;
   readonly retentionMs?: number;
-  /** Time that each append takes. */
+  /** Duration of each append. */
   readonly appendMs?: number;
 }
 
@@ -25,17 +25,17 @@
   waiters: utils.Deferred<void>[];
 }
 
-/** The log on loopback. */
+/** Serves the log on loopback. A token bucket limits the rate of appends. */
 export class StandInLog extends HttpStandIn {
-  /** Appends that took effect, over all streams. */
+  /** Number of appends that took effect, over all streams. */
   appendCount = 0;
-  /** Bytes of the payloads that were appended. */
+  /** Total size in bytes of the payloads that were appended. */
   appendedBytes = 0;
   isDown = false;
   appendMs: number;
   private _repliesToLose = 0;
-  private _allowance: number;
-  private _allowanceAtMs = utils.monotonicMs();
+  private _bucketTokens: number;
+  private _bucketRefilledAtMs = utils.monotonicMs();
   private readonly _appendsPerSecond: number;
   private readonly _retentionMs: number;
   private readonly _streams = new Map<string, Stream>();
@@ -45,7 +45,7 @@
     this._appendsPerSecond = options.appendsPerSecond ?? 100;
     this._retentionMs = options.retentionMs ?? Number.POSITIVE_INFINITY;
     this.appendMs = options.appendMs ?? 1;
-    this._allowance = this._appendsPerSecond;
+    this._bucketTokens = this._appendsPerSecond;
     this.server.post(
       "/streams/:stream/records",
       async (request: restify.Request, response: restify.Response) => {
@@ -60,18 +60,18 @@
     );
   }
 
-  /** The next append takes effect and its reply is lost. */
+  /** Drops the reply to the next append, which still takes effect. */
   loseNextReply(): void {
     this._repliesToLose += 1;
   }
 
-  /** Appends from inside, as an operator's tool did before the fleet began. */
+  /** Appends a record directly, as an operator's tool would have done before the start of the fleet. */
   seed(stream: string, id: string, payload: unknown): void {
     this._add(this._getStream(stream), id, payload);
   }
 
   override async close(): Promise<void> {
-    for (const stream of this._streams.values()) wakeWaiters(stream);
+    for (const stream of this._streams.values()) resolveWaiters(stream);
     await super.close();
   }
 
@@ -83,7 +83,7 @@
     const body = request.body as { id?: unknown; payload?: unknown } | undefined;
     if (typeof body?.id !== "string") return response.send(badRequestStatus, { reason: "id is missing" });
     if (this.isDown) return response.send(unavailableStatus, { reason: "down" });
-    if (!this._takeAllowance()) return response.send(tooManyStatus, { reason: "too many appends" });
+    if (!this._takeBucketToken()) return response.send(tooManyStatus, { reason: "too many appends" });
     if (this.appendMs > 0) await utils.sleep(this.appendMs);
     if (this.isDown) return response.send(unavailableStatus, { reason: "down" });
     const record = this._add(this._getStream(String(request.params.stream)), body.id, body.payload);
@@ -101,9 +101,9 @@
     const stream = this._getStream(String(request.params.stream));
     if (this.isDown) return response.send(unavailableStatus, { reason: "down" });
     if (from >= getNextOffset(stream))
-      await waitForRecord(stream, Math.min(longestWaitMs, Number(query.waitMs ?? 0)));
+      await waitForRecord(stream, Math.min(maxWaitMs, Number(query.waitMs ?? 0)));
     if (this.isDown) return response.send(unavailableStatus, { reason: "down" });
-    this._dropOld(stream);
+    this._applyRetention(stream);
     const start = Math.max(0, from - stream.firstOffset);
     const page: LogPage = {
       records: stream.records.slice(start, start + recordsPerPage),
@@ -118,21 +118,21 @@
     stream.records.push(record);
     this.appendCount += 1;
     this.appendedBytes += JSON.stringify(payload).length;
-    wakeWaiters(stream);
+    resolveWaiters(stream);
     return record;
   }
 
-  private _takeAllowance(): boolean {
+  private _takeBucketToken(): boolean {
     const nowMs = utils.monotonicMs();
-    const earned = ((nowMs - this._allowanceAtMs) / utils.msPerSecond) * this._appendsPerSecond;
-    this._allowance = Math.min(this._appendsPerSecond, this._allowance + earned);
-    this._allowanceAtMs = nowMs;
-    if (this._allowance < 1) return false;
-    this._allowance -= 1;
+    const refillTokens = ((nowMs - this._bucketRefilledAtMs) / utils.msPerSecond) * this._appendsPerSecond;
+    this._bucketTokens = Math.min(this._appendsPerSecond, this._bucketTokens + refillTokens);
+    this._bucketRefilledAtMs = nowMs;
+    if (this._bucketTokens < 1) return false;
+    this._bucketTokens -= 1;
     return true;
   }
 
-  private _dropOld(stream: Stream): void {
+  private _applyRetention(stream: Stream): void {
     const oldestMs = utils.wallMs() - this._retentionMs;
     while (stream.records[0] !== undefined && stream.records[0].atMs < oldestMs) {
       stream.records.shift();
@@ -141,8 +141,8 @@
   }
 
   private _getStream(name: string): Stream {
-    const known = this._streams.get(name);
-    if (known !== undefined) return known;
+    const existing = this._streams.get(name);
+    if (existing !== undefined) return existing;
     const stream: Stream = { records: [], firstOffset: 0, waiters: [] };
     this._streams.set(name, stream);
     return stream;
@@ -153,7 +153,7 @@
   return stream.firstOffset + stream.records.length;
 }
 
-function wakeWaiters(stream: Stream): void {
+function resolveWaiters(stream: Stream): void {
   const waiters = stream.waiters;
   stream.waiters = [];
   for (const waiter of waiters) waiter.resolve();
--- a/packages/standins/src/replay/TraceRun.ts
+++ b/packages/standins/src/replay/TraceRun.ts
@@ -1,4 +1,4 @@
-/** Plays a trace against a fleet: requests, calls and faults at their times. */
+/** Replays the requests, calls and faults of a trace against a fleet at their recorded times. */
 import { utils } from "@shedtiller/common";
 import { createPrompt, sendModelRequest, sendServiceCall, type CallerReport } from "../fleet/CallerClient.js";
 import { Fleet } from "../fleet/Fleet.js";
@@ -6,26 +6,26 @@
 import { applyFault } from "./applyFault.js";
 import type { CallLine, RequestLine, Trace } from "./traceSchema.js";
 
-/** Everything that a replay saw. */
+/** Observations of one replay. */
 export interface TraceRecord {
   readonly trace: Trace;
   readonly fleet: Fleet;
   readonly reports: ReadonlyMap<string, CallerReport>;
-  /** The idempotency key that was made for each key of the trace. */
+  /** Idempotency key that was generated for each key of the trace. */
   readonly keys: ReadonlyMap<string, string>;
 }
 
 const seed = 20_261_202;
-/** Time for the fleet to finish what the last answers leave behind. */
+/** Time for work that the fleet completes after the last answer. */
 const settleMs = 300;
 
-/** Plays one trace. The fleet is left standing for the check; the caller closes it. */
+/** Replays one trace. The fleet keeps running for the check; the calling code closes it. */
 export async function runTrace(trace: Trace): Promise<TraceRecord> {
   const fleet = new Fleet(trace.setup, { hasRelays: true, isSilent: true, seed });
   await fleet.start();
   const reports = new Map<string, CallerReport>();
   const keys = new Map<string, string>();
-  // Addresses are looked up before the clock starts, so that they are known after an instance has died.
+  // Addresses are resolved before the replay starts, because that of a killed instance can't be resolved any more.
   const addresses = new Map<string, string>();
   for (const { name } of trace.setup.instances) addresses.set(name, await fleet.getCallerAddress(name));
   const startMs = utils.monotonicMs();
@@ -52,7 +52,7 @@
   keys: Map<string, string>,
 ): Promise<CallerReport> {
   const key = fleet.accountKeys.get(line.clientAccount) ?? "";
-  const idempotencyKey = line.key === undefined ? undefined : getKey(keys, line.key);
+  const idempotencyKey = line.key === undefined ? undefined : getIdempotencyKey(keys, line.key);
   if (line.kind === "call") {
     return sendServiceCall({ address, key, service: line.service, idempotencyKey, body: { entry: line.id } });
   }
@@ -69,10 +69,10 @@
   });
 }
 
-/** One time-stamped idempotency key for each key of the trace, made when it is first used. */
-function getKey(keys: Map<string, string>, traceKey: string): string {
-  const known = keys.get(traceKey);
-  if (known !== undefined) return known;
+/** Returns the time-stamped idempotency key for a key of the trace, generated at its first use. */
+function getIdempotencyKey(keys: Map<string, string>, traceKey: string): string {
+  const existing = keys.get(traceKey);
+  if (existing !== undefined) return existing;
   const key = utils.newId();
   keys.set(traceKey, key);
   return key;
--- a/packages/standins/src/replay/applyFault.ts
+++ b/packages/standins/src/replay/applyFault.ts
@@ -1,46 +1,46 @@
-/** Causes the faults that traces name. */
+/** Injects the faults of a trace into a fleet. */
 import { errors, utils } from "@shedtiller/common";
 import { StandInEngine } from "../engine/StandInEngine.js";
 import type { Fleet } from "../fleet/Fleet.js";
 import type { StandInService } from "../service/StandInService.js";
 import type { FaultLine } from "./traceSchema.js";
 
-const lateReplyMs = 200;
+const reorderedReplyDelayMs = 200;
 
-/** Causes one fault, and ends it after its time. Resolves once it is over. */
+/** Injects one fault. Resolves once the fault has ended after `forMs`, or at once if the fault has no duration. */
 export async function applyFault(fleet: Fleet, fault: FaultLine): Promise<void> {
   const { target = "", forMs, delayMs = 0 } = fault;
   switch (fault.what) {
     case "endpoint-dies":
-      return endpointDies(fleet, getEndpoint(fleet, target), forMs);
+      return killEndpoint(fleet, getEndpoint(fleet, target), forMs);
     case "endpoint-hangs":
-      return endpointHangs(getEndpoint(fleet, target), forMs ?? 0);
+      return hangEndpoint(getEndpoint(fleet, target), forMs ?? 0);
     case "endpoint-leaves":
-      return fleet.leaveEndpoint(target);
+      return fleet.drainEndpoint(target);
     case "reply-lost":
       return loseReply(getEndpoint(fleet, target));
     case "reply-crossed":
-      return crossReply(getEndpoint(fleet, target));
+      return reorderReply(getEndpoint(fleet, target));
     case "link-slow":
       fleet.network.setDelay(target, delayMs);
-      return endLater(forMs, () => fleet.network.setDelay(target, 0));
+      return endAfter(forMs, () => fleet.network.setDelay(target, 0));
     case "log-down":
       fleet.log.isDown = true;
-      return endLater(forMs, () => {
+      return endAfter(forMs, () => {
         fleet.log.isDown = false;
       });
     case "log-reply-lost":
       return fleet.log.loseNextReply();
     case "zone-cut":
       fleet.network.cutZone(target);
-      return endLater(forMs, () => fleet.network.mendZone(target));
+      return endAfter(forMs, () => fleet.network.healZone(target));
     case "instance-dies":
       return fleet.killInstance(target);
     case "instance-stops":
       return fleet.stopInstance(target);
     case "instance-pauses":
-      fleet.network.holdNode(target);
-      return endLater(forMs, () => fleet.network.releaseNode(target));
+      fleet.network.suspendNode(target);
+      return endAfter(forMs, () => fleet.network.resumeNode(target));
   }
 }
 
@@ -48,37 +48,37 @@
 
 function getEndpoint(fleet: Fleet, name: string): Endpoint {
   const endpoint = fleet.engines.get(name) ?? fleet.services.get(name);
-  if (endpoint === undefined) throw new errors.InvalidInputError(name, "is no endpoint");
+  if (endpoint === undefined) throw new errors.InvalidInputError(name, "is not an endpoint of the fleet");
   return endpoint;
 }
 
-async function endLater(forMs: number | undefined, end: () => void): Promise<void> {
+async function endAfter(forMs: number | undefined, end: () => void): Promise<void> {
   if (forMs === undefined) return;
   await utils.sleep(forMs);
   end();
 }
 
-async function endpointDies(fleet: Fleet, endpoint: Endpoint, forMs: number | undefined): Promise<void> {
-  fleet.network.dropNode(endpoint.name);
-  await endpoint.vanish();
+async function killEndpoint(fleet: Fleet, endpoint: Endpoint, forMs: number | undefined): Promise<void> {
+  fleet.network.disconnectNode(endpoint.name);
+  await endpoint.kill();
   if (forMs === undefined) return;
   await utils.sleep(forMs);
-  await endpoint.comeBack();
-  await fleet.network.restoreNode(endpoint.name);
+  await endpoint.restart();
+  await fleet.network.reconnectNode(endpoint.name);
 }
 
-async function endpointHangs(endpoint: Endpoint, forMs: number): Promise<void> {
+async function hangEndpoint(endpoint: Endpoint, forMs: number): Promise<void> {
   endpoint.hang();
   await utils.sleep(forMs);
   endpoint.resume();
 }
 
 function loseReply(endpoint: Endpoint): void {
-  if (endpoint instanceof StandInEngine) endpoint.spoilReply("lost");
+  if (endpoint instanceof StandInEngine) endpoint.addReplyFault("lost");
   else endpoint.loseNextReply();
 }
 
-function crossReply(endpoint: Endpoint): void {
-  if (endpoint instanceof StandInEngine) endpoint.spoilReply("crossed");
-  else endpoint.delayNextReply(lateReplyMs);
+function reorderReply(endpoint: Endpoint): void {
+  if (endpoint instanceof StandInEngine) endpoint.addReplyFault("crossed");
+  else endpoint.delayNextReply(reorderedReplyDelayMs);
 }
--- a/packages/standins/src/replay/checkTrace.ts
+++ b/packages/standins/src/replay/checkTrace.ts
@@ -1,13 +1,13 @@
-/** Compares what a replay saw with what its trace states, and with the promises that always hold. */
+/** Checks a replay against the expectations of its trace and against the guarantees that hold for every trace. */
 import type { CallerReport } from "../fleet/CallerClient.js";
 import { getLayerCount } from "../fleet/seedConfiguration.js";
 import type { TraceRecord } from "./TraceRun.js";
 import type { CallLine, ExpectLine, RequestLine } from "./traceSchema.js";
 
-/** New work must not reach a leaving endpoint after this time. */
-const leavingGraceMs = 3_000;
+/** Time after the start of draining from which an endpoint must not receive new work. */
+const drainingGraceMs = 3_000;
 
-/** What came of one request. */
+/** Outcome of one request or call. */
 export interface RequestOutcome {
   readonly outcome: string;
   readonly timesRun: number;
@@ -15,21 +15,21 @@
   readonly totalMs: number;
 }
 
-/** The verdict on a replay. */
+/** Result of the check of a replay. */
 export interface TraceVerdict {
   readonly held: boolean;
-  /** One sentence for each thing that did not hold. */
+  /** One sentence for each expectation or guarantee that did not hold. */
   readonly failed: readonly string[];
   readonly requests: Readonly<Record<string, RequestOutcome>>;
 }
 
-/** How strictly a replay is checked. */
+/** Options of {@link checkTrace}. */
 export interface CheckOptions {
-  /** Whether stated times count. Off in CI, whose machines' speed says nothing about the system. */
+  /** Whether expected times are checked. Off in CI, where times depend on the speed of the machines. */
   readonly areTimesChecked: boolean;
 }
 
-/** Checks a replay; waits for the planned stops that it began. */
+/** Checks a replay after the planned stops that the replay started have ended. */
 export async function checkTrace(
   record: TraceRecord,
   options: CheckOptions = { areTimesChecked: true },
@@ -42,8 +42,8 @@
     ...record.trace.requests.flatMap((line) => checkRequest(record, line)),
     ...record.trace.calls.flatMap((line) => checkCall(record, line)),
     ...checkKeys(record),
-    ...checkLeaving(record),
-    ...(await checkStops(record)),
+    ...checkDraining(record),
+    ...(await checkPlannedStops(record)),
   ];
   const lines = [...record.trace.requests, ...record.trace.calls];
   const requests = Object.fromEntries(lines.map((line) => [line.id, toOutcome(record, line)]));
@@ -64,7 +64,7 @@
   };
 }
 
-/** Runs of a whole request: answers for a model, counted runs for a service. */
+/** Returns how often a request ran: 1 for an answered model request, and the counted runs for a service call. */
 function getTimesRun(record: TraceRecord, line: RequestLine | CallLine): number {
   const report = record.reports.get(line.id);
   if (line.kind === "request") return report?.outcome === "answered" ? 1 : 0;
@@ -78,7 +78,7 @@
     (candidate) => candidate.id === expected.id,
   );
   const report = record.reports.get(expected.id ?? "");
-  if (line === undefined || report === undefined) return [`${expected.id ?? ""}: no outcome was seen.`];
+  if (line === undefined || report === undefined) return [`${expected.id ?? ""}: no outcome was recorded.`];
   const failed: string[] = [];
   const allowed = expected.outcome === undefined ? undefined : [expected.outcome].flat();
   if (allowed !== undefined && !allowed.some((outcome) => outcome === report.outcome)) {
@@ -106,20 +106,20 @@
   return checkCount(key, getKeyRuns(record, key), expected);
 }
 
-/** Runs of a key: calls that services counted, and model answers that were generated to their end. */
+/** Returns the runs of a key: the runs that services counted, and the model answers that were generated completely. */
 function getKeyRuns(record: TraceRecord, key: string): number {
   const runs = record.fleet.runs.byKey.get(record.keys.get(key) ?? "") ?? 0;
   const models = record.trace.requests.filter((line) => line.key === key);
-  return runs + models.filter((line) => isGenerated(record, line)).length;
+  return runs + models.filter((line) => isFullyGenerated(record, line)).length;
 }
 
-/** Whether engines generated the whole answer under this very request's id. */
-function isGenerated(record: TraceRecord, line: RequestLine): boolean {
+/** Whether engines generated the complete answer under the id of this request. */
+function isFullyGenerated(record: TraceRecord, line: RequestLine): boolean {
   const requestId = record.reports.get(line.id)?.requestId;
   if (requestId === undefined) return false;
   const positions = line.promptTokens + line.outputTokens - 1;
-  const applications = record.fleet.applications.getApplications(requestId);
-  return applications.some((application) => application.position + application.count >= positions);
+  const executions = record.fleet.executionLog.getExecutions(requestId);
+  return executions.some((execution) => execution.position + execution.count >= positions);
 }
 
 function checkCount(name: string, timesRun: number, expected: ExpectLine): string[] {
@@ -135,28 +135,28 @@
 
 function checkRequest(record: TraceRecord, line: RequestLine): string[] {
   const report = record.reports.get(line.id);
-  if (report === undefined) return [`${line.id}: no outcome was seen.`];
-  if (report.outcome === "wrong") return [`${line.id}: the caller saw tokens that are not the right ones.`];
-  const { applications } = record.fleet;
+  if (report === undefined) return [`${line.id}: no outcome was recorded.`];
+  if (report.outcome === "wrong") return [`${line.id}: the caller received wrong tokens.`];
+  const { executionLog } = record.fleet;
   const requestId = report.requestId ?? "";
   if (report.outcome === "refused-not-run")
-    return checkNotRun(line.id, applications.getApplications(requestId).length);
-  // The later call of a key gets the answer that was generated under the first one's id.
-  const isOwnRun = applications.getApplications(requestId).length > 0;
+    return checkNotRun(line.id, executionLog.getExecutions(requestId).length);
+  // A repeated request with the same key receives the answer that was generated under the id of the first request.
+  const isOwnRun = executionLog.getExecutions(requestId).length > 0;
   if (report.outcome !== "answered" || (line.key !== undefined && !isOwnRun)) return [];
   const positions = line.promptTokens + line.outputTokens - 1;
-  return applications.findFaults(requestId, getLayerCount(record.trace.setup, line.model), positions);
+  return executionLog.findViolations(requestId, getLayerCount(record.trace.setup, line.model), positions);
 }
 
 function checkCall(record: TraceRecord, line: CallLine): string[] {
   const report = record.reports.get(line.id);
-  if (report === undefined) return [`${line.id}: no outcome was seen.`];
+  if (report === undefined) return [`${line.id}: no outcome was recorded.`];
   if (report.outcome !== "refused-not-run") return [];
   return checkNotRun(line.id, record.fleet.runs.byRequestId.get(report.requestId ?? "") ?? 0);
 }
 
 function checkNotRun(id: string, runs: number): string[] {
-  return runs === 0 ? [] : [`${id}: was refused as not run, but ran.`];
+  return runs === 0 ? [] : [`${id}: was refused as not executed, but ran.`];
 }
 
 function checkKeys(record: TraceRecord): string[] {
@@ -165,36 +165,38 @@
   );
 }
 
-function checkLeaving(record: TraceRecord): string[] {
+function checkDraining(record: TraceRecord): string[] {
   const failed: string[] = [];
-  const { engines, services, applications } = record.fleet;
-  for (const { name, leavingSinceMs } of engines.values()) {
-    if (leavingSinceMs === undefined) continue;
-    const ids = applications.getRequestIds();
-    const all = ids.flatMap((requestId) => applications.getApplications(requestId));
-    const late = all.find((a) => a.endpoint === name && a.streamBeganAtMs > leavingSinceMs + leavingGraceMs);
+  const { engines, services, executionLog } = record.fleet;
+  for (const { name, drainingSinceMs } of engines.values()) {
+    if (drainingSinceMs === undefined) continue;
+    const ids = executionLog.getRequestIds();
+    const all = ids.flatMap((requestId) => executionLog.getExecutions(requestId));
+    const late = all.find(
+      (a) => a.endpoint === name && a.streamStartedAtMs > drainingSinceMs + drainingGraceMs,
+    );
     if (late !== undefined)
       failed.push(
-        `${name}: got new work ${late.streamBeganAtMs - leavingSinceMs} ms after it began to leave.`,
+        `${name}: received new work ${late.streamStartedAtMs - drainingSinceMs} ms after the start of draining.`,
       );
   }
-  for (const { name, leavingSinceMs, callsAtMs } of services.values()) {
+  for (const { name, drainingSinceMs, callTimesMs } of services.values()) {
     const isLate =
-      leavingSinceMs !== undefined && callsAtMs.some((atMs) => atMs > leavingSinceMs + leavingGraceMs);
-    if (isLate) failed.push(`${name}: got new work after it began to leave.`);
+      drainingSinceMs !== undefined && callTimesMs.some((atMs) => atMs > drainingSinceMs + drainingGraceMs);
+    if (isLate) failed.push(`${name}: received new work after the start of draining.`);
   }
   return failed;
 }
 
-/** A planned stop cuts nothing: no request at that instance ends without its answer or a true refusal. */
-async function checkStops(record: TraceRecord): Promise<string[]> {
+/** Checks that planned stops aborted no request, and that no request at a stopped instance ended without a final response. */
+async function checkPlannedStops(record: TraceRecord): Promise<string[]> {
   const failed: string[] = [];
   for (const [name, drain] of record.fleet.drains) {
-    const { abortedRequestIds: cut } = await drain;
-    if (cut.length > 0) failed.push(`${name}: its planned stop cut ${cut.length} requests.`);
+    const { abortedRequestIds: aborted } = await drain;
+    if (aborted.length > 0) failed.push(`${name}: its planned stop aborted ${aborted.length} requests.`);
     const lines = [...record.trace.requests, ...record.trace.calls].filter((line) => line.instance === name);
     for (const { id } of lines)
-      if (isCut(record.reports.get(id))) failed.push(`${id}: was cut by the planned stop of ${name}.`);
+      if (isCut(record.reports.get(id))) failed.push(`${id}: was aborted by the planned stop of ${name}.`);
   }
   return failed;
 }
--- a/packages/standins/src/replay/traceSchema.ts
+++ b/packages/standins/src/replay/traceSchema.ts
@@ -1,4 +1,4 @@
-/** Lines of a trace, as the traces' page states them. */
+/** Schema and parser of trace files, which are JSON lines: a setup line, followed by requests, calls, faults and expectations. */
 import * as fs from "node:fs";
 import { errors, results } from "@shedtiller/common";
 import * as zod from "zod";
@@ -35,7 +35,7 @@
   promptTokens: zod.number().int().positive(),
   outputTokens: zod.number().int().positive(),
   instance: name,
-  /** Groups calls that are one and the same non-repeatable request. */
+  /** Key that marks several lines as sendings of the same non-repeatable request. */
   key: name.optional(),
 });
 
@@ -86,7 +86,7 @@
 export type FaultLine = zod.infer<typeof faultLineSchema>;
 export type ExpectLine = zod.infer<typeof expectLineSchema>;
 
-/** A whole trace. */
+/** A parsed trace. */
 export interface Trace {
   readonly setup: SetupLine;
   readonly requests: readonly RequestLine[];
@@ -102,10 +102,10 @@
   expect: expectLineSchema,
 } as const;
 
-type Read<T> = results.Result<T, errors.InvalidInputError>;
+type ParseResult<T> = results.Result<T, errors.InvalidInputError>;
 
-/** Reads a trace file. The error names file, line and field. */
-export function readTrace(file: string): Read<Trace> {
+/** Reads a trace file. An error states the file, line and field. */
+export function readTrace(file: string): ParseResult<Trace> {
   let text: string;
   try {
     text = fs.readFileSync(file, "utf8");
@@ -116,7 +116,7 @@
 }
 
 /** Parses the text of a trace. */
-export function parseTrace(text: string, file: string): Read<Trace> {
+export function parseTrace(text: string, file: string): ParseResult<Trace> {
   const trace = {
     requests: [] as RequestLine[],
     calls: [] as CallLine[],
@@ -130,7 +130,7 @@
     const value = parseLine(line, place);
     if (value.err) return value;
     if (setup === undefined) {
-      const read = check(setupLineSchema, value.val, place);
+      const read = validate(setupLineSchema, value.val, place);
       if (read.err) return read;
       setup = read.val;
       continue;
@@ -142,7 +142,7 @@
   return checkExpectations({ setup, ...trace }, file);
 }
 
-function parseLine(line: string, place: string): Read<unknown> {
+function parseLine(line: string, place: string): ParseResult<unknown> {
   try {
     return results.Ok(JSON.parse(line));
   } catch (error) {
@@ -150,30 +150,38 @@
   }
 }
 
-function check<S extends zod.ZodType>(schema: S, value: unknown, place: string): Read<zod.infer<S>> {
+function validate<S extends zod.ZodType>(
+  schema: S,
+  value: unknown,
+  place: string,
+): ParseResult<zod.infer<S>> {
   const checked = schema.safeParse(value);
   return checked.success
     ? results.Ok(checked.data)
     : results.Err(errors.fromSchemaIssues(place, checked.error.issues));
 }
 
-interface Lines {
+interface TraceLines {
   readonly requests: RequestLine[];
   readonly calls: CallLine[];
   readonly faults: FaultLine[];
   readonly expectations: ExpectLine[];
 }
 
-function addLine(lines: Lines, value: unknown, setup: SetupLine, place: string): Read<void> {
+function addLine(lines: TraceLines, value: unknown, setup: SetupLine, place: string): ParseResult<void> {
   const kind = (value as { kind?: unknown } | null)?.kind;
   const schema = typeof kind === "string" ? lineSchemas[kind as keyof typeof lineSchemas] : undefined;
   if (schema === undefined)
-    return results.Err(new errors.InvalidInputError(`${place}: kind`, `${String(kind)} is not known`));
-  const line = check<zod.ZodType<RequestLine | CallLine | FaultLine | ExpectLine>>(schema, value, place);
+    return results.Err(
+      new errors.InvalidInputError(`${place}: kind`, `${String(kind)} is not a known kind of line`),
+    );
+  const line = validate<zod.ZodType<RequestLine | CallLine | FaultLine | ExpectLine>>(schema, value, place);
   if (line.err) return line;
-  const fault = findWrongName(line.val, setup);
-  if (fault !== undefined)
-    return results.Err(new errors.InvalidInputError(`${place}: ${fault}`, "names nothing in the setup"));
+  const field = findUnknownReference(line.val, setup);
+  if (field !== undefined)
+    return results.Err(
+      new errors.InvalidInputError(`${place}: ${field}`, "is not defined in the setup line"),
+    );
   if (line.val.kind === "request") lines.requests.push(line.val);
   else if (line.val.kind === "call") lines.calls.push(line.val);
   else if (line.val.kind === "fault") return addFault(lines, line.val, place);
@@ -181,22 +189,22 @@
   return results.Ok(undefined);
 }
 
-function addFault(lines: Lines, fault: FaultLine, place: string): Read<void> {
-  const needsTime = ["endpoint-hangs", "link-slow", "log-down", "zone-cut", "instance-pauses"].includes(
+function addFault(lines: TraceLines, fault: FaultLine, place: string): ParseResult<void> {
+  const needsDuration = ["endpoint-hangs", "link-slow", "log-down", "zone-cut", "instance-pauses"].includes(
     fault.what,
   );
-  if (needsTime && fault.forMs === undefined) {
-    return results.Err(new errors.InvalidInputError(`${place}: forMs`, `is needed for ${fault.what}`));
+  if (needsDuration && fault.forMs === undefined) {
+    return results.Err(new errors.InvalidInputError(`${place}: forMs`, `is required for ${fault.what}`));
   }
   if (fault.what === "link-slow" && fault.delayMs === undefined) {
-    return results.Err(new errors.InvalidInputError(`${place}: delayMs`, "is needed for link-slow"));
+    return results.Err(new errors.InvalidInputError(`${place}: delayMs`, "is required for link-slow"));
   }
   lines.faults.push(fault);
   return results.Ok(undefined);
 }
 
-/** The field that names something which the setup does not have. */
-function findWrongName(
+/** Returns the field that refers to an object that the setup line does not define. */
+function findUnknownReference(
   line: RequestLine | CallLine | FaultLine | ExpectLine,
   setup: SetupLine,
 ): string | undefined {
@@ -218,17 +226,17 @@
   return services.includes(target) || setup.endpoints.some((endpoint) => endpoint.name === target);
 }
 
-function checkExpectations(trace: Trace, file: string): Read<Trace> {
+function checkExpectations(trace: Trace, file: string): ParseResult<Trace> {
   const ids = [...trace.requests, ...trace.calls].map((line) => line.id);
-  const doubled = ids.find((id, index) => ids.indexOf(id) !== index);
-  if (doubled !== undefined)
-    return results.Err(new errors.InvalidInputError(`${file}: id`, `${doubled} is given twice`));
+  const duplicate = ids.find((id, index) => ids.indexOf(id) !== index);
+  if (duplicate !== undefined)
+    return results.Err(new errors.InvalidInputError(`${file}: id`, `${duplicate} is used by several lines`));
   const keys = [...trace.requests, ...trace.calls].map((line) => line.key);
   for (const { id, key } of trace.expectations) {
     const isKnown = id === undefined ? keys.includes(key) : ids.includes(id);
     if (!isKnown)
       return results.Err(
-        new errors.InvalidInputError(`${file}: expect`, `${id ?? key ?? ""} is no request of the trace`),
+        new errors.InvalidInputError(`${file}: expect`, `${id ?? key ?? ""} is not a request of the trace`),
       );
   }
   return results.Ok(trace);
--- a/packages/standins/src/service/StandInService.ts
+++ b/packages/standins/src/service/StandInService.ts
@@ -1,23 +1,10 @@
-/** A stand-in for one endpoint of a plain service, which counts how often each key ran. */
+/** Stand-in for one endpoint of a service, which counts how often each idempotency key ran. */
 import { utils } from "@shedtiller/common";
 import type * as restify from "restify";
 import { HttpStandIn } from "../HttpStandIn.js";
+import type { RunCounts } from "./RunCounts.js";
 
-/** Runs of all endpoints of a fleet's services. */
-export class RunCounts {
-  /** By idempotency key, or request id where there is none. */
-  readonly byKey = new Map<string, number>();
-  readonly byRequestId = new Map<string, number>();
-
-  add(key: string, requestId: string): number {
-    const runs = (this.byKey.get(key) ?? 0) + 1;
-    this.byKey.set(key, runs);
-    this.byRequestId.set(requestId, (this.byRequestId.get(requestId) ?? 0) + 1);
-    return runs;
-  }
-}
-
-/** What a service endpoint is made of. */
+/** Static properties of a service endpoint. */
 export interface ServiceStructure {
   readonly name: string;
   readonly availabilityZone: string;
@@ -25,14 +12,14 @@
   readonly serviceMs: number;
 }
 
-/** A plain service that would bill twice if it were called twice. */
+/** Serves a service whose calls are not idempotent, and injects faults into its replies. */
 export class StandInService extends HttpStandIn {
   private _repliesToLose = 0;
-  private readonly _lateReplies: number[] = [];
+  private readonly _replyDelaysMs: number[] = [];
   private _hang: utils.Deferred<void> | undefined;
-  leavingSinceMs: number | undefined;
-  /** Monotonic milliseconds at which each call began. */
-  readonly callsAtMs: number[] = [];
+  drainingSinceMs: number | undefined;
+  /** Monotonic time in milliseconds at which each call began. */
+  readonly callTimesMs: number[] = [];
 
   constructor(
     readonly structure: ServiceStructure,
@@ -44,18 +31,18 @@
     });
   }
 
-  /** The next reply comes late. */
-  delayNextReply(lateMs: number): void {
-    this._lateReplies.push(lateMs);
+  /** Delays the next reply by `delayMs`. */
+  delayNextReply(delayMs: number): void {
+    this._replyDelaysMs.push(delayMs);
   }
 
-  /** The next reply is lost after the call ran. */
+  /** Drops the next reply after the call has run. */
   loseNextReply(): void {
     this._repliesToLose += 1;
   }
 
-  leave(): void {
-    this.leavingSinceMs = utils.monotonicMs();
+  startDraining(): void {
+    this.drainingSinceMs = utils.monotonicMs();
   }
 
   hang(): void {
@@ -69,12 +56,12 @@
 
   private async _run(request: restify.Request, response: restify.Response): Promise<void> {
     await this._hang?.promise;
-    this.callsAtMs.push(utils.monotonicMs());
+    this.callTimesMs.push(utils.monotonicMs());
     const requestId = String(request.header("shedtiller-request-id") ?? "none");
     const key = String(request.header("idempotency-key") ?? requestId);
     const runs = this._runs.add(key, requestId);
-    const lateMs = this._lateReplies.shift() ?? 0;
-    await utils.sleep(this.structure.serviceMs + lateMs);
+    const delayMs = this._replyDelaysMs.shift() ?? 0;
+    await utils.sleep(this.structure.serviceMs + delayMs);
     if (this._repliesToLose > 0) {
       this._repliesToLose -= 1;
       response.socket?.destroy();
--- a/packages/standins/src/tests/DaemonProcess.ts
+++ b/packages/standins/src/tests/DaemonProcess.ts
@@ -47,7 +47,7 @@
     const isListening = await utils.waitUntil(() => daemon._readPorts(), startTimeoutMs, 20);
     fs.rmSync(folder, { recursive: true });
     if (!isListening) throw new errors.DeadlineError(`The start of ${name}`, startTimeoutMs);
-    fleet.listOutside(name, availabilityZone, daemon._ports[2] ?? 0);
+    fleet.addExternalInstance(name, availabilityZone, daemon._ports[2] ?? 0);
     await daemon._waitUntilReady();
     return daemon;
   }
@@ -99,6 +99,6 @@
     "peerAddress = 127.0.0.1:0",
     "[platform]",
     `logAddress = ${fleet.log.address}`,
-    `instanceListAddress = ${fleet.list.address}`,
+    `instanceListAddress = ${fleet.instanceList.address}`,
   ].join("\n");
 }
--- a/packages/standins/src/tests/FakeConnector.ts
+++ b/packages/standins/src/tests/FakeConnector.ts
@@ -2,8 +2,8 @@
 import { errors, results, utils } from "@shedtiller/common";
 import * as pipeline from "@shedtiller/pipeline";
 import { EndpointDirectory, type EngineReport, type LayerRange } from "@shedtiller/routing";
-import { ApplicationLog } from "../engine/ApplicationLog.js";
-import { EngineModel } from "../engine/EngineModel.js";
+import { ExecutionLog } from "../engine/ExecutionLog.js";
+import { EngineSimulator } from "../engine/EngineSimulator.js";
 
 /** What happens at a call. */
 export type CallFault = "dies" | "hangs" | "reply-lost" | "reply-doubled" | "reply-late" | "refuses";
@@ -29,7 +29,7 @@
 
   constructor(
     readonly endpoint: string,
-    private readonly _model: EngineModel,
+    private readonly _model: EngineSimulator,
     private readonly _connector: FakeConnector,
   ) {
     super();
@@ -57,7 +57,7 @@
   ): Promise<results.Result<pipeline.StageStatusFrame, pipeline.EngineError>> {
     if (this._connector.isSilent(this.endpoint)) return new Promise(() => undefined);
     if (!this.isOpen) return results.Err(new errors.ConnectionLostError(this.endpoint));
-    return results.Ok(this._model.getStanding(key));
+    return results.Ok(this._model.getStageStatus(key));
   }
 
   override exportCache(): Promise<results.Result<pipeline.ExportedFrame, pipeline.EngineError>> {
@@ -89,9 +89,9 @@
 
 /** Engines `a1…` hold [0,4), `b1…` hold [4,8), `w1…` hold all. */
 export class FakeConnector extends pipeline.EngineConnector {
-  readonly applications = new ApplicationLog();
+  readonly applications = new ExecutionLog();
   readonly directory = new EndpointDirectory();
-  private readonly _models = new Map<string, EngineModel>();
+  private readonly _models = new Map<string, EngineSimulator>();
   private readonly _links = new Map<string, FakeLink>();
   private readonly _calls = new Map<string, number>();
   private readonly _silent = new Set<string>();
@@ -107,7 +107,7 @@
     });
     this.directory.setListed(instances);
     for (const [name, layers] of Object.entries(ranges)) {
-      this._models.set(name, new EngineModel(name, { ...speed }, () => 8, this.applications));
+      this._models.set(name, new EngineSimulator(name, { ...speed }, () => 8, this.applications));
       this.directory.setReport(createReport(name, layers), true);
     }
     // Stands for the feed of reports, by which an endpoint that answers again is found.
@@ -126,7 +126,7 @@
     if (this._down.has(endpoint)) return results.Err(new errors.NotReachedError(endpoint));
     const known = this._links.get(endpoint);
     if (known?.isOpen === true) return results.Ok(known);
-    const link = new FakeLink(endpoint, this._models.get(endpoint) as EngineModel, this);
+    const link = new FakeLink(endpoint, this._models.get(endpoint) as EngineSimulator, this);
     this._links.set(endpoint, link);
     return results.Ok(link);
   }
--- a/packages/standins/src/tests/callerInterfaceTests.ts
+++ b/packages/standins/src/tests/callerInterfaceTests.ts
@@ -47,8 +47,8 @@
   const report = await sendModelRequest({ address, key, model, layerCount, prompt, outputTokens: 12 });
   t.is(report.outcome, "answered");
   const requestId = report.requestId ?? "";
-  t.deepEqual(fleet.applications.findFaults(requestId, layerCount, 20 + 12 - 1), []);
-  t.deepEqual([...new Set(fleet.applications.getApplications(requestId).map((a) => a.endpoint))].sort(), [
+  t.deepEqual(fleet.executionLog.findViolations(requestId, layerCount, 20 + 12 - 1), []);
+  t.deepEqual([...new Set(fleet.executionLog.getExecutions(requestId).map((a) => a.endpoint))].sort(), [
     "g1",
     "g2",
   ]);
@@ -149,12 +149,12 @@
     outputTokens: 5_000,
     signal: caller.signal,
   });
-  t.true(await utils.waitUntil(() => fleet.requireEngine("g1").model.activeStreams > 0, 10_000));
+  t.true(await utils.waitUntil(() => fleet.requireEngine("g1").simulator.activeStreams > 0, 10_000));
   caller.abort();
   await request;
   const isFree = (): boolean =>
-    fleet.requireEngine("g1").model.activeStreams === 0 &&
-    fleet.requireEngine("g2").model.activeStreams === 0;
+    fleet.requireEngine("g1").simulator.activeStreams === 0 &&
+    fleet.requireEngine("g2").simulator.activeStreams === 0;
   t.true(await utils.waitUntil(isFree, 10_000));
 });
 
@@ -165,7 +165,7 @@
     { "shedtiller-deadline-ms": "0.001" },
   );
   t.is(readError(response).ran, "no");
-  t.is(fleet.applications.getApplications(String(response.headers["shedtiller-request-id"])).length, 0);
+  t.is(fleet.executionLog.getExecutions(String(response.headers["shedtiller-request-id"])).length, 0);
 });
 
 test("headers over the limit end their connection and nothing else", async (t) => {
--- a/packages/standins/src/tests/configurationTests.ts
+++ b/packages/standins/src/tests/configurationTests.ts
@@ -172,7 +172,7 @@
   );
   // Its way to the log stays cut; only the peers come back.
   fleet.network.cutPair("e2", "platform");
-  fleet.network.mendZone("b");
+  fleet.network.healZone("b");
   t.true(await utils.waitUntil(() => getOffset(fleet, "e2") > written, waitMs));
   t.is(fleet.requireInstance("e2").configuration.getObject("class", "night")?.rank, 4);
 });
@@ -204,7 +204,7 @@
   t.true(isDone());
   t.deepEqual([...new Set(outcomes)], ["answered"]);
   for (const engine of fleet.engines.values()) {
-    const tokens = engine.takenOrders.map((order) => order.fencingToken);
+    const tokens = engine.acceptedOrders.map((order) => order.fencingToken);
     t.deepEqual(
       tokens,
       [...tokens].sort((a, b) => a - b),
@@ -304,9 +304,9 @@
     prompt: createPrompt("seen", 8),
     outputTokens: 200,
   });
-  const hasStreams = (name: string): boolean => fleet.requireEngine(name).model.activeStreams > 0;
+  const hasStreams = (name: string): boolean => fleet.requireEngine(name).simulator.activeStreams > 0;
   t.true(await utils.waitUntil(() => hasStreams("g2") || hasStreams("g3"), waitMs));
-  await fleet.requireEngine(hasStreams("g2") ? "g2" : "g3").vanish();
+  await fleet.requireEngine(hasStreams("g2") ? "g2" : "g3").kill();
   const report = await answer;
   t.is(report.outcome, "answered");
   // Another instance gathers it.
--- a/packages/standins/src/tests/processTests.ts
+++ b/packages/standins/src/tests/processTests.ts
@@ -71,7 +71,9 @@
     t.is((await askUntilAnswered(world, world.first)).outcome, "answered");
     t.is((await askUntilAnswered(world, world.second)).outcome, "answered");
     const [cut, whole] = [ask(world, world.first, "cut", 300), ask(world, world.second, "whole", 300)];
-    t.true(await utils.waitUntil(() => world.fleet.requireEngine("g1").model.activeStreams === 2, waitMs));
+    t.true(
+      await utils.waitUntil(() => world.fleet.requireEngine("g1").simulator.activeStreams === 2, waitMs),
+    );
     world.first.signal("SIGKILL");
     t.is((await cut).outcome, "cut");
     t.is((await whole).outcome, "answered");
@@ -125,7 +127,7 @@
   const world = await startWorld(t);
   await askUntilAnswered(world, world.first);
   const running = ask(world, world.first, "running", 200);
-  t.true(await utils.waitUntil(() => world.fleet.requireEngine("g1").model.activeStreams === 1, waitMs));
+  t.true(await utils.waitUntil(() => world.fleet.requireEngine("g1").simulator.activeStreams === 1, waitMs));
   world.first.signal("SIGTERM");
   t.true(await utils.waitUntil(() => world.first.output.includes("Draining"), waitMs));
   const late = await ask(world, world.first, "late", 2);
@@ -143,7 +145,7 @@
   const world = await startWorld(t);
   await askUntilAnswered(world, world.first);
   const running = ask(world, world.first, "running", 5_000);
-  t.true(await utils.waitUntil(() => world.fleet.requireEngine("g1").model.activeStreams === 1, waitMs));
+  t.true(await utils.waitUntil(() => world.fleet.requireEngine("g1").simulator.activeStreams === 1, waitMs));
   world.first.signal("SIGTERM");
   t.true(await utils.waitUntil(() => world.first.output.includes("Draining"), waitMs));
   world.first.signal("SIGTERM");
--- a/packages/standins/src/tests/recoveryTests.ts
+++ b/packages/standins/src/tests/recoveryTests.ts
@@ -50,7 +50,7 @@
 }
 
 function getFaults(connector: FakeConnector, requestId: string): string[] {
-  return connector.applications.findFaults(requestId, 8, prompt.length + outputTokens - 1);
+  return connector.applications.findViolations(requestId, 8, prompt.length + outputTokens - 1);
 }
 
 const expected = getExpectedTokens(prompt, 8, outputTokens);
--- a/packages/standins/src/tests/rolloutTests.ts
+++ b/packages/standins/src/tests/rolloutTests.ts
@@ -122,7 +122,7 @@
 test("while ordered engines load their weights, the old chain that still serves is not broken up", async (t) => {
   const fleet = await startFleet(t, 16);
   // Sixteen layers take four seconds: real weights take minutes, and the keeper looks four times a second.
-  fleet.weights.layersPerSecond = 4;
+  fleet.weightStore.layersPerSecond = 4;
   await confirmVersion(t, fleet, "2");
   const outcomes: string[] = [];
   const isDone = (): boolean =>
