--- a/packages/standins/src/tests/DaemonProcess.ts
+++ b/packages/standins/src/tests/DaemonProcess.ts
@@ -1,4 +1,4 @@
-/** One `shedtillerd` as a process of its own, for tests that kill, pause and stop it. */
+/** Child process that runs `shedtillerd`, for tests that kill, suspend and stop a daemon. */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as os from "node:os";
@@ -12,12 +12,12 @@
 const binary = url.fileURLToPath(new URL("../../../entry/bin/shedtillerd.js", import.meta.url));
 const startTimeoutMs = 60_000;
 
-/** A running daemon. */
+/** Starts a daemon in a child process, and sends signals to it. */
 export class DaemonProcess {
-  /** What it wrote to its standard error. */
+  /** Standard error output of the daemon. */
   output = "";
-  /** Its exit code, once it has ended. */
-  readonly ended: Promise<number | null>;
+  /** Resolves to the exit code of the daemon, or null if a signal ended it. */
+  readonly exitCode: Promise<number | null>;
   private _ports: number[] = [];
 
   private constructor(
@@ -27,10 +27,10 @@
     _child.stderr?.on("data", (data) => {
       this.output += String(data);
     });
-    this.ended = new Promise((resolve) => _child.once("exit", resolve));
+    this.exitCode = new Promise((resolve) => _child.once("exit", resolve));
   }
 
-  /** Starts a daemon against a fleet's platform and waits until it is ready. */
+  /** Starts a daemon with the log and the instance list of a fleet, and waits until the daemon is ready. */
   static async start(fleet: Fleet, name: string, availabilityZone: string): Promise<DaemonProcess> {
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), "shedtiller-"));
     const file = path.join(folder, `${name}.ini`);
@@ -64,11 +64,11 @@
     this._child.kill(name);
   }
 
-  /** Ends it, if it still runs. */
-  async end(): Promise<void> {
+  /** Kills the daemon, even if it is suspended. */
+  async kill(): Promise<void> {
     this._child.kill("SIGCONT");
     this._child.kill("SIGKILL");
-    await this.ended;
+    await this.exitCode;
   }
 
   private _readPorts(): boolean {
--- a/packages/standins/src/tests/FakeConnector.ts
+++ b/packages/standins/src/tests/FakeConnector.ts
@@ -1,14 +1,14 @@
-/** Links to engine models without sockets, with faults at chosen calls. */
+/** Connector to simulated engines without sockets, with faults at chosen calls. */
 import { errors, results, utils } from "@shedtiller/common";
 import * as pipeline from "@shedtiller/pipeline";
 import { EndpointDirectory, type EngineReport, type LayerRange } from "@shedtiller/routing";
 import { ExecutionLog } from "../engine/ExecutionLog.js";
 import { EngineSimulator } from "../engine/EngineSimulator.js";
 
-/** What happens at a call. */
+/** Fault that is injected into a call. */
 export type CallFault = "dies" | "hangs" | "reply-lost" | "reply-doubled" | "reply-late" | "refuses";
 
-/** One fault: at the `atCall`-th call of an endpoint. */
+/** Fault that is injected into the `atCall`-th call of an endpoint. */
 export interface PlannedFault {
   readonly endpoint: string;
   readonly atCall: number;
@@ -16,40 +16,40 @@
 }
 
 const downMs = 60;
-const lateMs = 40;
-const feedMs = 20;
+const replyDelayMs = 40;
+const reportIntervalMs = 20;
 const speed = { stepMs: 0.5, prefillMsPerToken: 0.02, slots: 8 };
 
-type Applied = results.Result<pipeline.AppliedFrame, pipeline.EngineError>;
+type ApplyResult = results.Result<pipeline.AppliedFrame, pipeline.EngineError>;
 
-/** A fake link; its endpoint's faults come from the connector. */
+/** Link to one simulated engine. The connector determines the faults. */
 class FakeLink extends pipeline.EngineLink {
   isOpen = true;
-  private readonly _waiting = new Map<string, utils.Deferred<Applied>>();
+  private readonly _pendingCalls = new Map<string, utils.Deferred<ApplyResult>>();
 
   constructor(
     readonly endpoint: string,
-    private readonly _model: EngineSimulator,
+    private readonly _simulator: EngineSimulator,
     private readonly _connector: FakeConnector,
   ) {
     super();
   }
 
-  override apply(frame: pipeline.ApplyFrame): Promise<Applied> {
-    const done = new utils.Deferred<Applied>();
-    this._waiting.set(getCallId(frame), done);
+  override apply(frame: pipeline.ApplyFrame): Promise<ApplyResult> {
+    const result = new utils.Deferred<ApplyResult>();
+    this._pendingCalls.set(getCallId(frame), result);
     const fault = this._connector.takeFault(this.endpoint);
     if (fault === "dies") this._connector.breakEndpoint(this.endpoint, true);
     if (fault === "hangs") this._connector.breakEndpoint(this.endpoint, false);
-    if (this._connector.isSilent(this.endpoint) || !this.isOpen) return done.promise;
+    if (this._connector.isSilent(this.endpoint) || !this.isOpen) return result.promise;
     if (fault === "refuses") {
-      done.resolve(results.Err(new pipeline.EngineRefusedError(this.endpoint, "full")));
-      return done.promise;
+      result.resolve(results.Err(new pipeline.EngineRefusedError(this.endpoint, "full")));
+      return result.promise;
     }
-    const reason = this._model.apply(frame, "m", (applied) => this._reply(applied, fault));
+    const reason = this._simulator.apply(frame, "m", (applied) => this._reply(applied, fault));
     if (reason !== undefined)
-      done.resolve(results.Err(new pipeline.EngineRefusedError(this.endpoint, reason)));
-    return done.promise;
+      result.resolve(results.Err(new pipeline.EngineRefusedError(this.endpoint, reason)));
+    return result.promise;
   }
 
   override async probe(
@@ -57,7 +57,7 @@
   ): Promise<results.Result<pipeline.StageStatusFrame, pipeline.EngineError>> {
     if (this._connector.isSilent(this.endpoint)) return new Promise(() => undefined);
     if (!this.isOpen) return results.Err(new errors.ConnectionLostError(this.endpoint));
-    return results.Ok(this._model.getStageStatus(key));
+    return results.Ok(this._simulator.getStageStatus(key));
   }
 
   override exportCache(): Promise<results.Result<pipeline.ExportedFrame, pipeline.EngineError>> {
@@ -69,33 +69,33 @@
   }
 
   override release(key: pipeline.StageKey): void {
-    this._model.release(key);
+    this._simulator.release(key);
   }
 
   close(): void {
     this.isOpen = false;
-    for (const done of this._waiting.values())
-      done.resolve(results.Err(new errors.ConnectionLostError(this.endpoint)));
+    for (const result of this._pendingCalls.values())
+      result.resolve(results.Err(new errors.ConnectionLostError(this.endpoint)));
   }
 
   private _reply(applied: pipeline.AppliedFrame, fault: CallFault | undefined): void {
     if (!this.isOpen || fault === "reply-lost" || this._connector.isSilent(this.endpoint)) return;
-    const send = (): void => this._waiting.get(getCallId(applied))?.resolve(results.Ok(applied));
-    if (fault === "reply-late") setTimeout(send, lateMs);
+    const send = (): void => this._pendingCalls.get(getCallId(applied))?.resolve(results.Ok(applied));
+    if (fault === "reply-late") setTimeout(send, replyDelayMs);
     else send();
     if (fault === "reply-doubled") send();
   }
 }
 
-/** Engines `a1…` hold [0,4), `b1…` hold [4,8), `w1…` hold all. */
+/** Creates one simulated engine for each entry of `ranges`, and injects the planned faults into their calls. */
 export class FakeConnector extends pipeline.EngineConnector {
-  readonly applications = new ExecutionLog();
+  readonly executionLog = new ExecutionLog();
   readonly directory = new EndpointDirectory();
-  private readonly _models = new Map<string, EngineSimulator>();
+  private readonly _simulators = new Map<string, EngineSimulator>();
   private readonly _links = new Map<string, FakeLink>();
-  private readonly _calls = new Map<string, number>();
-  private readonly _silent = new Set<string>();
-  private readonly _down = new Set<string>();
+  private readonly _callCounts = new Map<string, number>();
+  private readonly _silentEndpoints = new Set<string>();
+  private readonly _downEndpoints = new Set<string>();
 
   constructor(
     ranges: Readonly<Record<string, LayerRange>>,
@@ -107,51 +107,53 @@
     });
     this.directory.setListed(instances);
     for (const [name, layers] of Object.entries(ranges)) {
-      this._models.set(name, new EngineSimulator(name, { ...speed }, () => 8, this.applications));
+      this._simulators.set(name, new EngineSimulator(name, { ...speed }, () => 8, this.executionLog));
       this.directory.setReport(createReport(name, layers), true);
     }
-    // Stands for the feed of reports, by which an endpoint that answers again is found.
-    setInterval(() => this._findReachable(), feedMs).unref();
+    // Simulates the periodic reports by which an instance finds endpoints that answer again.
+    setInterval(() => this._markReachable(), reportIntervalMs).unref();
   }
 
-  private _findReachable(): void {
-    for (const name of this._models.keys()) {
-      if (!this._down.has(name) && !this._silent.has(name)) this.directory.markReachable(name);
+  private _markReachable(): void {
+    for (const name of this._simulators.keys()) {
+      if (!this._downEndpoints.has(name) && !this._silentEndpoints.has(name))
+        this.directory.markReachable(name);
     }
   }
 
   override async getLink(
     endpoint: string,
   ): Promise<results.Result<pipeline.EngineLink, errors.NotReachedError>> {
-    if (this._down.has(endpoint)) return results.Err(new errors.NotReachedError(endpoint));
-    const known = this._links.get(endpoint);
-    if (known?.isOpen === true) return results.Ok(known);
-    const link = new FakeLink(endpoint, this._models.get(endpoint) as EngineSimulator, this);
+    if (this._downEndpoints.has(endpoint)) return results.Err(new errors.NotReachedError(endpoint));
+    const existing = this._links.get(endpoint);
+    if (existing?.isOpen === true) return results.Ok(existing);
+    const link = new FakeLink(endpoint, this._simulators.get(endpoint) as EngineSimulator, this);
     this._links.set(endpoint, link);
     return results.Ok(link);
   }
 
-  /** Endpoints that died and are not back. */
+  /** Whether an endpoint has crashed and not restarted yet. */
   isDown(endpoint: string): boolean {
-    return this._down.has(endpoint);
+    return this._downEndpoints.has(endpoint);
   }
 
   isSilent(endpoint: string): boolean {
-    return this._silent.has(endpoint);
+    return this._silentEndpoints.has(endpoint);
   }
 
+  /** Counts a call of an endpoint, and returns the fault that is planned for the call. */
   takeFault(endpoint: string): CallFault | undefined {
-    const call = (this._calls.get(endpoint) ?? 0) + 1;
-    this._calls.set(endpoint, call);
+    const call = (this._callCounts.get(endpoint) ?? 0) + 1;
+    this._callCounts.set(endpoint, call);
     return this._faults.find((fault) => fault.endpoint === endpoint && fault.atCall === call)?.fault;
   }
 
-  /** Breaks an endpoint for a while: it dies with its memory, or stands silent. */
+  /** Crashes an endpoint or makes it unresponsive for 60 ms. A crash discards its streams. */
   breakEndpoint(endpoint: string, isDead: boolean): void {
-    const broken = isDead ? this._down : this._silent;
+    const broken = isDead ? this._downEndpoints : this._silentEndpoints;
     broken.add(endpoint);
     if (isDead) {
-      this._models.get(endpoint)?.clear();
+      this._simulators.get(endpoint)?.clear();
       this._links.get(endpoint)?.close();
       this.directory.markUnreachable(endpoint);
     }
--- a/packages/standins/src/tests/OperatorClient.ts
+++ b/packages/standins/src/tests/OperatorClient.ts
@@ -1,10 +1,10 @@
-/** The operators' interface of one instance, for tests. */
+/** Client of the operator interface of one instance, for tests. */
 import got from "got";
 import type { Plan, PlanOutcome } from "@shedtiller/intent";
 import type { Fleet } from "../fleet/Fleet.js";
 
-/** What a confirmation answers. */
-export interface ConfirmAnswer {
+/** Response to a confirmation. */
+export interface ConfirmResponse {
   readonly status: number;
   readonly outcome?: PlanOutcome;
   readonly isInForce?: boolean;
@@ -12,7 +12,7 @@
   readonly error?: { readonly code: string; readonly ran: string };
 }
 
-/** Calls one instance with the operators' token. */
+/** Sends requests to the operator interface of one instance, authorized by the operator token of the fleet. */
 export class OperatorClient {
   constructor(
     private readonly _fleet: Fleet,
@@ -24,7 +24,7 @@
     return (answer.body as { plan: Plan }).plan;
   }
 
-  async confirm(planId: string): Promise<ConfirmAnswer> {
+  async confirm(planId: string): Promise<ConfirmResponse> {
     const answer = await this._call("POST", `/v1/plans/${planId}/confirm`, {});
     return { status: answer.status, ...(answer.body as object) };
   }
--- a/packages/standins/src/tests/applicationLogTests.ts
+++ b/packages/standins/src/tests/applicationLogTests.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { ExecutionLog, type LayerExecution } from "../engine/ExecutionLog.js";
 
-function createApplication(structure: Partial<LayerExecution>): LayerExecution {
+function createExecution(structure: Partial<LayerExecution>): LayerExecution {
   return {
     requestId: "r",
     attempt: 1,
@@ -16,12 +16,12 @@
   };
 }
 
-test("a doubled, a missing and an uncovered layer application are found", (t) => {
+test("repeated layer executions and uncovered layers are found", (t) => {
   const log = new ExecutionLog();
-  log.add(createApplication({ count: 4 }));
-  log.add(createApplication({ firstLayer: 16, endLayer: 32, endpoint: "g2", count: 4, attempt: 2 }));
+  log.add(createExecution({ count: 4 }));
+  log.add(createExecution({ firstLayer: 16, endLayer: 32, endpoint: "g2", count: 4, attempt: 2 }));
   t.deepEqual(log.findViolations("r", 32, 4), []);
-  log.add(createApplication({ position: 3 }));
+  log.add(createExecution({ position: 3 }));
   t.regex(log.findViolations("r", 32, 4).join(), /ran position 3 where 4 was expected/);
   t.regex(log.findViolations("r", 48, 4).join(), /no attempt ran all layers/);
 });
--- a/packages/standins/src/tests/callerInterfaceTests.ts
+++ b/packages/standins/src/tests/callerInterfaceTests.ts
@@ -1,4 +1,4 @@
-/** The callers' interface over real sockets: answers, errors, limits, cancellation. */
+/** Tests of the caller interface over real sockets: answers, errors, limits and cancellation. */
 import * as net from "node:net";
 import { utils } from "@shedtiller/common";
 import test from "ava";
@@ -42,7 +42,7 @@
   return (JSON.parse(response.body) as ErrorBody).error;
 }
 
-test("a streamed answer went through both engines, every layer once a token", async (t) => {
+test("a streamed answer runs through both engines, with each layer once for each token", async (t) => {
   const prompt = createPrompt("streamed", 20);
   const report = await sendModelRequest({ address, key, model, layerCount, prompt, outputTokens: 12 });
   t.is(report.outcome, "answered");
@@ -54,18 +54,20 @@
   ]);
 });
 
-test("a whole answer and a chat answer have OpenAI's form", async (t) => {
-  const whole = JSON.parse((await post("/v1/completions", { model, prompt: "abc", max_tokens: 4 })).body);
-  t.is(whole.object, "text_completion");
-  t.is(whole.choices[0].finish_reason, "length");
-  t.deepEqual(whole.usage, { prompt_tokens: 3, completion_tokens: 4, total_tokens: 7 });
+test("a completion and a chat completion have the OpenAI response format", async (t) => {
+  const completion = JSON.parse(
+    (await post("/v1/completions", { model, prompt: "abc", max_tokens: 4 })).body,
+  );
+  t.is(completion.object, "text_completion");
+  t.is(completion.choices[0].finish_reason, "length");
+  t.deepEqual(completion.usage, { prompt_tokens: 3, completion_tokens: 4, total_tokens: 7 });
   const messages = [{ role: "user", content: "hello" }];
   const chat = JSON.parse((await post("/v1/chat/completions", { model, messages, max_tokens: 3 })).body);
   t.is(chat.choices[0].message.role, "assistant");
   t.is(chat.choices[0].message.content.trim().split(" ").length, 3);
 });
 
-test("what is wrong with a request is told with its field, and that nothing ran", async (t) => {
+test("an invalid request gets an error that names the field and states that nothing ran", async (t) => {
   const cases: [unknown, number, RegExp][] = [
     [{ model, prompt: "a", max_tokens: -1 }, 400, /max_tokens/],
     [{ prompt: "a" }, 400, /model/],
@@ -81,7 +83,7 @@
   }
 });
 
-test("no key, a wrong key and a key with a wrong secret get 401", async (t) => {
+test("a missing key, an unknown key and a key with a wrong secret get 401", async (t) => {
   const wrongSecret = `${key.slice(0, -4)}0000`;
   for (const authorization of ["", "Bearer sk-00-00", `Bearer ${wrongSecret}`]) {
     const response = await post("/v1/completions", { model, prompt: "a" }, { authorization });
@@ -89,7 +91,7 @@
   }
 });
 
-test("a body over the limit gets 413, whether its length is told or not", async (t) => {
+test("a body over the size limit gets 413, with and without Content-Length", async (t) => {
   const large = "x".repeat(1_100_000);
   t.is((await post("/v1/completions", large)).statusCode, 413);
   const chunked = got.stream.post(`http://${address}/v1/completions`, {
@@ -106,28 +108,28 @@
   t.is(await status, 413);
 });
 
-test("a service gets a body of any type as it was sent", async (t) => {
+test("a service receives a body of any content type unchanged", async (t) => {
   for (const type of ["application/octet-stream", "text/plain", "application/json"]) {
     const response = await post("/services/billing/echo", "1234567890", { "content-type": type });
     t.is((JSON.parse(response.body) as { bodyBytes: number }).bodyBytes, 10);
   }
 });
 
-test("an idempotency key that is not time-stamped is refused, naming the header", async (t) => {
+test("an idempotency key without a timestamp is rejected with an error that names the header", async (t) => {
   const response = await post("/services/billing/entries", {}, { "idempotency-key": "pickup-7" });
   t.is(response.statusCode, 400);
   t.regex(readError(response).message, /Idempotency-Key/);
 });
 
-test("an unknown service gets 404; a known one answers", async (t) => {
+test("an unknown service gets 404, and a known service answers", async (t) => {
   t.is((await post("/services/none/x", {})).statusCode, 404);
   t.is((await post("/services/billing/entries", {})).statusCode, 200);
 });
 
-test("an account over its requests at once gets 429 with Retry-After", async (t) => {
-  const office = { authorization: `Bearer ${fleet.accountKeys.get("office") ?? ""}` };
+test("an account over its concurrency limit gets 429 with Retry-After", async (t) => {
+  const officeHeaders = { authorization: `Bearer ${fleet.accountKeys.get("office") ?? ""}` };
   const calls = Array.from({ length: 6 }, (_value, index) =>
-    post("/v1/completions", { model, prompt: `p${index}`, max_tokens: 40 }, office),
+    post("/v1/completions", { model, prompt: `p${index}`, max_tokens: 40 }, officeHeaders),
   );
   const refused = (await Promise.all(calls)).filter((response) => response.statusCode === 429);
   t.true(refused.length >= 1);
@@ -137,7 +139,7 @@
   }
 });
 
-test("a caller that goes away frees its work at the engines", async (t) => {
+test("the engines release the stream of a caller that disconnects", async (t) => {
   const caller = new AbortController();
   const prompt = createPrompt("gone", 10);
   const request = sendModelRequest({
@@ -158,7 +160,7 @@
   t.true(await utils.waitUntil(isFree, 10_000));
 });
 
-test("a request whose deadline has passed is refused before any layer ran", async (t) => {
+test("a request whose deadline has passed is rejected before any layer runs", async (t) => {
   const response = await post(
     "/v1/completions",
     { model, prompt: "late", max_tokens: 2 },
@@ -168,7 +170,7 @@
   t.is(fleet.executionLog.getExecutions(String(response.headers["shedtiller-request-id"])).length, 0);
 });
 
-test("headers over the limit end their connection and nothing else", async (t) => {
+test("headers over the size limit close only their own connection", async (t) => {
   const [host = "", port = ""] = address.split(":");
   const socket = net.connect(Number(port), host);
   const reply = new Promise<string>((resolve) => {
@@ -181,7 +183,7 @@
   t.is((await got.get(`http://${address}/healthz`)).statusCode, 200);
 });
 
-test("readiness, liveness and models", async (t) => {
+test("readiness, liveness and the list of models are served", async (t) => {
   t.is((await got.get(`http://${address}/readyz`)).statusCode, 200);
   const models = await got
     .get(`http://${address}/v1/models`, { headers: { authorization: `Bearer ${key}` } })
--- a/packages/standins/src/tests/capacityTests.ts
+++ b/packages/standins/src/tests/capacityTests.ts
@@ -8,12 +8,12 @@
 const root = url.fileURLToPath(new URL("../../../../", import.meta.url));
 const points = fs.readFileSync(`${root}bench/slopes/control.jsonl`, "utf8");
 
-test("the tables of docs/CAPACITY.md are those that the committed points give", (t) => {
+test("the tables in docs/CAPACITY.md match the committed measurements", (t) => {
   const page = fs.readFileSync(`${root}docs/CAPACITY.md`, "utf8");
   t.is(updatePage(page, points), page);
 });
 
-test("a slope through exact points is exact, and its error is none", (t) => {
+test("a line through collinear points has the exact slope and no standard error", (t) => {
   const lines = [1, 2, 3, 4].map((size) => {
     return JSON.stringify({
       bench: "control",
@@ -29,7 +29,7 @@
   t.true((slope?.slopeError ?? 1) < 1e-9);
 });
 
-test("every row has figures, and today's fleet fits its memory", (t) => {
+test('every row has finite values, and the fleet of the size "today" fits its memory budget', (t) => {
   const slopes = fitSlopes(parsePoints(points));
   for (const size of sizes) {
     const rows = computeRows(slopes, size);
--- a/packages/standins/src/tests/configurationTests.ts
+++ b/packages/standins/src/tests/configurationTests.ts
@@ -1,4 +1,4 @@
-/** Plans, racing confirmations, cut-off zones, replaced instances and orders, over real sockets. */
+/** Tests of plans, concurrent confirmations, partitioned zones, new instances, rollouts and orders, over real sockets. */
 import { utils } from "@shedtiller/common";
 import { configurationRecordSchema, configurationStream } from "@shedtiller/intent";
 import test, { type ExecutionContext } from "ava";
@@ -35,14 +35,14 @@
   const before = getOffset(fleet, "e2");
   const plan = await operator.plan({ operator: "anna", objects: [createClass("night", 4)] });
   t.is(fleet.requireInstance("e1").configuration.getObject("class", "night"), undefined);
-  // Behind a balancer the confirmation reaches another instance than the plan did.
+  // Behind a load balancer, the confirmation may reach another instance than the plan.
   const confirmed = await new OperatorClient(fleet, "e3").confirm(plan.planId);
   t.is(confirmed.status, 200);
   t.true(confirmed.isInForce);
   t.deepEqual(confirmed.missing, []);
   for (const instance of fleet.instances.values())
     t.is(instance.configuration.getObject("class", "night")?.rank, 4);
-  // Snapshots may be due meanwhile, one for each zone; they change nothing. Exactly one other record was written.
+  // Each zone may write a snapshot meanwhile, which changes nothing. Exactly one other record is expected.
   const written = fleet.log.getRecords(configurationStream).filter((record) => record.offset > before);
   const isChange = (record: { readonly payload: unknown }): boolean =>
     configurationRecordSchema.parse(record.payload).type !== "snapshot";
@@ -51,9 +51,10 @@
   t.true(getOffset(fleet, "e2") >= (changes[0]?.offset ?? Number.POSITIVE_INFINITY));
 });
 
-// Seen beside load: a confirmation answered 404 though an instance knew the plan, and instances were named as missing that had it in force a
-// moment later. Each was given one second to answer, and who had not answered counted as one that knows nothing.
-test("an instance that is slow to answer is waited for, by who looks for a plan and by who tells where it is in force", async (t) => {
+// Guards against a fixed time limit of one second for the answers of peers: under load, a peer that had not answered in time was taken for
+// one without the plan. A confirmation then got 404 although an instance had the plan, and instances were reported as missing that had the
+// plan in force a moment later.
+test("the lookup of a plan and the check of where it is in force wait for an instance that answers slowly", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1", "e2"], []));
   const plan = await new OperatorClient(fleet, "e1").plan({
     operator: "anna",
@@ -77,7 +78,7 @@
   t.deepEqual(confirmed.missing, []);
 });
 
-test("operators who race on one object: the first in the log wins, the other is told by whom; disjoint plans pass", async (t) => {
+test("of two concurrent confirmations for one object the first in the log wins, the other is rejected and names the winner; disjoint plans pass", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1", "e2@b"], []));
   const [one, two] = [new OperatorClient(fleet, "e1"), new OperatorClient(fleet, "e2")];
   const plans = await Promise.all([
@@ -95,24 +96,24 @@
       .sort(),
     [200, 409],
   );
-  const lost = answers.find((answer) => answer.status === 409)?.outcome;
+  const rejected = answers.find((answer) => answer.status === 409)?.outcome;
   const winner = answers[0].status === 200 ? "anna" : "bo";
-  t.is(lost?.overtakenKey, "class/night");
-  t.is(lost?.overtakenByOperator, winner);
+  t.is(rejected?.overtakenKey, "class/night");
+  t.is(rejected?.overtakenByOperator, winner);
   t.is(
     fleet.requireInstance("e2").configuration.getObject("class", "night")?.rank,
     winner === "anna" ? 4 : 5,
   );
 });
 
-test("a confirmation whose append reply is lost resolves to the truth, and changes once", async (t) => {
+test("a confirmation whose append reply is lost resolves to its real outcome and is applied once", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1", "e2@b"], []));
   const operator = new OperatorClient(fleet, "e1");
   const plan = await operator.plan({ operator: "anna", objects: [createClass("night", 4)] });
   fleet.log.loseNextReply();
   t.is((await operator.confirm(plan.planId)).status, 200);
-  const held = fleet.requireInstance("e2").configuration.getStoredObjects().get("class/night");
-  t.is(held?.setByPlan, plan.planId);
+  const stored = fleet.requireInstance("e2").configuration.getStoredObjects().get("class/night");
+  t.is(stored?.setByPlan, plan.planId);
   t.is(
     fleet
       .requireInstance("e2")
@@ -134,7 +135,7 @@
   t.is((await operator.confirm(plan.planId)).status, 200);
 });
 
-test("an instance that starts while the log is down learns the newest configuration from its peers before it serves", async (t) => {
+test("an instance that starts while the log is down receives the newest configuration from its peers before it becomes ready", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1", "e2"], []));
   const operator = new OperatorClient(fleet, "e1");
   const plan = await operator.plan({ operator: "anna", objects: [createClass("night", 4)] });
@@ -147,11 +148,11 @@
   t.is(fresh.configuration.offset, getOffset(fleet, "e1"));
 });
 
-test("an instance cut off from the log learns from its peers, and a cut-off zone says since when", async (t) => {
+test("an instance cut off from the log receives the configuration from its peers, and a cut-off zone reports since when it is cut off", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1", "e2@b"], []));
   const operator = new OperatorClient(fleet, "e1");
   fleet.network.cutZone("b");
-  // A record that had passed the link before the cut may still lie in the reader's socket; none that is written from now on may come.
+  // A record that was delivered before the cut may still be unread in the socket of e2. No later record may arrive.
   const written = fleet.log.getRecords(configurationStream).at(-1)?.offset ?? -1;
   const plan = await operator.plan({ operator: "anna", objects: [createClass("night", 4)] });
   const confirmed = await operator.confirm(plan.planId);
@@ -170,14 +171,14 @@
     status.unreached.map((instance) => instance.name),
     ["e1"],
   );
-  // Its way to the log stays cut; only the peers come back.
+  // The link from e2 to the log stays cut; only the links to its peers are restored.
   fleet.network.cutPair("e2", "platform");
   fleet.network.healZone("b");
   t.true(await utils.waitUntil(() => getOffset(fleet, "e2") > written, waitMs));
   t.is(fleet.requireInstance("e2").configuration.getObject("class", "night")?.rank, 4);
 });
 
-test("a rollout of a new version orders every engine under a lease, and serves all the while", async (t) => {
+test("a rollout of a new version sends orders to every engine under a lease, without interrupting service", async (t) => {
   const engines = ["g1", "g2"]
     .map((name) => createEngine(name, [0, 16]))
     .concat(["g3", "g4"].map((name) => createEngine(name, [16, 32])));
@@ -213,29 +214,30 @@
   }
 });
 
-// Seen once, beside load: of the streams of a rollout one ended cut. Who gives orders had known the new version to be whole for a second
-// and broke up the last old chain; the other instance had not heard of it yet and began streams there, which nothing could go on with.
-// Here that instance hears of it only after it has served many requests more.
-test("a rollout breaks up the last old chain only once every instance has stopped using it", async (t) => {
+// Guards against a stream that ended "cut" during a rollout under load. The instance that sends the orders had seen a complete chain of the
+// new version for a second and reconfigured the last chain of the old version. Another instance had not received the reports of the new
+// version yet and started streams on the old chain, which no engine could continue. In this test, that instance receives the reports only
+// after many more requests.
+test("a rollout reconfigures the last chain of the old version only after every instance has stopped using it", async (t) => {
   const engines = ["g1", "g2"]
     .map((name) => createEngine(name, [0, 16]))
     .concat(["g3", "g4"].map((name) => createEngine(name, [16, 32])));
   const fleet = await startFleet(t, createStructure(["e1", "e2"], engines));
   const { directory } = fleet.requireInstance("e2");
-  const takeReport = directory.setReport.bind(directory);
-  let isHeldBack = true;
+  const setReport = directory.setReport.bind(directory);
+  let isDelayed = true;
   directory.setReport = (report, isDirect) => {
-    const isNews = report.version === "2" && report.state === "live";
-    takeReport(isHeldBack && isNews ? { ...report, state: "loading" } : report, isDirect);
+    const isNewVersion = report.version === "2" && report.state === "live";
+    setReport(isDelayed && isNewVersion ? { ...report, state: "loading" } : report, isDirect);
   };
   const operator = new OperatorClient(fleet, "e1");
-  // The other instance must not be the one that orders, or nothing would be known to be whole.
-  const orderer = fleet.requireInstance("e1").membership.ownsZoneRole("orders") ? "e1" : "e2";
-  t.is(orderer, "e1");
+  // The delayed instance must not be the one that sends the orders, which would otherwise never see a complete chain of the new version.
+  const orderSender = fleet.requireInstance("e1").membership.ownsZoneRole("orders") ? "e1" : "e2";
+  t.is(orderSender, "e1");
   const pipeline = { kind: "pipeline", name: model, version: "2", layerCount };
   const plan = await operator.plan({ operator: "anna", objects: [pipeline] });
   t.is((await operator.confirm(plan.planId)).status, 200);
-  const countNew = (): number =>
+  const countUpdatedEngines = (): number =>
     [...fleet.engines.values()].filter((engine) => engine.getReport().version === "2").length;
   const outcomes: string[] = [];
   const send = async (prefix: string, index: number): Promise<void> => {
@@ -245,18 +247,19 @@
     const sent = await sendModelRequest({ address, key, model, layerCount, prompt, outputTokens: 8 });
     outcomes.push(sent.outcome);
   };
-  t.true(await utils.waitUntil(() => countNew() >= 2, waitMs));
-  const requestsBehind = 150;
-  for (let index = 0; index < requestsBehind; index++) await send("behind", index);
+  t.true(await utils.waitUntil(() => countUpdatedEngines() >= 2, waitMs));
+  const requestsWhileDelayed = 150;
+  for (let index = 0; index < requestsWhileDelayed; index++) await send("behind", index);
   t.deepEqual([...new Set(outcomes)], ["answered"]);
-  t.is(countNew(), 2);
-  isHeldBack = false;
-  for (let index = 0; countNew() < engines.length && index < 5_000; index++) await send("told", index);
-  t.is(countNew(), engines.length);
+  t.is(countUpdatedEngines(), 2);
+  isDelayed = false;
+  for (let index = 0; countUpdatedEngines() < engines.length && index < 5_000; index++)
+    await send("told", index);
+  t.is(countUpdatedEngines(), engines.length);
   t.deepEqual([...new Set(outcomes)], ["answered"]);
 });
 
-test("a plan that takes less than there is warns of the fall, and of zones that could not serve alone", async (t) => {
+test("a plan that reduces capacity warns of the reduction and of zones that can't serve the model by themselves", async (t) => {
   const zones = ["a", "b"].map((availabilityZone) =>
     createEngine(`g${availabilityZone}`, [0, 32], { availabilityZone }),
   );
@@ -268,7 +271,7 @@
   t.is(plan.placement.filter((line) => line.after.startsWith("not needed")).length, 1);
 });
 
-test("an engine that checks orders rejects a token older than one that it has seen", async (t) => {
+test("an engine that checks orders rejects an older fencing token and an expired order", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1"], [createEngine("g1", [0, 32])]));
   const { sendOrder } = await import("@shedtiller/lease");
   const engine = fleet.requireEngine("g1");
@@ -309,7 +312,7 @@
   await fleet.requireEngine(hasStreams("g2") ? "g2" : "g3").kill();
   const report = await answer;
   t.is(report.outcome, "answered");
-  // Another instance gathers it.
+  // The timeline is requested from another instance, which collects it from its peers.
   const { events, gaps } = await new OperatorClient(fleet, "e2").getTimeline(report.requestId ?? "");
   t.deepEqual(gaps, []);
   const kinds = events.map((event) => event.kind).filter((kind) => kind !== "step");
--- a/packages/standins/src/tests/crashingRequestTests.ts
+++ b/packages/standins/src/tests/crashingRequestTests.ts
@@ -1,7 +1,7 @@
 /**
- * The form of the fault in pipelines that the entry steps through itself: a request that ends each engine that begins to run it went on at one
- * replica after the other, and a repeat under another id began anew. By reading, after an incident of the other daemon; here shown by
- * a run, in which one request ended engines 204 times within the three seconds that it had, and was never refused.
+ * Guards against a request that crashes every engine of its pipeline. The entry retried such a request at one replica after the other, and
+ * a repeat under another id started anew: before the quarantine, one request crashed engines 204 times within its three seconds and was
+ * never refused.
  */
 import { PeerCrashQuarantine } from "@shedtiller/entry";
 import { utils } from "@shedtiller/common";
@@ -13,10 +13,10 @@
 
 const names = ["w1", "w2", "w3", "w4", "w5", "w6"];
 const ranges: Record<string, LayerRange> = Object.fromEntries(names.map((name) => [name, [0, 8]]));
-const mostCrashes = 4;
+const maxCrashes = 4;
 
-function createGuard(connector: FakeConnector): PeerCrashQuarantine {
-  const nobody = {
+function createQuarantine(connector: FakeConnector): PeerCrashQuarantine {
+  const emptyMembership = {
     self: { name: "e1", availabilityZone: "z" },
     getLinked: () => [],
     notifyAll: () => undefined,
@@ -24,7 +24,7 @@
     onNotice: () => undefined,
   };
   return new PeerCrashQuarantine({
-    membership: nobody,
+    membership: emptyMembership,
     getInstanceNames: () => ["e1"],
     probe: (address) => Promise.resolve(connector.isDown(address) ? "refused" : "open"),
     warn: () => undefined,
@@ -64,41 +64,41 @@
   return outcome.ok ? "answered" : outcome.val.code;
 }
 
-test("a request that ends each engine that begins it is held back after four at most, and others run", async (t) => {
+test("a request that crashes each engine is quarantined after at most four crashes, and other requests run", async (t) => {
   const calls = Array.from({ length: 40 }, (_, call) => call + 1);
   const faults = names.flatMap((endpoint) =>
     calls.map((atCall) => ({ endpoint, atCall, fault: "dies" as const })),
   );
   const connector = new FakeConnector(ranges, faults);
   const breakEndpoint = connector.breakEndpoint.bind(connector);
-  let ended = 0;
+  let crashCount = 0;
   connector.breakEndpoint = (endpoint, isDead) => {
-    ended += 1;
+    crashCount += 1;
     breakEndpoint(endpoint, isDead);
   };
-  const crashes = createGuard(connector);
+  const crashes = createQuarantine(connector);
   t.is(await run(connector, crashes, "r1", "ends engines"), "held_back");
   for (let repeat = 2; repeat <= 5; repeat++)
     t.is(await run(connector, crashes, `r${repeat}`, "ends engines"), "held_back");
-  t.true(ended <= mostCrashes, `${ended} engines ended`);
-  // The others are sound to whoever comes next.
+  t.true(crashCount <= maxCrashes, `${crashCount} crashes`);
+  // A request with another digest is not affected.
   const sound = new FakeConnector(ranges, []);
   t.is(await run(sound, crashes, "r9", "sound"), "answered");
 });
 
-test("an engine that ends a connection and still takes new ones has not crashed", async (t) => {
+test("an engine that closes a connection and still accepts new ones does not count as crashed", async (t) => {
   const connector = new FakeConnector(ranges, []);
-  const crashes = createGuard(connector);
+  const crashes = createQuarantine(connector);
   for (const name of names) await crashes.noteLost("sound", { name, address: name });
   t.is(crashes.getQuarantineMs("sound"), undefined);
 });
 
-test("a run that gave a token clears its request", async (t) => {
+test("a run that produced a token clears the crash reports of its request", async (t) => {
   const connector = new FakeConnector(
     ranges,
     ["w1", "w2"].map((endpoint) => ({ endpoint, atCall: 1, fault: "dies" as const })),
   );
-  const crashes = createGuard(connector);
+  const crashes = createQuarantine(connector);
   for (const id of ["r1", "r2", "r3"]) t.is(await run(connector, crashes, id, "sound"), "answered");
   t.is(crashes.ledger.getWeight("sound"), 0);
 });
--- a/packages/standins/src/tests/knownRedTests.ts
+++ b/packages/standins/src/tests/knownRedTests.ts
@@ -1,4 +1,4 @@
-/** CI passes over the tests that KNOWN-RED.txt lists, and over nothing else. */
+/** Tests that CI ignores exactly the failures that KNOWN-RED.txt lists. */
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as os from "node:os";
@@ -17,14 +17,14 @@
   const files = { log: path.join(folder, "log"), list: path.join(folder, "list") };
   fs.writeFileSync(files.log, log);
   fs.writeFileSync(files.list, list);
-  const done = childProcess.spawnSync(process.execPath, [script, files.log, files.list], {
+  const checked = childProcess.spawnSync(process.execPath, [script, files.log, files.list], {
     encoding: "utf8",
   });
   fs.rmSync(folder, { recursive: true });
-  return { status: done.status, output: done.stdout };
+  return { status: checked.status, output: checked.stdout };
 }
 
-test("a run that fails by a listed test only passes, and prints it", (t) => {
+test("a run in which only listed tests fail passes and prints them", (t) => {
   const { status, output } = check(`  ✔ x\n${known}\n  1 test failed\n`, listed);
   t.is(status, 0);
   t.regex(output, /known red: a known test/);
@@ -32,16 +32,16 @@
 
 const failing: readonly { readonly name: string; readonly log: string; readonly list: string }[] = [
   { name: "another test failed as well", log: `${known}${other}\n  2 tests failed\n`, list: listed },
-  { name: "nothing is listed", log: `${known}\n  1 test failed\n`, list: "" },
+  { name: "the list is empty", log: `${known}\n  1 test failed\n`, list: "" },
   { name: "a file crashed", log: `${known}\n  1 test failed\n  1 uncaught exception\n`, list: listed },
   {
-    name: "tests were cut off",
+    name: "the run timed out",
     log: `${known}  ✘ Timed out while running tests\n  1 test failed\n`,
     list: listed,
   },
-  { name: "more failed than are named", log: `${known}\n  3 tests failed\n`, list: listed },
+  { name: "more tests failed than the log names", log: `${known}\n  3 tests failed\n`, list: listed },
   { name: "no test ran", log: "error TS2345\n", list: listed },
 ];
 for (const { name, log, list } of failing) {
-  test(`a run does not pass where ${name}`, (t) => t.is(check(log, list).status, 1));
+  test(`a run does not pass if ${name}`, (t) => t.is(check(log, list).status, 1));
 }
--- a/packages/standins/src/tests/processTests.ts
+++ b/packages/standins/src/tests/processTests.ts
@@ -1,4 +1,4 @@
-/** Real processes that are killed, paused and stopped. */
+/** Tests with daemons in processes of their own, which are killed, suspended and stopped. */
 import { utils } from "@shedtiller/common";
 import test, { type ExecutionContext } from "ava";
 import got from "got";
@@ -9,15 +9,15 @@
 
 const waitMs = 30_000;
 
-interface World {
+interface Fixture {
   readonly fleet: Fleet;
   readonly first: DaemonProcess;
   readonly second: DaemonProcess;
   readonly key: string;
 }
 
-/** Two daemons in two zones before two engines and a billing service. */
-async function startWorld(t: ExecutionContext): Promise<World> {
+/** Starts two daemons in two zones with two engines and a billing service. */
+async function startFixture(t: ExecutionContext): Promise<Fixture> {
   const engines = [createEngine("g1", [0, 16]), createEngine("g2", [16, 32])];
   const fleet = new Fleet(createStructure([], engines, ["b1"]), { seed: 1 });
   await fleet.start();
@@ -26,7 +26,7 @@
     DaemonProcess.start(fleet, "e2", "b"),
   ]);
   t.teardown(async () => {
-    await Promise.all([first.end(), second.end()]);
+    await Promise.all([first.kill(), second.kill()]);
     await fleet.close();
   });
   await waitForEngines(first);
@@ -34,15 +34,15 @@
   return { fleet, first, second, key: fleet.accountKeys.get("crews") ?? "" };
 }
 
-/** Waits until a daemon answers a model request, and so knows the engines. */
+/** Waits until the readiness check of a daemon succeeds. */
 async function waitForEngines(daemon: DaemonProcess): Promise<void> {
   const probe = async (): Promise<number> =>
     (await got.get(`http://${daemon.address}/readyz`, { throwHttpErrors: false })).statusCode;
   while ((await probe()) !== 200) await utils.sleep(20);
 }
 
-function ask(
-  { key }: World,
+function sendRequest(
+  { key }: Fixture,
   daemon: DaemonProcess,
   name: string,
   outputTokens: number,
@@ -51,105 +51,113 @@
   return sendModelRequest({ address: daemon.address, key, model, layerCount, prompt, outputTokens });
 }
 
-/** Asks until the daemon, which may not know the engines yet, no longer refuses. */
-async function askUntilAnswered(world: World, daemon: DaemonProcess): Promise<CallerReport> {
+/** Sends requests until one is answered, because a daemon that is ready may not have received the reports of the engines yet. */
+async function sendUntilAnswered(fixture: Fixture, daemon: DaemonProcess): Promise<CallerReport> {
   for (let attempt = 0; ; attempt++) {
-    const report = await ask(world, daemon, `warm${daemon.name}${attempt}`, 2);
+    const report = await sendRequest(fixture, daemon, `warm${daemon.name}${attempt}`, 2);
     if (report.outcome === "answered" || attempt > 200) return report;
     await utils.sleep(50);
   }
 }
 
-function bill({ key }: World, daemon: DaemonProcess, idempotencyKey: string): Promise<CallerReport> {
+function sendBillingCall(
+  { key }: Fixture,
+  daemon: DaemonProcess,
+  idempotencyKey: string,
+): Promise<CallerReport> {
   return sendServiceCall({ address: daemon.address, key, service: "billing", idempotencyKey, body: {} });
 }
 
-test.serial(
-  "one daemon killed in the middle of an answer; the other one's callers notice nothing",
-  async (t) => {
-    const world = await startWorld(t);
-    t.is((await askUntilAnswered(world, world.first)).outcome, "answered");
-    t.is((await askUntilAnswered(world, world.second)).outcome, "answered");
-    const [cut, whole] = [ask(world, world.first, "cut", 300), ask(world, world.second, "whole", 300)];
-    t.true(
-      await utils.waitUntil(() => world.fleet.requireEngine("g1").simulator.activeStreams === 2, waitMs),
-    );
-    world.first.signal("SIGKILL");
-    t.is((await cut).outcome, "cut");
-    t.is((await whole).outcome, "answered");
-  },
-);
+test.serial("a daemon killed during an answer does not affect the callers of the other daemon", async (t) => {
+  const fixture = await startFixture(t);
+  t.is((await sendUntilAnswered(fixture, fixture.first)).outcome, "answered");
+  t.is((await sendUntilAnswered(fixture, fixture.second)).outcome, "answered");
+  const [cut, complete] = [
+    sendRequest(fixture, fixture.first, "cut", 300),
+    sendRequest(fixture, fixture.second, "whole", 300),
+  ];
+  t.true(
+    await utils.waitUntil(() => fixture.fleet.requireEngine("g1").simulator.activeStreams === 2, waitMs),
+  );
+  fixture.first.signal("SIGKILL");
+  t.is((await cut).outcome, "cut");
+  t.is((await complete).outcome, "answered");
+});
 
 test.serial(
-  "a holder paused after its call went out: no second run, and its answer once it wakes",
+  "a claim holder suspended after sending its call: no second run, and its answer is returned after it resumes",
   async (t) => {
-    const world = await startWorld(t);
-    const service = world.fleet.services.get("b1");
+    const fixture = await startFixture(t);
+    const service = fixture.fleet.services.get("b1");
     const idempotencyKey = utils.newId();
     service?.hang();
-    const first = bill(world, world.first, idempotencyKey);
-    t.true(await utils.waitUntil(() => world.fleet.log.getRecords("claims").length === 1, waitMs));
-    world.first.signal("SIGSTOP");
-    t.is((await bill(world, world.second, idempotencyKey)).outcome, "unknown");
+    const first = sendBillingCall(fixture, fixture.first, idempotencyKey);
+    t.true(await utils.waitUntil(() => fixture.fleet.log.getRecords("claims").length === 1, waitMs));
+    fixture.first.signal("SIGSTOP");
+    t.is((await sendBillingCall(fixture, fixture.second, idempotencyKey)).outcome, "unknown");
     service?.resume();
-    world.first.signal("SIGCONT");
+    fixture.first.signal("SIGCONT");
     t.is((await first).outcome, "answered");
-    // The peers find each other again; from then on the second one can ask the first for its answer.
-    let later = await bill(world, world.second, idempotencyKey);
+    // Once the peers are linked again, the second daemon can request the answer from the first.
+    let later = await sendBillingCall(fixture, fixture.second, idempotencyKey);
     for (let attempt = 0; attempt < 200 && later.outcome === "unknown"; attempt++) {
       await utils.sleep(50);
-      later = await bill(world, world.second, idempotencyKey);
+      later = await sendBillingCall(fixture, fixture.second, idempotencyKey);
     }
     t.is(later.outcome, "answered");
-    t.is(world.fleet.runs.byKey.get(idempotencyKey), 1);
+    t.is(fixture.fleet.runs.byKey.get(idempotencyKey), 1);
   },
 );
 
 test.serial(
-  "a holder paused between its claim and its call: it alone may run it, also when it wakes late",
+  "a claim holder suspended between its claim and its call is the only one that may run the call, even after a late resume",
   async (t) => {
-    const world = await startWorld(t);
+    const fixture = await startFixture(t);
     const idempotencyKey = utils.newId();
-    world.fleet.log.appendMs = 400;
-    const first = bill(world, world.first, idempotencyKey);
-    // The append is under way; its record comes while the holder stands still.
+    fixture.fleet.log.appendMs = 400;
+    const first = sendBillingCall(fixture, fixture.first, idempotencyKey);
+    // The append is in progress. Its record is written while the holder is suspended.
     await utils.sleep(150);
-    world.first.signal("SIGSTOP");
-    t.true(await utils.waitUntil(() => world.fleet.log.getRecords("claims").length === 1, waitMs));
-    t.is((await bill(world, world.second, idempotencyKey)).outcome, "unknown");
-    world.first.signal("SIGCONT");
+    fixture.first.signal("SIGSTOP");
+    t.true(await utils.waitUntil(() => fixture.fleet.log.getRecords("claims").length === 1, waitMs));
+    t.is((await sendBillingCall(fixture, fixture.second, idempotencyKey)).outcome, "unknown");
+    fixture.first.signal("SIGCONT");
     t.is((await first).outcome, "answered");
-    t.is(world.fleet.runs.byKey.get(idempotencyKey), 1);
+    t.is(fixture.fleet.runs.byKey.get(idempotencyKey), 1);
   },
 );
 
-test.serial("SIGTERM: no new work, what is under way completes, exit 0", async (t) => {
-  const world = await startWorld(t);
-  await askUntilAnswered(world, world.first);
-  const running = ask(world, world.first, "running", 200);
-  t.true(await utils.waitUntil(() => world.fleet.requireEngine("g1").simulator.activeStreams === 1, waitMs));
-  world.first.signal("SIGTERM");
-  t.true(await utils.waitUntil(() => world.first.output.includes("Draining"), waitMs));
-  const late = await ask(world, world.first, "late", 2);
+test.serial("SIGTERM rejects new work, completes requests in flight and exits with 0", async (t) => {
+  const fixture = await startFixture(t);
+  await sendUntilAnswered(fixture, fixture.first);
+  const running = sendRequest(fixture, fixture.first, "running", 200);
+  t.true(
+    await utils.waitUntil(() => fixture.fleet.requireEngine("g1").simulator.activeStreams === 1, waitMs),
+  );
+  fixture.first.signal("SIGTERM");
+  t.true(await utils.waitUntil(() => fixture.first.output.includes("Draining"), waitMs));
+  const late = await sendRequest(fixture, fixture.first, "late", 2);
   t.is(late.outcome, "refused-not-run");
-  const ready = await got.get(`http://${world.first.address}/readyz`, {
+  const ready = await got.get(`http://${fixture.first.address}/readyz`, {
     throwHttpErrors: false,
     retry: { limit: 0 },
   });
   t.is(ready.statusCode, 503);
   t.is((await running).outcome, "answered");
-  t.is(await world.first.ended, 0);
+  t.is(await fixture.first.exitCode, 0);
 });
 
-test.serial("a second signal hurries the drain, and says what it cut", async (t) => {
-  const world = await startWorld(t);
-  await askUntilAnswered(world, world.first);
-  const running = ask(world, world.first, "running", 5_000);
-  t.true(await utils.waitUntil(() => world.fleet.requireEngine("g1").simulator.activeStreams === 1, waitMs));
-  world.first.signal("SIGTERM");
-  t.true(await utils.waitUntil(() => world.first.output.includes("Draining"), waitMs));
-  world.first.signal("SIGTERM");
+test.serial("a second signal aborts the requests in flight and logs them", async (t) => {
+  const fixture = await startFixture(t);
+  await sendUntilAnswered(fixture, fixture.first);
+  const running = sendRequest(fixture, fixture.first, "running", 5_000);
+  t.true(
+    await utils.waitUntil(() => fixture.fleet.requireEngine("g1").simulator.activeStreams === 1, waitMs),
+  );
+  fixture.first.signal("SIGTERM");
+  t.true(await utils.waitUntil(() => fixture.first.output.includes("Draining"), waitMs));
+  fixture.first.signal("SIGTERM");
   t.is((await running).outcome, "unknown");
-  t.is(await world.first.ended, 1);
-  t.regex(world.first.output, /Cut the request .* short/);
+  t.is(await fixture.first.exitCode, 1);
+  t.regex(fixture.first.output, /Cut the request .* short/);
 });
--- a/packages/standins/src/tests/recoveryTests.ts
+++ b/packages/standins/src/tests/recoveryTests.ts
@@ -1,4 +1,4 @@
-/** Whatever fails on the way, the answer is whole and right, and every layer ran once for each token. */
+/** Tests that answers are complete and correct under engine faults, and that every layer ran once for each token. */
 import { utils } from "@shedtiller/common";
 import * as pipeline from "@shedtiller/pipeline";
 import { ExpectedTimeChooser, type LayerRange } from "@shedtiller/routing";
@@ -26,13 +26,13 @@
   });
 }
 
-async function runOne(
+async function runRequest(
   connector: FakeConnector,
   context: pipeline.PipelineContext,
   requestId: string,
   changes: Partial<pipeline.PipelineRequest> = {},
 ) {
-  const seen: number[] = [];
+  const received: number[] = [];
   const request = {
     requestId,
     model: "m",
@@ -45,49 +45,49 @@
     ...changes,
   };
   const run = new pipeline.PipelineRun(context, request, new AbortController().signal);
-  const outcome = await run.run((token) => seen.push(token));
-  return { outcome, seen };
+  const outcome = await run.run((token) => received.push(token));
+  return { outcome, received };
 }
 
-function getFaults(connector: FakeConnector, requestId: string): string[] {
-  return connector.applications.findViolations(requestId, 8, prompt.length + outputTokens - 1);
+function getViolations(connector: FakeConnector, requestId: string): string[] {
+  return connector.executionLog.findViolations(requestId, 8, prompt.length + outputTokens - 1);
 }
 
 const expected = getExpectedTokens(prompt, 8, outputTokens);
 
 for (const fault of ["dies", "hangs", "reply-lost", "reply-doubled", "reply-late", "refuses"] as const) {
-  test(`a stage that ${fault}: the answer is whole, once and right`, async (t) => {
+  test(`stages with the fault "${fault}": the answer is complete and correct, with each layer run once`, async (t) => {
     const faults = ["a1", "a2", "b1", "b2", "w1"].map((endpoint) => ({ endpoint, atCall: 3, fault }));
     const connector = new FakeConnector(ranges, faults);
-    const { outcome, seen } = await runOne(connector, createContext(connector), "r");
+    const { outcome, received } = await runRequest(connector, createContext(connector), "r");
     t.is(outcome.err ? outcome.val.message : "", "");
-    t.deepEqual(seen, expected);
-    t.deepEqual(getFaults(connector, "r"), []);
+    t.deepEqual(received, expected);
+    t.deepEqual(getViolations(connector, "r"), []);
   });
 }
 
-test("a lost reply is read from the engine's standing, and the stage is kept", async (t) => {
+test("a lost reply is recovered from the stage status of the engine, without rebuilding the stage", async (t) => {
   const connector = new FakeConnector({ a1: [0, 4], b1: [4, 8] }, [
     { endpoint: "b1", atCall: 4, fault: "reply-lost" },
   ]);
   const context = createContext(connector);
-  const { seen } = await runOne(connector, context, "r");
-  t.deepEqual(seen, expected);
+  const { received } = await runRequest(connector, context, "r");
+  t.deepEqual(received, expected);
   t.is(context.counters.stagesLost, 0);
   t.true(context.counters.probes > 0);
 });
 
-test("without kept activations a lost stage restarts the chain, and the answer stays the same", async (t) => {
+test("without stored activations, a lost stage restarts the chain, and the answer is unchanged", async (t) => {
   const connector = new FakeConnector(ranges, [
     { endpoint: "b1", atCall: 5, fault: "dies" },
     { endpoint: "b2", atCall: 5, fault: "dies" },
     { endpoint: "w1", atCall: 5, fault: "dies" },
   ]);
   const context = createContext(connector, 0);
-  const { seen } = await runOne(connector, context, "r");
-  t.deepEqual(seen, expected);
+  const { received } = await runRequest(connector, context, "r");
+  t.deepEqual(received, expected);
   t.true(context.counters.chainsRestarted > 0);
-  t.deepEqual(getFaults(connector, "r"), []);
+  t.deepEqual(getViolations(connector, "r"), []);
 });
 
 const kinds: readonly CallFault[] = ["dies", "hangs", "reply-lost", "reply-doubled", "reply-late", "refuses"];
@@ -97,26 +97,26 @@
   fault: fc.constantFrom(...kinds),
 });
 
-test("random fault schedules over several requests: no token changed, none doubled, none missing", async (t) => {
+test("random fault schedules over concurrent requests change, repeat and lose no token", async (t) => {
   await fc.assert(
     fc.asyncProperty(fc.array(plannedFault, { maxLength: 8 }), async (faults) => {
       const connector = new FakeConnector(ranges, faults);
       const context = createContext(connector);
       const ids = ["r1", "r2", "r3"];
-      const outcomes = await Promise.all(ids.map((id) => runOne(connector, context, id)));
-      for (const { seen } of outcomes) t.deepEqual(seen, expected);
-      for (const id of ids) t.deepEqual(getFaults(connector, id), []);
+      const outcomes = await Promise.all(ids.map((id) => runRequest(connector, context, id)));
+      for (const { received } of outcomes) t.deepEqual(received, expected);
+      for (const id of ids) t.deepEqual(getViolations(connector, id), []);
     }),
     { seed: 20_261_202, numRuns: 40 },
   );
 });
 
-test("a refusal before anything was written says so; one after does not", async (t) => {
+test("a failure before any token was written states that nothing ran; a later failure does not", async (t) => {
   const connector = new FakeConnector({ a1: [0, 4] }, []);
-  const { outcome } = await runOne(connector, createContext(connector), "r");
+  const { outcome } = await runRequest(connector, createContext(connector), "r");
   t.true(outcome.err && outcome.val.ran === "no");
-  const cut = new AbortController();
-  const whole = new FakeConnector(ranges, []);
+  const abortController = new AbortController();
+  const completeConnector = new FakeConnector(ranges, []);
   const request = {
     requestId: "c",
     model: "m",
@@ -127,65 +127,65 @@
     priority: 1,
   };
   const run = new pipeline.PipelineRun(
-    createContext(whole),
+    createContext(completeConnector),
     { ...request, deadlineMs: utils.monotonicMs() + 9_000 },
-    cut.signal,
+    abortController.signal,
   );
-  const cancelled = await run.run((_token, _isEnd) => cut.abort());
+  const cancelled = await run.run((_token, _isEnd) => abortController.abort());
   t.true(cancelled.err && cancelled.val.ran === "unknown");
 });
 
-/** A request of version "1" while engines are to hold "2"; its deadline is that of an entry instance. */
+/** Settings of a request that starts with version "1" while "2" replaces it. The deadline is the default of an entry instance. */
 const replacedVersion: Partial<pipeline.PipelineRequest> = {
-  versions: { isReplaced: (held) => held === "1", changeVersion: () => "2" },
+  versions: { isReplaced: (version) => version === "1", changeVersion: () => "2" },
   deadlineMs: utils.monotonicMs() + 120_000,
 };
 
-/** Lets both engines of a chain go over to version "2" once the request has `tokens` tokens, and gives how it ended. */
+/** Runs a request, switches both engines of the chain to version "2" after `tokens` tokens, and returns the outcome. */
 async function runThroughRollout(
   tokens: number,
-): Promise<{ seen: number[]; isOk: boolean; version: string }> {
+): Promise<{ received: number[]; isOk: boolean; version: string }> {
   const connector = new FakeConnector({ a1: [0, 4], b1: [4, 8] }, [
     { endpoint: "b1", atCall: tokens + 1, fault: "dies" },
   ]);
   const { directory } = connector;
-  const takeReport = directory.setReport.bind(directory);
+  const setReport = directory.setReport.bind(directory);
   const markUnreachable = directory.markUnreachable.bind(directory);
   let version = "1";
-  directory.setReport = (report, isDirect) => takeReport({ ...report, version }, isDirect);
-  const goOver = (): void => {
+  directory.setReport = (report, isDirect) => setReport({ ...report, version }, isDirect);
+  const switchVersion = (): void => {
     version = "2";
     for (const { report } of directory.getEntries())
-      if (report !== undefined) takeReport({ ...report, version }, true);
+      if (report !== undefined) setReport({ ...report, version }, true);
   };
   directory.markUnreachable = (name) => {
-    goOver();
+    switchVersion();
     markUnreachable(name);
   };
-  const { outcome, seen } = await runOne(connector, createContext(connector), "r", replacedVersion);
-  return { seen, isOk: outcome.ok, version };
+  const { outcome, received } = await runRequest(connector, createContext(connector), "r", replacedVersion);
+  return { received, isOk: outcome.ok, version };
 }
 
-test("a stream whose version is gone before its first token goes on with the new one, whole and right", async (t) => {
-  const { seen, isOk, version } = await runThroughRollout(0);
+test("a stream whose version is replaced before its first token continues with the new version, complete and correct", async (t) => {
+  const { received, isOk, version } = await runThroughRollout(0);
   t.is(version, "2");
   t.true(isOk);
-  t.deepEqual(seen, expected);
+  t.deepEqual(received, expected);
 });
 
-test("a stream whose version is gone after some tokens ends at once, and not at its deadline", async (t) => {
-  const { seen, isOk } = await runThroughRollout(3);
+test("a stream whose version is replaced after some tokens ends at once, and not at its deadline", async (t) => {
+  const { received, isOk } = await runThroughRollout(3);
   t.false(isOk);
-  t.deepEqual(seen, expected.slice(0, seen.length));
-  t.true(seen.length > 0);
+  t.deepEqual(received, expected.slice(0, received.length));
+  t.true(received.length > 0);
 });
 
-test("a request whose version is gone before anything was written begins on the new one", async (t) => {
+test("a request whose version is replaced before any token was written starts with the new version", async (t) => {
   const connector = new FakeConnector({ a1: [0, 4], b1: [4, 8] }, []);
   const { directory } = connector;
   for (const { report } of directory.getEntries())
     if (report !== undefined) directory.setReport({ ...report, version: "2" }, true);
-  const { outcome, seen } = await runOne(connector, createContext(connector), "r", replacedVersion);
+  const { outcome, received } = await runRequest(connector, createContext(connector), "r", replacedVersion);
   t.true(outcome.ok);
-  t.deepEqual(seen, expected);
+  t.deepEqual(received, expected);
 });
--- a/packages/standins/src/tests/relayTests.ts
+++ b/packages/standins/src/tests/relayTests.ts
@@ -1,4 +1,4 @@
-/** Connections through a relay may go silent for good, without a reset, while new ones work. */
+/** Tests of silenced connections, which forward nothing without being reset, and of closed relays. */
 import * as net from "node:net";
 import test from "ava";
 import { Relay } from "../network/Relay.js";
@@ -14,7 +14,7 @@
   return new Promise((resolve) => socket.once("data", (chunk) => resolve(chunk.toString())));
 }
 
-test("a connection that went silent passes nothing more, and a new one does", async (t) => {
+test("a silenced connection forwards nothing, and a new connection is forwarded", async (t) => {
   const echo = net.createServer((socket) => {
     socket.on("error", () => undefined);
     socket.pipe(socket);
@@ -26,23 +26,23 @@
   old.write("a");
   t.is(await readOnce(old), "a");
   relay.silence();
-  let heard = "";
-  old.on("data", (chunk) => (heard += chunk.toString()));
+  let received = "";
+  old.on("data", (chunk) => (received += chunk.toString()));
   old.write("b");
   const fresh = await connect(port);
   for (const letter of ["c", "d"]) {
     fresh.write(letter);
     t.is(await readOnce(fresh), letter);
   }
-  t.is(heard, "");
+  t.is(received, "");
   t.false(old.destroyed);
   old.destroy();
   relay.refuse();
   echo.close();
 });
 
-// Guards against a link that is mended after its target has gone for good: it kept a soak's process from ending.
-test("a relay that was closed takes no connection again", async (t) => {
+// Guards against a link that is restored after its target was closed: the listening relay kept the process of a soak test from exiting.
+test("a closed relay accepts no connections after admit", async (t) => {
   const relay = new Relay(1, () => ({ isCut: false, delayMs: 0 }));
   const port = await relay.start();
   relay.refuse();
--- a/packages/standins/src/tests/replayTests.ts
+++ b/packages/standins/src/tests/replayTests.ts
@@ -1,4 +1,4 @@
-/** Every trace of the repository holds: outcomes and promises, not times. */
+/** Tests that the expected outcomes and the guarantees hold in every trace of the repository. Times are not checked. */
 import * as fs from "node:fs";
 import * as url from "node:url";
 import test from "ava";
@@ -28,7 +28,7 @@
   clientAccounts: [{ name: "office", priority: 1 }],
 });
 
-test("an unreadable trace names file, line, field and why", (t) => {
+test("the error of an invalid trace states file, line, field and reason", (t) => {
   const message = (text: string): string => {
     const parsed = parseTrace(text, "t.jsonl");
     return parsed.err ? parsed.val.message : "read";
@@ -43,7 +43,7 @@
   t.regex(message(""), /has no setup line/);
 });
 
-test("a trace whose outcome is not the stated one fails, and says which", async (t) => {
+test("a trace with an unexpected outcome fails, and the message names the request and both outcomes", async (t) => {
   const call = {
     atMs: 0,
     kind: "call",
--- a/packages/standins/src/tests/structures.ts
+++ b/packages/standins/src/tests/structures.ts
@@ -1,10 +1,10 @@
-/** Small fleets for tests. */
+/** Fleet structures for tests. */
 import type { FleetEngine, FleetStructure } from "../fleet/FleetStructure.js";
 
 export const model = "assistant";
 export const layerCount = 32;
 
-/** One engine of the test model. */
+/** Returns an engine of the test model. */
 export function createEngine(
   name: string,
   layers: [number, number],
@@ -26,13 +26,13 @@
   };
 }
 
-/** A fleet of one instance a name, in zone `a` unless the name says another, as in `e2@b`. */
+/** Returns a fleet with one instance per name. A name may carry its zone, as in `e2@b`; the default is zone `a`. */
 export function createStructure(
   instances: readonly string[],
   endpoints: FleetEngine[],
   serviceEndpoints: string[] = [],
 ): FleetStructure {
-  const placed = instances.map((text) => {
+  const instanceStructures = instances.map((text) => {
     const [name = "", availabilityZone = "a"] = text.split("@");
     return { name, availabilityZone };
   });
@@ -44,8 +44,10 @@
     serviceMs: 5,
   };
   return {
-    availabilityZones: [...new Set([...placed, ...endpoints].map((place) => place.availabilityZone))],
-    instances: placed,
+    availabilityZones: [
+      ...new Set([...instanceStructures, ...endpoints].map((place) => place.availabilityZone)),
+    ],
+    instances: instanceStructures,
     endpoints,
     services: serviceEndpoints.length === 0 ? [] : [service],
     clientAccounts: [
