--- a/packages/standins/src/bench/BenchReport.ts
+++ b/packages/standins/src/bench/BenchReport.ts
@@ -1,6 +1,6 @@
-/** Figures of one experiment, as a table or as JSON lines. */
+/** Report of the figures of one benchmark. */
 
-/** One figure. */
+/** One measured figure of a benchmark variant. */
 export interface BenchFigure {
   readonly bench: string;
   readonly variant: string;
@@ -9,7 +9,7 @@
   readonly unit: string;
 }
 
-/** Collects figures. */
+/** Collects the figures of one benchmark, and renders them as a table or as JSON lines. */
 export class BenchReport {
   readonly figures: BenchFigure[] = [];
 
@@ -19,7 +19,7 @@
     this.figures.push({ bench: this.bench, variant, figure, value, unit });
   }
 
-  /** The figures as a table: a row for each variant, a column for each figure. */
+  /** Renders the figures as a table with a row for each variant and a column for each figure. */
   renderTable(): string {
     const columns = [...new Set(this.figures.map(getColumn))];
     const variants = [...new Set(this.figures.map((figure) => figure.variant))];
@@ -35,13 +35,14 @@
       .join("\n");
   }
 
+  /** Renders the figures as JSON lines. */
   renderJson(): string {
     return this.figures.map((figure) => JSON.stringify(figure)).join("\n");
   }
 
   private _getCell(variant: string, column: string): string {
     const found = this.figures.find((figure) => figure.variant === variant && getColumn(figure) === column);
-    return found === undefined ? "" : format(found.value);
+    return found === undefined ? "" : formatValue(found.value);
   }
 }
 
@@ -49,7 +50,7 @@
   return figure.unit === "" ? figure.figure : `${figure.figure} [${figure.unit}]`;
 }
 
-function format(value: number): string {
+function formatValue(value: number): string {
   if (!Number.isFinite(value)) return "-";
   return Math.abs(value) >= 100 ? value.toFixed(0) : value.toPrecision(3);
 }
--- a/packages/standins/src/bench/ClosedLoop.ts
+++ b/packages/standins/src/bench/ClosedLoop.ts
@@ -1,9 +1,9 @@
-/** Callers that each send their next request as soon as the last one has ended. */
+/** Closed-loop load generator: each caller sends its next request after its previous request has ended. */
 import { EventEmitter } from "node:events";
 import { utils } from "@shedtiller/common";
 import { createPrompt, sendModelRequest, type CallerReport } from "../fleet/CallerClient.js";
 
-/** What the callers send. */
+/** Options of {@link ClosedLoop}. */
 export interface ClosedLoopOptions {
   readonly addresses: readonly string[];
   readonly key: string;
@@ -15,13 +15,13 @@
   readonly seed: number;
 }
 
-/** Runs callers until it is stopped, and keeps what they saw. */
+/** Runs a fixed number of callers until `stop`, and collects their reports. */
 export class ClosedLoop {
   readonly reports: CallerReport[] = [];
   private readonly _stop = new AbortController();
   private readonly _random: utils.RandomSource;
   private _tasks: Promise<void>[] = [];
-  private _next = 0;
+  private _requestCount = 0;
 
   constructor(private readonly _options: ClosedLoopOptions) {
     this._random = new utils.RandomSource(_options.seed);
@@ -29,22 +29,22 @@
   }
 
   start(): void {
-    this._tasks = Array.from({ length: this._options.callers }, (_value, index) => this._call(index));
+    this._tasks = Array.from({ length: this._options.callers }, (_value, index) => this._runCaller(index));
   }
 
-  /** Ends all callers, cutting the requests that are under way. */
+  /** Stops all callers and aborts the requests in flight. */
   async stop(): Promise<void> {
     this._stop.abort();
     await Promise.all(this._tasks);
   }
 
-  private async _call(caller: number): Promise<void> {
+  private async _runCaller(caller: number): Promise<void> {
     const { addresses, key, model, layerCount, promptTokens, outputTokens } = this._options;
     await utils.sleep(this._random.nextInteger(500));
     while (!this._stop.signal.aborted) {
-      const prompt = createPrompt(`p${this._next++}`, promptTokens);
+      const prompt = createPrompt(`p${this._requestCount++}`, promptTokens);
       const address = addresses[caller % addresses.length] ?? "";
-      // Lengths differ, so that callers don't march in step.
+      // Random output lengths keep the callers from synchronizing.
       const length = Math.max(1, Math.round(outputTokens * (0.5 + this._random.nextUnit())));
       const request = {
         address,
@@ -58,9 +58,9 @@
       const report = await sendModelRequest(request);
       this.reports.push(report);
       if (report.outcome !== "refused-not-run") continue;
-      // As the refusal asked, and a little apart from the others that were refused with it.
-      const pauseMs = (report.retryAfterS ?? 1) * utils.msPerSecond * (1 + this._random.nextUnit());
-      await utils.sleep(pauseMs, this._stop.signal).catch(() => undefined);
+      // Waits for the time in Retry-After with jitter, so that callers that were refused together don't retry together.
+      const retryDelayMs = (report.retryAfterS ?? 1) * utils.msPerSecond * (1 + this._random.nextUnit());
+      await utils.sleep(retryDelayMs, this._stop.signal).catch(() => undefined);
     }
   }
 }
--- a/packages/standins/src/bench/OpenLoop.ts
+++ b/packages/standins/src/bench/OpenLoop.ts
@@ -1,27 +1,27 @@
-/** Callers that arrive by themselves, whether or not earlier requests have ended (a Poisson process). */
+/** Open-loop load generator: requests arrive as a Poisson process, independent of the completion of earlier requests. */
 import { utils } from "@shedtiller/common";
 import { createPrompt, sendModelRequest, type CallerReport } from "../fleet/CallerClient.js";
 import type { Fleet } from "../fleet/Fleet.js";
 
-/** What one kind of callers sends. */
-export interface OpenLoopKind {
+/** Requests of one client account: their rate and their sizes. */
+export interface OpenLoopWorkload {
   readonly account: string;
   readonly requestsPerSecond: number;
   readonly promptTokens: number;
   readonly outputTokens: number;
 }
 
-/** One ended request. */
+/** Report of a completed request, with its client account. */
 export interface OpenLoopReport extends CallerReport {
   readonly account: string;
 }
 
-/** Sends requests of several kinds for a while over all instances, and waits for the last. */
+/** Sends requests of several workloads to all instances for `durationMs`, and waits until all of them have ended. */
 export async function runOpenLoop(
   fleet: Fleet,
   model: string,
   layerCount: number,
-  kinds: readonly OpenLoopKind[],
+  workloads: readonly OpenLoopWorkload[],
   durationMs: number,
   seed: number,
 ): Promise<OpenLoopReport[]> {
@@ -30,13 +30,13 @@
     [...fleet.instances.keys()].map((name) => fleet.getCallerAddress(name)),
   );
   const startMs = utils.monotonicMs();
-  const arrivals = kinds.flatMap((kind) => createArrivals(kind, durationMs, random));
+  const arrivals = workloads.flatMap((workload) => createArrivals(workload, durationMs, random));
   arrivals.sort((a, b) => a.atMs - b.atMs);
   const sent: Promise<OpenLoopReport>[] = [];
-  for (const [index, { kind, atMs }] of arrivals.entries()) {
+  for (const [index, { workload, atMs }] of arrivals.entries()) {
     const waitMs = startMs + atMs - utils.monotonicMs();
     if (waitMs > 0) await utils.sleep(waitMs);
-    const { account, promptTokens, outputTokens } = kind;
+    const { account, promptTokens, outputTokens } = workload;
     const request = {
       address: random.pick(addresses) ?? "",
       key: fleet.accountKeys.get(account) ?? "",
@@ -51,15 +51,19 @@
 }
 
 interface Arrival {
-  readonly kind: OpenLoopKind;
+  readonly workload: OpenLoopWorkload;
   readonly atMs: number;
 }
 
-function createArrivals(kind: OpenLoopKind, durationMs: number, random: utils.RandomSource): Arrival[] {
+function createArrivals(
+  workload: OpenLoopWorkload,
+  durationMs: number,
+  random: utils.RandomSource,
+): Arrival[] {
   const arrivals: Arrival[] = [];
-  const meanMs = utils.msPerSecond / kind.requestsPerSecond;
+  const meanMs = utils.msPerSecond / workload.requestsPerSecond;
   for (let atMs = random.nextExponential(meanMs); atMs < durationMs; atMs += random.nextExponential(meanMs)) {
-    arrivals.push({ kind, atMs });
+    arrivals.push({ workload, atMs });
   }
   return arrivals;
 }
--- a/packages/standins/src/bench/claims.ts
+++ b/packages/standins/src/bench/claims.ts
@@ -1,4 +1,4 @@
-/** What a claim adds to a call, and what it costs the log, by rate of calls over eight instances. */
+/** Benchmark of claims: the latency that a claim adds to a call and the load on the log, by rate of calls over eight instances. */
 import { results, utils } from "@shedtiller/common";
 import { AtMostOnce, ClaimBatcher, ClaimProjection, claimsStream } from "@shedtiller/claims";
 import { HttpLogService, LogFollower } from "@shedtiller/logservice";
@@ -10,9 +10,9 @@
 const rates = [10, 100, 400, 1_000];
 const measureMs = 6_000;
 const appendsPerSecond = 100;
-const windowMs = 600_000;
+const horizonMs = 600_000;
 
-/** Runs the experiment. */
+/** Runs the benchmark. */
 export async function runClaims(report: BenchReport, seed: number): Promise<void> {
   for (const rate of rates) await measure(report, seed, rate);
 }
@@ -25,7 +25,7 @@
     createInstance(log, `e${index + 1}`, stop.signal),
   );
   const random = new utils.RandomSource(seed);
-  const tookMs: number[] = [];
+  const durationsMs: number[] = [];
   const calls: Promise<void>[] = [];
   let refused = 0;
   const startMs = utils.monotonicMs();
@@ -36,12 +36,12 @@
   ) {
     const waitMs = dueMs - utils.monotonicMs();
     if (waitMs > 1) await utils.sleep(waitMs);
-    const once = random.pick(instances);
-    if (once === undefined) continue;
+    const executor = random.pick(instances);
+    if (executor === undefined) continue;
     calls.push(
-      call(once).then((outcome) => {
+      call(executor).then((outcome) => {
         if (outcome === undefined) refused += 1;
-        else tookMs.push(outcome);
+        else durationsMs.push(outcome);
       }),
     );
   }
@@ -50,17 +50,17 @@
   stop.abort();
   await log.close();
   const variant = `${callsPerSecond} calls/s`;
-  report.add(variant, "added p50", utils.getQuantile(tookMs, 0.5), "ms");
-  report.add(variant, "added p95", utils.getQuantile(tookMs, 0.95), "ms");
+  report.add(variant, "added p50", utils.getQuantile(durationsMs, 0.5), "ms");
+  report.add(variant, "added p95", utils.getQuantile(durationsMs, 0.95), "ms");
   report.add(variant, "appends", log.appendCount / tookS, "1/s");
   report.add(variant, "bytes a call", log.appendedBytes / Math.max(1, calls.length), "B");
   report.add(variant, "refused", refused, "");
 }
 
-/** Runs a call whose work takes no time; gives what the claim took, or undefined where it was refused. */
-async function call(once: AtMostOnce<string>): Promise<number | undefined> {
+/** Runs a call without work. Returns the duration of the claim in milliseconds, or undefined if the call was refused. */
+async function call(executor: AtMostOnce<string>): Promise<number | undefined> {
   const startMs = utils.monotonicMs();
-  const outcome = await once.run(utils.newId(), {
+  const outcome = await executor.run(utils.newId(), {
     requestId: "bench",
     deadlineMs: startMs + 10_000,
     signal: new AbortController().signal,
@@ -71,15 +71,15 @@
 
 function createInstance(standIn: StandInLog, name: string, signal: AbortSignal): AtMostOnce<string> {
   const log = new HttpLogService(standIn.address);
-  const fold = new ClaimProjection(windowMs);
-  void new LogFollower(log, claimsStream, fold).run(signal);
+  const projection = new ClaimProjection(horizonMs);
+  void new LogFollower(log, claimsStream, projection).run(signal);
   const batcher = new ClaimBatcher(
     { log, holder: name, appendsPerSecond, countAppenders: () => instanceCount },
     signal,
   );
   const askHolder = async (): Promise<undefined> => undefined;
   return new AtMostOnce<string>({
-    projection: fold,
+    projection,
     batcher,
     timeline: new Timeline(name),
     holder: name,
--- a/packages/standins/src/bench/control.ts
+++ b/packages/standins/src/bench/control.ts
@@ -1,6 +1,6 @@
 /**
- * What control costs one node, by duty and by the size of what it controls: processor time, memory, messages and bytes.
- * The slopes go into `bench/slopes/control.json`, from which docs/CAPACITY.md is computed.
+ * Benchmark of the control plane: processor time, memory, messages and bytes at one node, by task and by the size of the controlled system.
+ * The figures are stored as JSON lines in `bench/slopes/control.jsonl`, from which the tables in docs/CAPACITY.md are computed.
  */
 import * as crypto from "node:crypto";
 import * as admission from "@shedtiller/admission";
@@ -20,7 +20,7 @@
 const peerSettleMs = 1_500;
 const peerMeasureMs = 4_000;
 
-/** Runs the experiment. */
+/** Runs the benchmark. */
 export async function runControl(report: BenchReport): Promise<void> {
   for (const count of peerCounts) await measurePeers(report, count);
   for (const count of [1_000, 4_000, 10_000, 19_000]) measureAccounts(report, count);
@@ -30,7 +30,7 @@
   for (const count of [10, 40, 160, 500]) measureDemands(report, count);
 }
 
-/** Full links between `count` nodes of one zone in this process; the cost is the process's, shared by its nodes. */
+/** Measures fully linked peers: `count` nodes of one zone in this process. The cost of the process is divided by the number of nodes. */
 async function measurePeers(report: BenchReport, count: number): Promise<void> {
   const stop = new AbortController();
   const members = Array.from({ length: count }, (_value, index) => createMember(`n${index}`));
@@ -47,12 +47,12 @@
   await utils.waitUntil(() => members.every((member) => member.getLinked().length === count - 1), 20_000, 20);
   await utils.sleep(peerSettleMs);
   const cpuBefore = process.cpuUsage();
-  const before = getSent(members);
+  const before = getSentTraffic(members);
   const startMs = utils.monotonicMs();
   await utils.sleep(peerMeasureMs);
   const tookS = (utils.monotonicMs() - startMs) / utils.msPerSecond;
   const cpu = process.cpuUsage(cpuBefore);
-  const sent = getSent(members);
+  const sent = getSentTraffic(members);
   const variant = `peers ${count - 1}`;
   report.add(variant, "peers cpu", (cpu.user + cpu.system) / 1e6 / tookS / count, "cores/node");
   report.add(variant, "peers sent", (sent.bytes - before.bytes) / tookS / count, "B/s/node");
@@ -73,7 +73,7 @@
   });
 }
 
-function getSent(members: readonly Membership[]): { messages: number; bytes: number } {
+function getSentTraffic(members: readonly Membership[]): { messages: number; bytes: number } {
   let [messages, bytes] = [0, 0];
   for (const member of members) {
     for (const traffic of member.traffic.getByTopic("sent").values()) {
@@ -84,12 +84,12 @@
   return { messages, bytes };
 }
 
-/** Configuration of `count` accounts: what holding it takes, what one change costs, and what a new node reads. */
+/** Measures a configuration of `count` accounts: its memory, the cost of one change and the size of the state for a new node. */
 function measureAccounts(report: BenchReport, count: number): void {
   const objects = Array.from({ length: count }, (_value, index) => createAccount(index));
   const heapBefore = getHeapBytes();
-  const fold = new intent.ConfigurationProjection();
-  const directory = new AccountDirectory(fold);
+  const projection = new intent.ConfigurationProjection();
+  const directory = new AccountDirectory(projection);
   const changes = objects.map((value) => ({ key: intent.getObjectKey(value), baseOffset: -1, value }));
   const first = {
     version: 1,
@@ -98,10 +98,10 @@
     operator: "bench",
     changes: structuredClone(changes),
   };
-  fold.acceptRecord({ offset: 0, atMs: 0, id: "first", payload: first });
+  projection.acceptRecord({ offset: 0, atMs: 0, id: "first", payload: first });
   const variant = `accounts ${count}`;
   report.add(variant, "configuration memory", getHeapBytes() - heapBefore, "B");
-  report.add(variant, "state sent to a new node", JSON.stringify(fold.state).length, "B");
+  report.add(variant, "state sent to a new node", JSON.stringify(projection.state).length, "B");
   const rounds = 50;
   directory.find("k0");
   const cpuMs = measureCpuMs(() => {
@@ -114,7 +114,7 @@
         operator: "bench",
         changes: [change],
       };
-      fold.acceptRecord({ offset: round + 1, atMs: 0, id: `p${round}`, payload });
+      projection.acceptRecord({ offset: round + 1, atMs: 0, id: `p${round}`, payload });
     }
   });
   report.add(variant, "configuration change cpu", cpuMs / rounds, "ms/change");
@@ -136,7 +136,7 @@
   };
 }
 
-/** A directory of `count` endpoints: its memory, and what one report of each costs. */
+/** Measures a directory of `count` endpoints: its memory, and the cost of one report of each endpoint and of one list page. */
 function measureEndpoints(report: BenchReport, count: number): void {
   const heapBefore = getHeapBytes();
   const directory = new EndpointDirectory();
@@ -169,19 +169,19 @@
 function createReport(name: string): EngineReport {
   const layers: [number, number] = [0, getLayerCount(createDemoStructure(), "assistant")];
   const speed = { stepMs: 5, prefillMsPerToken: 0.1, slots: 16, memoryLayers: 32 };
-  const held = { model: "assistant", version: "1", layers, activeStreams: 3 };
+  const loaded = { model: "assistant", version: "1", layers, activeStreams: 3 };
   return {
     name,
     accelerator: "large",
     ...speed,
-    ...held,
+    ...loaded,
     checksOrders: true,
     fencingToken: 1,
     state: "live",
   };
 }
 
-/** `count` keys in the window of the claims fold: memory, and what folding one claim costs. */
+/** Measures a claim projection with `count` keys within the horizon: its memory, and the cost of applying one claim. */
 function measureClaims(report: BenchReport, count: number): void {
   const atMs = utils.wallMs();
   const batch = 50;
@@ -195,16 +195,16 @@
     };
   });
   const heapBefore = getHeapBytes();
-  const fold = new claims.ClaimProjection(600_000);
+  const projection = new claims.ClaimProjection(600_000);
   const cpuMs = measureCpuMs(() => {
-    for (const record of records) fold.acceptRecord(record);
+    for (const record of records) projection.acceptRecord(record);
   });
   const variant = `claims ${count}`;
   report.add(variant, "claims memory", getHeapBytes() - heapBefore, "B");
   report.add(variant, "claims cpu", (cpuMs / count) * utils.msPerSecond, "us/claim");
 }
 
-/** A ring of `count` events: memory, and what recording one costs. */
+/** Measures a timeline with a ring buffer of `count` events: its memory, and the cost of recording one event. */
 function measureTimeline(report: BenchReport, count: number): void {
   const heapBefore = getHeapBytes();
   const timeline = new Timeline("e1", count);
@@ -217,7 +217,7 @@
   report.add(variant, "timeline cpu", (cpuMs / count) * utils.msPerSecond, "us/event");
 }
 
-/** Limits with `count` accounts in use: what one exchange of demands costs, and its size. */
+/** Measures limits with `count` active accounts: the cost and the size of one exchange of demands. */
 function measureDemands(report: BenchReport, count: number): void {
   const limits = new admission.AccountLimits();
   const names = Array.from({ length: count }, (_value, index) => `account-${index}`);
@@ -239,7 +239,7 @@
   return (cpu.user + cpu.system) / 1_000;
 }
 
-/** Heap in use after a collection; needs `--expose-gc`, which the bench script gives. */
+/** Returns the heap in use after a garbage collection. Requires `--expose-gc`, which `npm run bench` sets. */
 function getHeapBytes(): number {
   (globalThis as { gc?: () => void }).gc?.();
   const { heapUsed, external } = process.memoryUsage();
--- a/packages/standins/src/bench/createLargeEngine.ts
+++ b/packages/standins/src/bench/createLargeEngine.ts
@@ -1,10 +1,10 @@
-/** The engine that benches with one kind of accelerator use. */
+/** Engines of benchmarks with a single kind of accelerator. */
 import type { FleetEngine } from "../fleet/FleetStructure.js";
 
-/** Name of the benches' model. */
+/** Name of the model that the benchmarks use. */
 export const model = "assistant";
 
-/** Makes one engine of the benches' model. */
+/** Returns an engine with the accelerator "large" for the benchmark model. */
 export function createLargeEngine(
   name: string,
   availabilityZone: string,
--- a/packages/standins/src/bench/main.ts
+++ b/packages/standins/src/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- NAME [--json] [--seed N]`: runs one experiment. */
+/** `npm run bench -- NAME [--json] [--seed N]`: runs one benchmark. */
 import { cac } from "cac";
 import { BenchReport } from "./BenchReport.js";
 import { runClaims } from "./claims.js";
@@ -8,7 +8,7 @@
 import { runRouting } from "./routing.js";
 import { runThroughput } from "./throughput.js";
 
-/** An experiment of at most 60 s. */
+/** A benchmark, which takes at most 60 s. */
 type Bench = (report: BenchReport, seed: number) => Promise<void>;
 
 const benches: Readonly<Record<string, Bench>> = {
@@ -22,7 +22,7 @@
 const defaultSeed = 1;
 const usageStatus = 2;
 
-// A dependency of restify still reads process.binding; the warning says nothing to a reader of figures.
+// Hides the deprecation warning for process.binding, which a dependency of restify uses.
 process.noDeprecation = true;
 
 async function main(): Promise<number> {
@@ -33,7 +33,7 @@
   const bench = benches[name];
   if (bench === undefined) {
     process.stderr.write(
-      `${name === "" ? "Nothing" : name} is no bench; known: ${Object.keys(benches).join(", ")}.\n`,
+      `${name === "" ? "Nothing" : name} is not a benchmark. Available benchmarks: ${Object.keys(benches).join(", ")}.\n`,
     );
     return usageStatus;
   }
--- a/packages/standins/src/bench/overload.ts
+++ b/packages/standins/src/bench/overload.ts
@@ -1,4 +1,4 @@
-/** Priority classes at 0.8, 1.5 and 3 times the capacity, against first come, first served. */
+/** Benchmark of admission by priority class at 0.8, 1.5 and 3 times the capacity, compared with a FIFO queue. */
 import { FifoAdmission } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 import { ModelQueues } from "@shedtiller/entry";
@@ -17,15 +17,16 @@
 const promptTokens = 8;
 const stepMs = 30;
 const slots = 6;
-/** Streams for each slot in the baseline; the same that ours starts from. */
+/** Concurrent streams per slot in the baseline, which is also the initial value of the admission by priority class. */
 const baselineStreamsPerSlot = 1.25;
 const shares: Readonly<Record<string, number>> = { first: 0.2, second: 0.3, third: 0.5 };
-/** Longest first token that still counts as good. */
-const goodFirstTokenMs = 2_000;
+/** Maximum time to the first token of an answer that counts as goodput. */
+const maxFirstTokenMs = 2_000;
 
-/** Runs the experiment. */
+/** Runs the benchmark. */
 export async function runOverload(report: BenchReport, seed: number): Promise<void> {
-  for (const isOurs of [false, true]) for (const load of loads) await measure(report, seed, load, isOurs);
+  for (const isPriorityBased of [false, true])
+    for (const load of loads) await measure(report, seed, load, isPriorityBased);
 }
 
 function createStructure(): FleetStructure {
@@ -44,10 +45,15 @@
   };
 }
 
-async function measure(report: BenchReport, seed: number, load: number, isOurs: boolean): Promise<void> {
+async function measure(
+  report: BenchReport,
+  seed: number,
+  load: number,
+  isPriorityBased: boolean,
+): Promise<void> {
   const structure = createStructure();
   const fleet = new Fleet(structure, { isSilent: true, seed });
-  if (!isOurs)
+  if (!isPriorityBased)
     fleet.addContainerHook((container) => {
       const limit =
         (slots * structure.endpoints.length * baselineStreamsPerSlot) / structure.instances.length;
@@ -60,7 +66,7 @@
     return { name, availabilityZone, layersPerSecond, memoryLayers: layerCount };
   });
   const tokensPerSecond = getHardwareBound(engines, layerCount) * load;
-  const kinds = Object.entries(shares).map(([account, share]) => {
+  const workloads = Object.entries(shares).map(([account, share]) => {
     return {
       account,
       requestsPerSecond: (tokensPerSecond / outputTokens) * share,
@@ -68,12 +74,12 @@
       outputTokens,
     };
   });
-  const reports = await runOpenLoop(fleet, model, layerCount, kinds, durationMs, seed);
+  const reports = await runOpenLoop(fleet, model, layerCount, workloads, durationMs, seed);
   await fleet.close();
-  const variant = `${isOurs ? "ours" : "first come"}, ${load} x`;
-  for (const account of Object.keys(shares)) addClass(report, variant, account, reports);
+  const variant = `${isPriorityBased ? "ours" : "first come"}, ${load} x`;
+  for (const account of Object.keys(shares)) addAccountFigures(report, variant, account, reports);
   const good = reports.filter(
-    (r) => r.outcome === "answered" && (r.firstTokenMs ?? Infinity) <= goodFirstTokenMs,
+    (r) => r.outcome === "answered" && (r.firstTokenMs ?? Infinity) <= maxFirstTokenMs,
   );
   report.add(
     variant,
@@ -90,7 +96,7 @@
   );
 }
 
-function addClass(
+function addAccountFigures(
   report: BenchReport,
   variant: string,
   account: string,
--- a/packages/standins/src/bench/recovery.ts
+++ b/packages/standins/src/bench/recovery.ts
@@ -1,4 +1,4 @@
-/** The pause in a stream when a stage dies and when it hangs, against the best that could be, by silence detector. */
+/** Benchmark of the pause in a stream after the crash or the hang of a stage, compared with a lower bound, by failure detector. */
 import { utils } from "@shedtiller/common";
 import type { SilenceOptions } from "@shedtiller/pipeline";
 import { createPrompt, sendModelRequest } from "../fleet/CallerClient.js";
@@ -20,25 +20,25 @@
 const settleMs = 150;
 const fixedTimeoutMs = 500;
 
-const learned = { quantile: 0.99, floorMs: 5, probeFactor: 2, probeFloorMs: 8, callsPerProbe: 32 };
+const adaptive = { quantile: 0.99, floorMs: 5, probeFactor: 2, probeFloorMs: 8, callsPerProbe: 32 };
 const fixed = {
-  ...learned,
+  ...adaptive,
   factor: 0,
   floorMs: fixedTimeoutMs,
   probeFloorMs: fixedTimeoutMs,
   callsPerProbe: 0,
 };
 
-/** Detectors that are compared; the first is the baseline, the last is the default. */
+/** Compared failure detectors. The first one is the baseline, the last one is the default. */
 const detectors: readonly { name: string; silence: SilenceOptions }[] = [
   { name: "fixed 500 ms", silence: fixed },
-  { name: "p99 x 3", silence: { ...learned, factor: 3 } },
-  { name: "p99 x 1.2", silence: { ...learned, factor: 1.2 } },
+  { name: "p99 x 3", silence: { ...adaptive, factor: 3 } },
+  { name: "p99 x 1.2", silence: { ...adaptive, factor: 1.2 } },
 ];
 
 type Failure = "death" | "hang";
 
-/** Runs the experiment. */
+/** Runs the benchmark. */
 export async function runRecovery(report: BenchReport, seed: number): Promise<void> {
   for (const { name, silence } of detectors) await measure(report, name, silence, seed, "hang");
   const chosen = detectors[detectors.length - 1];
@@ -60,7 +60,7 @@
   };
 }
 
-interface Trial {
+interface TrialResult {
   readonly pauseMs: number;
   readonly floorMs: number;
 }
@@ -80,50 +80,50 @@
   const background = new ClosedLoop({ ...load, promptTokens: 8, outputTokens: 60 });
   background.start();
   await utils.sleep(warmUpMs);
-  const outcomes: Trial[] = [];
+  const trialResults: TrialResult[] = [];
   const counters = fleet.requireInstance("e1").pipeline.counters;
   const probesBefore = counters.probes;
   const tokensBefore = counters.tokens;
   for (let trial = 0; trial < trials; trial++)
-    outcomes.push(await runTrial(fleet, address, key, failure, trial));
+    trialResults.push(await runTrial(fleet, address, key, failure, trial));
   await background.stop();
   await fleet.close();
   const variant = `${failure}, ${detector}`;
-  const pauses = outcomes.map((outcome) => outcome.pauseMs);
-  const ratios = outcomes.map((outcome) => outcome.pauseMs / outcome.floorMs);
+  const pauses = trialResults.map((result) => result.pauseMs);
+  const ratios = trialResults.map((result) => result.pauseMs / result.floorMs);
   for (const share of [0.5, 0.95])
     report.add(variant, `pause p${share * 100}`, utils.getQuantile(pauses, share), "ms");
   report.add(
     variant,
     "floor p50",
     utils.getQuantile(
-      outcomes.map((outcome) => outcome.floorMs),
+      trialResults.map((result) => result.floorMs),
       0.5,
     ),
     "ms",
   );
   report.add(variant, "ratio p50", utils.getQuantile(ratios, 0.5), "");
   report.add(variant, "ratio p95", utils.getQuantile(ratios, 0.95), "");
-  const asked = counters.probes - probesBefore;
-  report.add(variant, "probes per 1000 tokens", (asked / (counters.tokens - tokensBefore)) * 1_000, "");
+  const probeCount = counters.probes - probesBefore;
+  report.add(variant, "probes per 1000 tokens", (probeCount / (counters.tokens - tokensBefore)) * 1_000, "");
   report.add(variant, "wrong answers", background.reports.filter((r) => r.outcome === "wrong").length, "");
 }
 
-/** Breaks the second stage of one stream in the middle, and measures the longest gap between its tokens. */
+/** Crashes or hangs the second stage during a stream, and measures the longest gap between tokens of the stream. */
 async function runTrial(
   fleet: Fleet,
   address: string,
   key: string,
   failure: Failure,
   trial: number,
-): Promise<Trial> {
+): Promise<TrialResult> {
   const prompt = createPrompt(`trial${failure}${trial}`, promptTokens);
   const answer = sendModelRequest({ address, key, model, layerCount, prompt, outputTokens: 40 });
   await utils.sleep(400 + ((trial * 37) % 100));
   const engine = fleet.requireEngine(findSecondStage(fleet));
   if (failure === "death") await engine.kill();
   else engine.hang();
-  const positions = getPosition(fleet, engine.name);
+  const positions = getStreamPosition(fleet, engine.name);
   await utils.sleep(downMs);
   if (failure === "death") await engine.restart();
   else engine.resume();
@@ -131,25 +131,25 @@
   const gaps = tokenTimesMs.slice(1).map((timeMs, index) => timeMs - (tokenTimesMs[index] ?? 0));
   const ordinaryMs = utils.getQuantile(gaps, 0.5);
   await utils.sleep(settleMs);
-  // Nobody can tell silence from an ordinary step before the slowest ordinary step; a closed link tells at once.
+  // A hang can't be distinguished from an ordinary step before the slowest ordinary step has passed. A closed link is detected at once.
   const detectionMs = failure === "death" ? 0 : utils.getQuantile(gaps, 0.9) / 2;
   const rebuildMs = stepMs + positions * prefillMsPerToken;
   return { pauseMs: Math.max(...gaps) - ordinaryMs, floorMs: detectionMs + rebuildMs };
 }
 
-/** The engine that runs the second stage of the newest trial: the one whose stream is the longest. */
+/** Returns the engine of the last execution of a later stage in the newest trial. */
 function findSecondStage(fleet: Fleet): string {
-  const last = getTrialApplications(fleet).filter((application) => application.firstLayer > 0);
+  const last = getTrialExecutions(fleet).filter((execution) => execution.firstLayer > 0);
   return last[last.length - 1]?.endpoint ?? "g2";
 }
 
-function getPosition(fleet: Fleet, endpoint: string): number {
-  const last = getTrialApplications(fleet).filter((application) => application.endpoint === endpoint);
+function getStreamPosition(fleet: Fleet, endpoint: string): number {
+  const last = getTrialExecutions(fleet).filter((execution) => execution.endpoint === endpoint);
   const newest = last[last.length - 1];
   return newest === undefined ? promptTokens : newest.position + newest.count;
 }
 
-function getTrialApplications(fleet: Fleet) {
+function getTrialExecutions(fleet: Fleet) {
   const ids = fleet.executionLog.getRequestIds();
   const isTrial = (id: string): boolean =>
     (fleet.executionLog.getExecutions(id)[0]?.count ?? 0) === promptTokens;
--- a/packages/standins/src/bench/routing.ts
+++ b/packages/standins/src/bench/routing.ts
@@ -1,4 +1,4 @@
-/** All ways to choose a chain, at 85% load over eight entries, with reports that lag. */
+/** Benchmark of all chain choosers at 85% load over eight entry instances, with outdated load reports. */
 import { FifoAdmission } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 import { ModelQueues } from "@shedtiller/entry";
@@ -28,7 +28,7 @@
   (random) => new routing.ExpectedTimeChooser(random),
 ];
 
-/** Runs the experiment. */
+/** Runs the benchmark. */
 export async function runRouting(report: BenchReport, seed: number): Promise<void> {
   for (const lagMs of lagsMs) for (const create of choosers) await measure(report, seed, lagMs, create);
 }
@@ -37,12 +37,12 @@
   const endpoints = stepTimesMs.flatMap((stepMs, index) =>
     [0, 16].map((first): FleetEngine => {
       const speed = { stepMs, prefillMsPerToken: 0.1, slots };
-      const held = { model, version: "1", layers: [first, first + 16] as [number, number] };
+      const loaded = { model, version: "1", layers: [first, first + 16] as [number, number] };
       return {
         name: `g${index}${first}`,
         availabilityZone: zone,
         accelerator: `${stepMs} ms`,
-        ...held,
+        ...loaded,
         ...speed,
         checksOrders: true,
       };
@@ -72,7 +72,7 @@
     const chooser = create(new utils.RandomSource(seed + fleet.instances.size));
     name = chooser.name;
     container.rebind(routing.ChainChooser).toConstantValue(chooser);
-    // Every request begins at once, so that only the choice makes the difference.
+    // Every request starts without queueing, so that differences result only from the chooser.
     const queues = new ModelQueues(
       container.get(routing.EndpointDirectory),
       () => new FifoAdmission(() => Infinity),
@@ -82,8 +82,8 @@
   await fleet.start();
   const capacity = utils.getSum(stepTimesMs.map((stepMs) => (slots * utils.msPerSecond) / stepMs));
   const requestsPerSecond = (capacity * load) / outputTokens;
-  const kinds = [{ account: "crews", requestsPerSecond, promptTokens: 8, outputTokens }];
-  const reports = await runOpenLoop(fleet, model, layerCount, kinds, durationMs, seed);
+  const workloads = [{ account: "crews", requestsPerSecond, promptTokens: 8, outputTokens }];
+  const reports = await runOpenLoop(fleet, model, layerCount, workloads, durationMs, seed);
   await fleet.close();
   const totals = reports.filter((r) => r.outcome === "answered").map((r) => r.totalMs);
   const variant = `${name}, lag ${lagMs} ms`;
--- a/packages/standins/src/bench/throughput.ts
+++ b/packages/standins/src/bench/throughput.ts
@@ -1,4 +1,4 @@
-/** Tokens a second at saturation ÷ what the hardware allows, on mixed accelerators, with one entry and with eight. */
+/** Benchmark of throughput at saturation in relation to the hardware bound, on mixed accelerators with one and eight entry instances. */
 import { utils } from "@shedtiller/common";
 import * as placement from "@shedtiller/placement";
 import { Fleet } from "../fleet/Fleet.js";
@@ -13,7 +13,7 @@
 const measureMs = 8_000;
 const callersPerSlot = 2;
 
-/** Accelerator kinds: time of a step for one layer, slots, and memory in layers. */
+/** Kinds of accelerators: step time for one layer, slots, and memory in layers. */
 const kinds = [
   { accelerator: "xl", layerMs: 1.5, slots: 12, memoryLayers: 32 },
   { accelerator: "large", layerMs: 2.4, slots: 10, memoryLayers: 24 },
@@ -21,37 +21,37 @@
   { accelerator: "small", layerMs: 4.8, slots: 6, memoryLayers: 16 },
   { accelerator: "tiny", layerMs: 7.2, slots: 4, memoryLayers: 12 },
 ];
-/** Kinds by zone, as indexes into `kinds`. */
+/** Accelerators of each zone, as indexes into `kinds`. */
 const zoneKinds = [
   [0, 2, 3],
   [1, 1, 4],
   [2, 2, 3, 4],
 ];
 
-type Kind = (typeof kinds)[number];
+type AcceleratorKind = (typeof kinds)[number];
 
-interface Pooled {
+interface PooledEngine {
   readonly name: string;
   readonly availabilityZone: string;
-  readonly kind: Kind;
+  readonly kind: AcceleratorKind;
 }
 
-/** Runs the experiment. */
+/** Runs the benchmark. */
 export async function runThroughput(report: BenchReport, seed: number): Promise<void> {
   for (const entries of [1, 8]) await measure(report, seed, entries);
 }
 
-/** A fleet on mixed accelerators whose layers the planner has placed. */
+/** Returns the structure of a fleet on mixed accelerators with a planned placement, its planned throughput and the hardware bound. */
 export function createPlannedStructure(entries: number): {
   structure: FleetStructure;
   planned: number;
   bound: number;
 } {
-  const pool: Pooled[] = zoneKinds.flatMap((indexes, zone) =>
+  const pool: PooledEngine[] = zoneKinds.flatMap((indexes, zone) =>
     indexes.map((kind, index) => ({
       name: `g${zone + 1}${index + 1}`,
       availabilityZone: zones[zone] ?? "",
-      kind: kinds[kind] as Kind,
+      kind: kinds[kind] as AcceleratorKind,
     })),
   );
   const engines = pool.map(toPlacementEngine);
@@ -70,13 +70,13 @@
   return { structure, planned, bound: placement.getHardwareBound(engines, layerCount) };
 }
 
-function toPlacementEngine({ name, availabilityZone, kind }: Pooled): placement.PlacementEngine {
+function toPlacementEngine({ name, availabilityZone, kind }: PooledEngine): placement.PlacementEngine {
   const layersPerSecond = (kind.slots * utils.msPerSecond) / kind.layerMs;
   return { name, availabilityZone, layersPerSecond, memoryLayers: kind.memoryLayers };
 }
 
 function toFleetEngine(
-  { name, availabilityZone, kind }: Pooled,
+  { name, availabilityZone, kind }: PooledEngine,
   range: placement.LayerRange | undefined,
 ): FleetEngine[] {
   if (range === undefined) return [];
@@ -117,12 +117,12 @@
   });
   loop.start();
   await utils.sleep(warmUpMs);
-  const before = getTokens(fleet);
+  const before = getTokenCount(fleet);
   const startMs = utils.monotonicMs();
   const cpuBefore = process.cpuUsage();
   await utils.sleep(measureMs);
   const tookS = (utils.monotonicMs() - startMs) / utils.msPerSecond;
-  const tokensPerSecond = (getTokens(fleet) - before) / tookS;
+  const tokensPerSecond = (getTokenCount(fleet) - before) / tookS;
   const cpu = process.cpuUsage(cpuBefore);
   await loop.stop();
   await fleet.close();
@@ -135,6 +135,6 @@
   report.add(variant, "wrong answers", loop.reports.filter((r) => r.outcome === "wrong").length, "");
 }
 
-function getTokens(fleet: Fleet): number {
+function getTokenCount(fleet: Fleet): number {
   return utils.getSum([...fleet.instances.values()].map((instance) => instance.pipeline.counters.tokens));
 }
--- a/packages/standins/src/bin/capacity.ts
+++ b/packages/standins/src/bin/capacity.ts
@@ -1,4 +1,4 @@
-/** `npm run capacity`: writes the computed tables into docs/CAPACITY.md. */
+/** `npm run capacity`: updates the computed tables in docs/CAPACITY.md. */
 import * as fs from "node:fs";
 import { updatePage } from "../capacity/renderCapacity.js";
 
--- a/packages/standins/src/bin/demo.ts
+++ b/packages/standins/src/bin/demo.ts
@@ -1,4 +1,4 @@
-/** `npm start`: three entry instances with embedded stand-ins in one process, until Ctrl-C. */
+/** `npm start`: runs three entry instances with embedded stand-ins in one process until Ctrl-C. */
 import { utils } from "@shedtiller/common";
 import { createDemoStructure } from "../fleet/demoStructure.js";
 import { Fleet } from "../fleet/Fleet.js";
@@ -12,44 +12,44 @@
     "",
     "Three entry instances are ready: callers on 127.0.0.1:8080-8082, operators on 127.0.0.1:9080-9082.",
     "",
-    "A streamed answer through a split model:",
+    "Request a streamed answer from a model that is split over engines:",
     `  curl -N http://127.0.0.1:${firstCallerPort}/v1/chat/completions -H 'Authorization: Bearer ${key}' \\`,
     `    -H 'Content-Type: application/json' \\`,
     `    -d '{"model":"assistant","stream":true,"max_tokens":24,"messages":[{"role":"user","content":"Which valves first?"}]}'`,
     "",
-    "The operators' side:",
+    "Use the operator interface:",
     `  export SHEDTILLER_OPERATOR_TOKEN=${fleet.operatorToken.text}`,
     `  curl http://127.0.0.1:${firstOperatorPort}/v1/status -H "Authorization: Bearer $SHEDTILLER_OPERATOR_TOKEN"`,
     "  npx shedtiller status",
     "  npx shedtiller plan examples/lakeshore-intent.json",
     "",
-    "Ctrl-C drains and ends.",
+    "Press Ctrl-C to drain and exit.",
     "",
   ];
   process.stdout.write(`${lines.join("\n")}\n`);
 }
 
-/** Endpoints for trying out failures: kill an engine for some seconds, from another terminal. */
-function listenForFaults(fleet: Fleet): void {
-  process.on("SIGUSR2", () => void killAnEngine(fleet));
+/** Kills the engine g2 for ten seconds on SIGUSR2, which can be sent from another terminal. */
+function listenForFaultSignal(fleet: Fleet): void {
+  process.on("SIGUSR2", () => void restartEngine(fleet));
   process.stdout.write(`  kill -USR2 ${process.pid}      kills the engine g2 for ten seconds\n\n`);
 }
 
-async function killAnEngine(fleet: Fleet): Promise<void> {
+async function restartEngine(fleet: Fleet): Promise<void> {
   const engine = fleet.requireEngine("g2");
   const downMs = 10_000;
-  process.stdout.write("The engine g2 dies.\n");
+  process.stdout.write("Engine g2 was killed.\n");
   await engine.kill();
   await utils.sleep(downMs);
   await engine.restart();
-  process.stdout.write("The engine g2 is back.\n");
+  process.stdout.write("Engine g2 was restarted.\n");
 }
 
 async function main(): Promise<void> {
   const fleet = new Fleet(createDemoStructure(), { isSilent: false, firstCallerPort, firstOperatorPort });
   await fleet.start();
   printReady(fleet);
-  listenForFaults(fleet);
+  listenForFaultSignal(fleet);
   let isStopping = false;
   const stop = (): void => {
     if (isStopping) for (const instance of fleet.instances.values()) instance.abortInFlightRequests();
--- a/packages/standins/src/capacity/renderCapacity.ts
+++ b/packages/standins/src/capacity/renderCapacity.ts
@@ -1,65 +1,65 @@
-/** The tables of docs/CAPACITY.md, computed from the committed points so that the page can't drift from them. */
+/** Rendering of the tables in docs/CAPACITY.md. A test compares them with the committed measurements. */
 import { budget, computeRows, sizes, sumRows, type CapacityRow, type FleetSize } from "./capacityRows.js";
 import { fitSlopes, parsePoints, type Slope } from "./slopes.js";
 
-const beginMark = "<!-- computed: begin -->";
-const endMark = "<!-- computed: end -->";
+const beginMarker = "<!-- computed: begin -->";
+const endMarker = "<!-- computed: end -->";
 const appendsPerSecond = 100;
 
-/** Puts freshly computed tables into a page, between its marks. */
+/** Replaces the tables between the markers of a page with newly computed tables. */
 export function updatePage(page: string, points: string): string {
-  const before = page.slice(0, page.indexOf(beginMark) + beginMark.length);
-  const after = page.slice(page.indexOf(endMark));
+  const before = page.slice(0, page.indexOf(beginMarker) + beginMarker.length);
+  const after = page.slice(page.indexOf(endMarker));
   return `${before}\n\n${renderTables(points)}\n\n${after}`;
 }
 
-/** All computed tables. */
+/** Renders all computed tables. */
 export function renderTables(points: string): string {
   const slopes = fitSlopes(parsePoints(points));
   const bySize = sizes.map((size) => renderSize(slopes, size));
-  return [...bySize, renderLog(), renderFailures(slopes), renderSlopes(slopes)].join("\n\n");
+  return [...bySize, renderLogAppends(), renderFailures(slopes), renderSlopes(slopes)].join("\n\n");
 }
 
 function renderSize(slopes: ReadonlyMap<string, Slope>, size: FleetSize): string {
   const rows = computeRows(slopes, size);
   const sum = sumRows(rows);
   const lines = rows.map((row) =>
-    toLine([
+    renderRow([
       row.duty,
       row.formula,
-      toShare(row.cpuShare),
-      toMegabytes(row.memoryBytes),
-      toBytes(row.bytesPerSecond),
-      toFit(row),
+      formatShare(row.cpuShare),
+      formatMegabytes(row.memoryBytes),
+      formatByteRate(row.bytesPerSecond),
+      formatFit(row),
     ]),
   );
   return [
     `### A node ${size.name === "today" ? "today" : "at the design size"} (${size.nodes} nodes, ${size.runners} runners)`,
     "",
-    toLine(["duty", "formula", "core", "memory", "sent and read", "fits"]),
-    toLine(["---", "---", "---:", "---:", "---:", "---"]),
+    renderRow(["duty", "formula", "core", "memory", "sent and read", "fits"]),
+    renderRow(["---", "---", "---:", "---:", "---:", "---"]),
     ...lines,
-    toLine([
+    renderRow([
       "**sum**",
       "",
-      toShare(sum.cpuShare),
-      toMegabytes(sum.memoryBytes),
-      toBytes(sum.bytesPerSecond),
-      toFit(sum),
+      formatShare(sum.cpuShare),
+      formatMegabytes(sum.memoryBytes),
+      formatByteRate(sum.bytesPerSecond),
+      formatFit(sum),
     ]),
-    toLine([
+    renderRow([
       "**allowed**",
       "",
-      toShare(budget.cpuShare),
-      toMegabytes(budget.memoryBytes),
-      toBytes(budget.bytesPerSecond),
+      formatShare(budget.cpuShare),
+      formatMegabytes(budget.memoryBytes),
+      formatByteRate(budget.bytesPerSecond),
       "",
     ]),
   ].join("\n");
 }
 
-/** What a row uses of the whole budget, and by what factor it passes it. */
-function toFit(row: Pick<CapacityRow, "cpuShare" | "memoryBytes" | "bytesPerSecond">): string {
+/** Formats whether a row fits the budget; otherwise, by which factor the row exceeds each limit. */
+function formatFit(row: Pick<CapacityRow, "cpuShare" | "memoryBytes" | "bytesPerSecond">): string {
   const uses = [
     ["core", row.cpuShare / budget.cpuShare],
     ["memory", row.memoryBytes / budget.memoryBytes],
@@ -69,14 +69,14 @@
   return over.length === 0 ? "yes" : `**no: ${over.join(", ")}**`;
 }
 
-/** Appends a second that the log takes, by duty. */
-function renderLog(): string {
+/** Renders the appends to the log per second, by control task. */
+function renderLogAppends(): string {
   const lines = sizes.map((size) => {
     const claims = appendsPerSecond * 0.8;
     const changes = size.changesPerDay / 86_400;
     const leases = size.availabilityZones / 2.4;
     const waitMs = (size.nodes / claims) * 500;
-    return toLine([
+    return renderRow([
       size.name,
       String(size.nodes),
       `${claims.toFixed(0)} at most, by pacing`,
@@ -88,13 +88,13 @@
   return [
     "### Appends to the log a second, all nodes together (100 are allowed)",
     "",
-    toLine(["size", "nodes", "claims", "changes", "leases", "mean wait of a claim for its append"]),
-    toLine(["---", "---:", "---", "---:", "---", "---:"]),
+    renderRow(["size", "nodes", "claims", "changes", "leases", "mean wait of a claim for its append"]),
+    renderRow(["---", "---:", "---", "---:", "---", "---:"]),
     ...lines,
   ].join("\n");
 }
 
-/** What a day's and a disaster's failures cost. */
+/** Renders the cost of the failures of one day, and of the loss of a rack or a zone. */
 function renderFailures(slopes: ReadonlyMap<string, Slope>): string {
   const stateBytes = (size: FleetSize): number => {
     const slope = slopes.get("state sent to a new node");
@@ -110,26 +110,26 @@
     [`an availability zone goes (${zoneNodes} instances)`, zoneNodes, links(zoneNodes), zoneNodes],
   ] as const;
   const lines = rows.map(([what, nodes, lost, started]) =>
-    toLine([what, String(nodes), String(lost), toMegabytes(started * stateBytes(design)), "0"]),
+    renderRow([what, String(nodes), String(lost), formatMegabytes(started * stateBytes(design)), "0"]),
   );
   return [
     "### Failures at the design size",
     "",
-    toLine([
+    renderRow([
       "what",
       "instances",
       "links lost, and dialled again where they come back",
       "state sent to new nodes",
       "log appends",
     ]),
-    toLine(["---", "---:", "---:", "---:", "---:"]),
+    renderRow(["---", "---:", "---:", "---:", "---:"]),
     ...lines,
   ].join("\n");
 }
 
 function renderSlopes(slopes: ReadonlyMap<string, Slope>): string {
   const lines = [...slopes.values()].map((slope) =>
-    toLine([
+    renderRow([
       slope.figure,
       slope.unit,
       `${slope.slope.toPrecision(3)} ± ${slope.slopeError.toPrecision(2)} a unit of ${slope.sizeName}`,
@@ -140,24 +140,24 @@
   return [
     "### Slopes (least squares, ± standard error) and raw points",
     "",
-    toLine(["figure", "unit", "slope", "at zero", "points"]),
-    toLine(["---", "---", "---", "---:", "---"]),
+    renderRow(["figure", "unit", "slope", "at zero", "points"]),
+    renderRow(["---", "---", "---", "---:", "---"]),
     ...lines,
   ].join("\n");
 }
 
-function toLine(cells: readonly string[]): string {
+function renderRow(cells: readonly string[]): string {
   return `| ${cells.join(" | ")} |`;
 }
 
-function toShare(share: number): string {
+function formatShare(share: number): string {
   return `${(share * 100).toFixed(2)}%`;
 }
 
-function toMegabytes(bytes: number): string {
+function formatMegabytes(bytes: number): string {
   return `${(bytes / 1024 / 1024).toFixed(1)} MB`;
 }
 
-function toBytes(bytes: number): string {
+function formatByteRate(bytes: number): string {
   return `${bytes.toFixed(0)} B/s`;
 }
--- a/packages/standins/src/capacity/slopes.ts
+++ b/packages/standins/src/capacity/slopes.ts
@@ -1,4 +1,4 @@
-/** Slopes fitted through the raw points of the control bench. */
+/** Line fits through the measured points of the control benchmark. */
 import { utils } from "@shedtiller/common";
 import * as zod from "zod";
 
@@ -10,25 +10,25 @@
   unit: zod.string(),
 });
 
-export type Point = zod.infer<typeof pointSchema>;
+export type MeasuredPoint = zod.infer<typeof pointSchema>;
 
-/** A figure against the size that its variants name. */
+/** Line fit of a figure over the size in the names of its variants. */
 export interface Slope extends utils.LineFit {
   readonly figure: string;
   readonly unit: string;
-  /** What the size counts, as in `accounts`. */
+  /** Unit of the size, such as `accounts`. */
   readonly sizeName: string;
   readonly points: readonly (readonly [size: number, value: number])[];
 }
 
-/** Reads JSON lines of the bench. */
-export function parsePoints(text: string): Point[] {
+/** Parses the JSON lines that the benchmark prints. */
+export function parsePoints(text: string): MeasuredPoint[] {
   const lines = text.split("\n").filter((line) => line.trim() !== "");
   return lines.map((line) => pointSchema.parse(JSON.parse(line)));
 }
 
-/** Fits one line a figure. A variant is a size's name and its number. */
-export function fitSlopes(points: readonly Point[]): Map<string, Slope> {
+/** Fits one line for each figure. The name of a variant consists of the unit and the size, as in `accounts 1000`. */
+export function fitSlopes(points: readonly MeasuredPoint[]): Map<string, Slope> {
   const slopes = new Map<string, Slope>();
   for (const figure of new Set(points.map((point) => point.figure))) {
     const own = points.filter((point) => point.figure === figure);
