--- a/packages/standins/src/fleet/Fleet.ts
+++ b/packages/standins/src/fleet/Fleet.ts
@@ -25,7 +25,9 @@
 
 /** Manages the life cycle of a fleet, and injects failures of its instances and endpoints. */
 export class Fleet {
+  /** Layer executions at all engines. */
   readonly executionLog = new ExecutionLog();
+  /** Runs of requests at all service endpoints. */
   readonly runs = new RunCounts();
   readonly weightStore = new StandInWeightStore();
   readonly network = new StandInNetwork();
@@ -152,7 +154,7 @@
     this.drains.set(name, drain);
   }
 
-  /** Starts draining an endpoint: the endpoint reports it, and the instance list shows the state "leaving". */
+  /** Starts draining an endpoint: the instance list shows the state "leaving", and an engine also reports it to its clients. */
   drainEndpoint(name: string): void {
     const endpoint = this.engines.get(name) ?? requireByName(this.services, name);
     endpoint.startDraining();
--- a/packages/standins/src/fleet/FleetStructure.ts
+++ b/packages/standins/src/fleet/FleetStructure.ts
@@ -52,6 +52,7 @@
   readonly listLagMs?: number;
   /** Whether all links go through relays, so that faults can be injected. Off in benchmarks, which measure speed. */
   readonly hasRelays?: boolean;
+  /** Whether the instances write no log lines. */
   readonly isSilent?: boolean;
   readonly appendsPerSecond?: number;
   readonly appendMs?: number;
