--- a/packages/crashes/src/CompletedRequests.ts
+++ b/packages/crashes/src/CompletedRequests.ts
@@ -1,6 +1,6 @@
 import { digestRequest, type RequestIdentity } from "./digestRequest.js";
 
-/** Number of requests kept of each kind; a request that many callers send is among them. */
+/** Number of requests kept of each kind; enough to include a request that many callers send. */
 const maxPerKind = 48;
 /** Larger bodies would take too much memory, and requests with such bodies are rarely identical. */
 const maxBodyBytes = 8 * 1024;
--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -36,8 +36,8 @@
 /** A trial without a result, for example where the request found no capacity, keeps other instances from trying for this long. */
 const trialTimeoutMs = 3_000;
 /**
- * Interval at which one instance after another may try a request after its quarantine: callers stay with one instance, so that the first
- * one may never receive the request. A trial is reported to the other instances within milliseconds.
+ * Interval at which one instance after another may try a request after its quarantine. A caller keeps using the same instance, so that the
+ * first instance in the order may never receive the request. A trial is reported to the other instances within milliseconds.
  */
 const trialIntervalMs = 250;
 /** Crashes, clearings and quarantines that are older than this are forgotten. */
@@ -99,7 +99,7 @@
     return this._crashes.has(lifeId);
   }
 
-  getStanding(digest: string): RequestStatus {
+  getStatus(digest: string): RequestStatus {
     const quarantine = this._quarantines.get(digest);
     if (quarantine !== undefined) return this._nowMs() < quarantine.untilMs ? "held" : "due-for-trial";
     return this.getWeight(digest) > 0 ? "suspected" : "unknown";
--- a/packages/crashes/src/CrashReportBroadcast.ts
+++ b/packages/crashes/src/CrashReportBroadcast.ts
@@ -9,9 +9,9 @@
   "membership" | "onInvalid" | "random"
 > {
   /** Merges crash reports from a peer, and returns the parts that were new. */
-  readonly take: (reports: CrashReportsMessage) => CrashReportsMessage;
+  readonly applyUpdate: (reports: CrashReportsMessage) => CrashReportsMessage;
   /** Returns all crash reports that this instance has. */
-  readonly tellAll: () => CrashReportsMessage;
+  readonly getFullState: () => CrashReportsMessage;
 }
 
 /** Exchanges crash reports with the other instances; one per instance. */
@@ -23,8 +23,8 @@
       ...structure,
       topic: crashTopic,
       schema: crashReportsMessageSchema,
-      applyUpdate: (reports) => toUndefinedIfEmpty(structure.take(reports)),
-      getFullState: () => toUndefinedIfEmpty(structure.tellAll()),
+      applyUpdate: (reports) => toUndefinedIfEmpty(structure.applyUpdate(reports)),
+      getFullState: () => toUndefinedIfEmpty(structure.getFullState()),
     });
   }
 
--- a/packages/crashes/src/tests/CrashLedgerTests.ts
+++ b/packages/crashes/src/tests/CrashLedgerTests.ts
@@ -17,13 +17,13 @@
 
 test("a request is quarantined after three consecutive crashes in its initial phase", (t) => {
   const { ledger, crash } = create();
-  t.is(ledger.getStanding("a"), "unknown");
+  t.is(ledger.getStatus("a"), "unknown");
   crash("a", "b");
   crash("a");
-  t.is(ledger.getStanding("a"), "suspected");
+  t.is(ledger.getStatus("a"), "suspected");
   crash("a");
-  t.is(ledger.getStanding("a"), "held");
-  t.is(ledger.getStanding("b"), "suspected");
+  t.is(ledger.getStatus("a"), "held");
+  t.is(ledger.getStatus("b"), "suspected");
 });
 
 test("a run that survives its initial phase clears its request of earlier crashes", (t) => {
@@ -31,10 +31,10 @@
   crash("a");
   crash("a");
   t.truthy(ledger.noteSurvived("a", clock.nowMs));
-  t.is(ledger.getStanding("a"), "unknown");
+  t.is(ledger.getStatus("a"), "unknown");
   crash("a");
   crash("a");
-  t.is(ledger.getStanding("a"), "suspected");
+  t.is(ledger.getStatus("a"), "suspected");
 });
 
 test("a crash that several instances report counts once", (t) => {
@@ -52,9 +52,9 @@
       ledger.noteCrash(`i-${++crashed}`, clock.nowMs, new Map([[suspect, 1]]));
   };
   for (let group = 0; group < 3; group++) crashGroup();
-  t.is(ledger.getStanding("a"), "suspected", "three groups of crashes are not enough evidence");
+  t.is(ledger.getStatus("a"), "suspected", "three groups of crashes are not enough evidence");
   for (let group = 0; group < 3; group++) crashGroup();
-  t.is(ledger.getStanding("a"), "held", "six groups are enough");
+  t.is(ledger.getStatus("a"), "held", "six groups are enough");
 });
 
 test("a request that may merely have waited at the endpoint is quarantined after twice as many crashes", (t) => {
@@ -63,10 +63,10 @@
     clock.nowMs += 1_000;
     ledger.noteCrash(`i-${index}`, clock.nowMs, new Map([["a", 0.5]]));
   }
-  t.is(ledger.getStanding("a"), "suspected");
+  t.is(ledger.getStatus("a"), "suspected");
   clock.nowMs += 1_000;
   ledger.noteCrash("i-6", clock.nowMs, new Map([["a", 0.5]]));
-  t.is(ledger.getStanding("a"), "held");
+  t.is(ledger.getStatus("a"), "held");
 });
 
 test("a request is due for a trial after its quarantine: a crash quarantines it for longer, a surviving run releases it", (t) => {
@@ -74,13 +74,13 @@
   for (let index = 0; index < 3; index++) crash("a");
   const firstMs = ledger.getQuarantineLeftMs("a");
   clock.nowMs += firstMs;
-  t.is(ledger.getStanding("a"), "due-for-trial");
+  t.is(ledger.getStatus("a"), "due-for-trial");
   crash("a");
-  t.is(ledger.getStanding("a"), "held");
+  t.is(ledger.getStatus("a"), "held");
   t.true(ledger.getQuarantineLeftMs("a") > 10 * firstMs);
   clock.nowMs += ledger.getQuarantineLeftMs("a");
   ledger.noteSurvived("a", clock.nowMs);
-  t.is(ledger.getStanding("a"), "unknown");
+  t.is(ledger.getStatus("a"), "unknown");
 });
 
 test("a ledger that merges all reports has the same state, and passes on only what was new", (t) => {
@@ -92,9 +92,9 @@
   const other = new CrashLedger(() => 77_000);
   const added = other.mergeReports(ledger.getAllReports());
   t.is(added.crashes.length, 3);
-  t.is(other.getStanding("a"), "held");
+  t.is(other.getStatus("a"), "held");
   t.is(Math.round(other.getQuarantineLeftMs("a")), Math.round(ledger.getQuarantineLeftMs("a")));
-  t.is(other.getStanding("b"), "suspected");
+  t.is(other.getStatus("b"), "suspected");
   t.deepEqual(other.mergeReports(ledger.getAllReports()), noCrashReports);
 });
 
@@ -109,7 +109,7 @@
     suspects: [["a", 1]] as [string, number][],
   }));
   ledger.mergeReports({ ...noCrashReports, crashes: late });
-  t.is(ledger.getStanding("a"), "unknown");
+  t.is(ledger.getStatus("a"), "unknown");
 });
 
 test("the size of the ledger is bounded, whatever callers send", (t) => {
@@ -122,7 +122,7 @@
   const reports = ledger.getAllReports();
   t.true(reports.crashes.length <= 256);
   t.true(reports.crashes.every((crash) => crash.suspects.length <= maxSuspectsPerCrash));
-  t.is(ledger.getStanding("crashing"), "held", "the strongest evidence is kept");
+  t.is(ledger.getStatus("crashing"), "held", "the strongest evidence is kept");
 });
 
 // Guards against crashes that a request causes itself being taken for a common cause, which would count in favour of the request.
@@ -133,6 +133,6 @@
   crashNow("i-1", "other");
   crashNow("i-2", "other");
   for (const lifeId of ["i-3", "i-4", "i-5"]) crashNow(lifeId, "a");
-  t.is(ledger.getStanding("a"), "held");
-  t.is(ledger.getStanding("other"), "suspected");
+  t.is(ledger.getStatus("a"), "held");
+  t.is(ledger.getStatus("other"), "suspected");
 });
--- a/packages/crashes/src/tests/CrashReportBroadcastTests.ts
+++ b/packages/crashes/src/tests/CrashReportBroadcastTests.ts
@@ -32,15 +32,15 @@
     membership: {
       self,
       getLinked: () => peers.map(toMember),
-      notifyAll: (_topic, _body, wants = () => true) => {
-        recipients.push(...peers.filter((peer) => wants(toMember(peer))).map((peer) => peer.name));
+      notifyAll: (_topic, _body, isRecipient = () => true) => {
+        recipients.push(...peers.filter((peer) => isRecipient(toMember(peer))).map((peer) => peer.name));
       },
       onLinked: (listener) => void linked.push(listener),
       onNotice: (topic, handler) => void handlers.set(topic, handler),
     },
     onInvalid: (_topic, from) => invalid.push(from.name),
-    take: (reports) => ledger.mergeReports(reports),
-    tellAll: () => ledger.getAllReports(),
+    applyUpdate: (reports) => ledger.mergeReports(reports),
+    getFullState: () => ledger.getAllReports(),
     random: () => 0,
   });
   const receive = (body: unknown, from: PeerIdentity | undefined): void => {
--- a/packages/entry/src/crashes/PeerCrashQuarantine.ts
+++ b/packages/entry/src/crashes/PeerCrashQuarantine.ts
@@ -48,16 +48,16 @@
       membership,
       onInvalid: (topic, from) =>
         warn(`Ignored a message from ${from.name} on ${topic} that does not match its schema.`),
-      take: (told) => this.ledger.mergeReports(told),
-      tellAll: () => this.ledger.getAllReports(),
+      applyUpdate: (reports) => this.ledger.mergeReports(reports),
+      getFullState: () => this.ledger.getAllReports(),
     });
   }
 
   override getQuarantineMs(digest: string): number | undefined {
     if (this.ledger.isEmpty) return undefined;
-    const standing = this.ledger.getStanding(digest);
-    if (standing === "held") return this.ledger.getQuarantineLeftMs(digest);
-    if (standing !== "due-for-trial") return undefined;
+    const status = this.ledger.getStatus(digest);
+    if (status === "held") return this.ledger.getQuarantineLeftMs(digest);
+    if (status !== "due-for-trial") return undefined;
     if (!this._mayRunTrial(digest)) return trialElsewhereRetryAfterMs;
     const trial = this.ledger.noteTrial({ digest, ageMs: 0 });
     if (trial !== undefined) this._exchange.broadcast({ ...noCrashReports, trials: [trial] });
--- a/packages/gateway/src/crashes/CrashDetector.ts
+++ b/packages/gateway/src/crashes/CrashDetector.ts
@@ -125,7 +125,7 @@
   /** Records that a run is being sent. */
   begin(run: TrackedRun): void {
     this._runs.add(run);
-    if (this.isQuiet || this.ledger.getStanding(run.request.digest) !== "due-for-trial") return;
+    if (this.isQuiet || this.ledger.getStatus(run.request.digest) !== "due-for-trial") return;
     const trial = this.ledger.noteTrial({ digest: run.request.digest, ageMs: 0 });
     if (trial !== undefined) this._structure.broadcast({ ...noCrashReports, trials: [trial] });
   }
@@ -142,8 +142,9 @@
   }
 
   /**
-   * Records that an endpoint completed a run. A run that survived its initial phase clears its request at once. A shorter run may end just
-   * before its endpoint crashes, and clears its request only if the endpoint is still alive after the length of an initial phase.
+   * Records that an endpoint completed a run. A run that survived its initial phase clears its request at once. A shorter run, for
+   * example one that resumed a stream near its end, may end just before its endpoint crashes, and clears its request only if the endpoint is
+   * still alive after the length of an initial phase.
    */
   noteCompleted(kind: string, request: IdentifiedRequest, run: TrackedRun, endpoint: Endpoint): void {
     const completed: CompletedRun = { kind, request, endpoint, endedAtMs: this._nowMs() };
@@ -188,7 +189,7 @@
   getQuarantineMs(request: { readonly digest: string }): number | undefined {
     if (this.isQuiet) return undefined;
     const { digest } = request;
-    const status = this.ledger.getStanding(digest);
+    const status = this.ledger.getStatus(digest);
     if (status === "held") return this._countRejection(this.ledger.getQuarantineLeftMs(digest));
     if (status !== "due-for-trial" || this._isOwnTurn(digest)) return undefined;
     return this._countRejection(trialElsewhereRetryAfterMs);
@@ -198,8 +199,7 @@
   getRisk(request: { readonly digest: string }): CrashRisk {
     if (this.isQuiet) return "none";
     const weight = this._getWeight(request.digest);
-    if (weight >= highRiskWeight || this.ledger.getStanding(request.digest) === "due-for-trial")
-      return "high";
+    if (weight >= highRiskWeight || this.ledger.getStatus(request.digest) === "due-for-trial") return "high";
     return weight > 0 ? "some" : "none";
   }
 
--- a/packages/gateway/src/crashes/QuarantineReconciler.ts
+++ b/packages/gateway/src/crashes/QuarantineReconciler.ts
@@ -25,7 +25,7 @@
 
 /**
  * Keeps the quarantines of this instance and the store consistent: retries writes until they succeed, and reads the store after a start.
- * One instance of a zone reads for all and reports the quarantines that were new to its peers, since no instance knows them after a
+ * One instance of a zone reads for all and reports the quarantines that were new to its peers, since no instance has received them after a
  * simultaneous start of all. One per instance.
  */
 export class QuarantineReconciler {
--- a/packages/gateway/src/crashes/RequestQuarantine.ts
+++ b/packages/gateway/src/crashes/RequestQuarantine.ts
@@ -47,14 +47,14 @@
     this._broadcast = new CrashReportBroadcast({
       membership,
       onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
-      take: (reports) => this.detector.mergeReports(reports),
-      tellAll: () => this.detector.ledger.getAllReports(),
+      applyUpdate: (reports) => this.detector.mergeReports(reports),
+      getFullState: () => this.detector.ledger.getAllReports(),
     });
     this._reconciler = new QuarantineReconciler({
       store,
       log,
       isReader,
-      merge: (holds) => this._mergeStored(holds),
+      merge: (quarantines) => this._mergeStored(quarantines),
       getQuarantinedFor: (durationMs) => this.detector.ledger.getQuarantinedFor(durationMs),
       release: (digest) => this.detector.release(digest),
     });
@@ -69,8 +69,8 @@
     return this._reconciler.reconcile();
   }
 
-  private _mergeStored(holds: readonly QuarantineMessage[]): void {
-    const added = this.detector.mergeReports({ ...noCrashReports, holds: [...holds] });
+  private _mergeStored(quarantines: readonly QuarantineMessage[]): void {
+    const added = this.detector.mergeReports({ ...noCrashReports, holds: [...quarantines] });
     if (added.holds.length > 0) this._broadcast.broadcast(added);
   }
 }
--- a/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -112,8 +112,8 @@
   const endpoints = ids.map((id) => gone.get(id));
   gone.list({}, []);
   for (const endpoint of endpoints) await gone.detector.noteLost(gone.createRun(endpoint.id), endpoint);
-  t.is(draining.detector.ledger.getStanding("a"), "unknown");
-  t.is(gone.detector.ledger.getStanding("a"), "unknown");
+  t.is(draining.detector.ledger.getStatus("a"), "unknown");
+  t.is(gone.detector.ledger.getStatus("a"), "unknown");
 });
 
 test("without an answer the list decides: a crash if the entry disappears, a network cut if it stays", async (t) => {
@@ -223,7 +223,7 @@
   t.is(fixture.sent[0]?.clearings[0]?.digest, harmlessRequest.digest, "reported before the crash is counted");
 });
 
-test("an instance that receives a crash report clears the requests that it knows to be harmless", async (t) => {
+test("an instance that receives a crash report clears the requests that have recently completed at this instance", async (t) => {
   const fixture = new Fixture();
   await fixture.clock.run(10_000);
   fixture.complete("i-4", harmlessRequest);
--- a/packages/gateway/src/tests/patterns/CrashingFleet.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleet.ts
@@ -128,8 +128,8 @@
 
   /** Whether an instance quarantines a request, including one that is due for its trial. */
   isQuarantinedAt(index: number, digest: string): boolean {
-    const standing = this._instances[index]?.quarantine.detector.ledger.getStanding(digest);
-    return standing === "held" || standing === "due-for-trial";
+    const status = this._instances[index]?.quarantine.detector.ledger.getStatus(digest);
+    return status === "held" || status === "due-for-trial";
   }
 
   /** Sends a request to an instance, which attempts it like a stream. */
