--- a/packages/gateway/src/GatewayInstance.ts
+++ b/packages/gateway/src/GatewayInstance.ts
@@ -235,7 +235,7 @@
   /** Reports a crashed endpoint to the failure detector, so that it receives no new requests and the leader replaces its layers. */
   private _noteCrash(endpoint: Endpoint): void {
     const isKnown = this.endpoints.get(endpoint.id) === endpoint;
-    if (isKnown) this._failureDetector.noteSilent(endpoint.id, "crashed");
+    if (isKnown) this._failureDetector.noteUnresponsive(endpoint.id, "crashed");
   }
 
   private _createLayerReconciler(orders: EngineOrders): LayerReconciler {
@@ -275,7 +275,7 @@
       orders,
       log: this._log,
       availabilityZone: this._settings.instance.availabilityZone,
-      mayAsk: () => this._peers.loads.isCollector,
+      mayPoll: () => this._peers.loads.isCollector,
       broadcastSlowness: (endpointId, slowness) =>
         this._peers.exchange.broadcastSlowness(endpointId, slowness),
     });
@@ -331,7 +331,7 @@
   }
 
   private _isReady(): boolean {
-    if (this._isDraining || this.activeConfiguration.table === undefined || !this.endpoints.isKnown)
+    if (this._isDraining || this.activeConfiguration.table === undefined || !this.endpoints.hasList)
       return false;
     return !this.activeConfiguration.table.hasAccounts || this._areKeysFresh();
   }
--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -84,9 +84,9 @@
     return this._wait(acquisition);
   }
 
-  /** Whether an endpoint of the service accepts new work; true while the list of endpoints has never been read. */
+  /** Returns whether an endpoint of the service accepts new work; true while the list of endpoints has never been read. */
   hasEndpoints(service: string): boolean {
-    return !this._endpoints.isKnown || this._endpoints.getUsable(service).length > 0;
+    return !this._endpoints.hasList || this._endpoints.getUsable(service).length > 0;
   }
 
   /** Returns when a rejected caller should retry. */
--- a/packages/gateway/src/chains/findCheapestChain.ts
+++ b/packages/gateway/src/chains/findCheapestChain.ts
@@ -14,7 +14,7 @@
   readonly firstEnd?: number | undefined;
   /**
    * Whether costs are randomized, which distributes requests over engines of similar cost. Used for streams that many instances move at
-   * the same time, since each instance knows the load of the others only as it was before.
+   * the same time, since each instance has received only the earlier load of the others.
    */
   readonly isRandomized?: boolean | undefined;
   /**
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Whether an engine that has loaded the next layer may be the next stage of the chain. */
+  /** Returns whether an engine that has loaded the next layer may be the next stage of the chain. */
   private _mayFollow(label: Label, candidate: ChainCandidate): boolean {
     if (label.stages >= maxStages) return false;
     const { firstEndpointId } = this._demand;
@@ -167,7 +167,7 @@
   return [...boundaries].sort((a, b) => a - b);
 }
 
-/** Whether an engine is in another zone than the last engine of a partial chain. */
+/** Returns whether an engine is in another zone than the last engine of a partial chain. */
 function changesZone(label: Label, candidate: ChainCandidate): boolean {
   const last = label.candidate?.endpoint.listed.availabilityZone;
   return last !== undefined && last !== candidate.endpoint.listed.availabilityZone;
--- a/packages/gateway/src/discovery/ChangeFeed.ts
+++ b/packages/gateway/src/discovery/ChangeFeed.ts
@@ -37,7 +37,7 @@
     readonly call: string,
     readonly status: number,
   ) {
-    super(`The store refused ${call} with status ${status}.`);
+    super(`The store rejected ${call} with status ${status}.`);
   }
 }
 
--- a/packages/gateway/src/discovery/EndpointLimits.ts
+++ b/packages/gateway/src/discovery/EndpointLimits.ts
@@ -32,7 +32,7 @@
   }
 
   /** Calls `listener` when an answer changes the limit of an endpoint. */
-  onLearnt(listener: LimitListener): void {
+  onChangedByAnswer(listener: LimitListener): void {
     this._listeners.push(listener);
   }
 
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -39,7 +39,7 @@
 export type EndpointListener = (endpoint: Endpoint, event: EndpointEvent) => void;
 
 /**
- * Holds all endpoints that this instance knows, from the store's list and from evidence of its own and of its peers. An endpoint that
+ * Stores all known endpoints, as given by the store's list and by the observations of this instance and its peers. An endpoint that
  * drains or is gone gets no new work from that moment on.
  */
 export class EndpointTable {
@@ -55,7 +55,7 @@
   private readonly _assumedPeers: AssumedPeers = { count: 0 };
   private _mayAssumePeers = true;
   /** Whether the list was read at least once. */
-  isKnown = false;
+  hasList = false;
 
   /** @param nowMs - Monotonic clock, replaced in tests. */
   constructor(private readonly _nowMs: () => number = utils.monotonicMs) {}
@@ -109,7 +109,7 @@
 
   /** Replaces all entries by those of a complete list. */
   setAll(values: ReadonlyMap<string, ListedEndpoint>): void {
-    this.isKnown = true;
+    this.hasList = true;
     for (const endpoint of this.getAll()) if (!values.has(endpoint.id)) this._markMissing(endpoint);
     for (const listed of values.values()) this._setListed(listed, false);
   }
@@ -193,7 +193,7 @@
 
   /**
    * Assumes that the peers put the same load on endpoints as this instance, until one of them reports its load. After a simultaneous start
-   * of all instances none knows the loads of the others for the first second, and all choose the same cheapest chains. With callers twice
+   * of all instances none has received the loads of the others for the first second, and all choose the same cheapest chains. With callers twice
    * as fast as usual, engines rejected 5 % of the requests without this assumption and less than 1 % with it, at 5 % more time per token
    * (see the test of many choosers).
    */
@@ -233,7 +233,10 @@
     if (JSON.stringify(listed.layers) !== JSON.stringify(before.layers)) this._notify(known, "layers");
   }
 
-  /** Endpoints that report their start do so always; a report without a start is therefore not about the current life. */
+  /**
+   * Compares a reported start with the newest known one. An endpoint that reports its start does so in every report, so that a report
+   * without a start is not about the current life.
+   */
   private _compareLives(id: string, bornAtMs: number | undefined): LifeOrder {
     const newest = this._newestStarts.get(id);
     if (newest === undefined) {
--- a/packages/gateway/src/discovery/EndpointWatch.ts
+++ b/packages/gateway/src/discovery/EndpointWatch.ts
@@ -63,6 +63,6 @@
       return;
     }
     const values = new Map(list.map((listed) => [listed.id, listed]));
-    this.follower.takeSnapshot(values, nextOffset, freshAtMs);
+    this.follower.applyPeerSnapshot(values, nextOffset, freshAtMs);
   }
 }
--- a/packages/gateway/src/discovery/FailureDetector.ts
+++ b/packages/gateway/src/discovery/FailureDetector.ts
@@ -11,7 +11,7 @@
  * How long no requests go to an engine that another engine reported but that still answers. Such an engine lacks capacity or cannot be
  * reached by its neighbour.
  */
-const namedBackoffMs = 600;
+const reportedBackoffMs = 600;
 
 /** How long an engine gets no new work while its layers are being queried, and after a query without a result. */
 const layersBackoffMs = 300;
@@ -43,30 +43,31 @@
     this._nowMs = _structure.nowMs ?? utils.monotonicMs;
   }
 
-  /** Records that an endpoint did not answer this instance. */
-  noteSilent(endpointId: string, reason: string): void {
+  /** Records that an endpoint did not answer this instance, or has crashed. */
+  noteUnresponsive(endpointId: string, reason: string): void {
     if (this._suspect(endpointId, reason)) this._structure.broadcastSuspicion(endpointId);
   }
 
   /** Records that another engine reported this engine as faulty; resolves once the engine has been queried. */
-  async noteNamed(endpointId: string, reason: string): Promise<void> {
+  async noteReportedFaulty(endpointId: string, reason: string): Promise<void> {
     const { endpoints, orders, broadcastSuspicion, log } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || !this._suspect(endpointId, reason)) return;
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
     if (report.err) return broadcastSuspicion(endpointId);
     endpoints.clear(endpointId);
-    endpoint.refusedUntilMs = this._nowMs() + namedBackoffMs;
+    endpoint.refusedUntilMs = this._nowMs() + reportedBackoffMs;
     log.info("endpoint-answers", { endpointId, address: endpoint.listed.address, reason });
   }
 
   /**
-   * Records that an engine denied having the layers that the list states; resolves once its layers have been queried.
+   * Records that an engine rejected a request because it has not loaded the layers that the list states; resolves once its layers have been
+   * queried.
    * A restarted engine stays in the list with its previous layers for up to 2 s, and attracts requests because it appears to be the
    * fastest. When five of 36 engines in three zones restarted and were merely treated as full, only 6 % of the requests of two seconds were
    * served in time.
    */
-  async noteNotHeld(endpointId: string): Promise<void> {
+  async noteLayersMissing(endpointId: string): Promise<void> {
     const { endpoints, orders, log, broadcastLayers } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || this._queried.has(endpoint)) return;
@@ -75,7 +76,7 @@
     const { address } = endpoint.listed;
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
     this._queried.delete(endpoint);
-    if (report.err) return this.noteSilent(endpointId, `holds other layers: ${report.val.code}`);
+    if (report.err) return this.noteUnresponsive(endpointId, `holds other layers: ${report.val.code}`);
     if (!endpoints.setLayers(endpoint, report.val.layers)) return;
     endpoint.refusedUntilMs = 0;
     broadcastLayers(endpointId, report.val.layers);
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -129,7 +129,7 @@
   }
 
   /** Applies a complete set that was current at `freshAtMs` according to a peer, unless the known one is newer. */
-  takeSnapshot(values: ReadonlyMap<string, T>, nextOffset: number, freshAtMs: number): void {
+  applyPeerSnapshot(values: ReadonlyMap<string, T>, nextOffset: number, freshAtMs: number): void {
     if (freshAtMs <= this._freshAtMs || nextOffset < (this._offset ?? 0)) return;
     this._advanceTo(nextOffset);
     this._freshAtMs = freshAtMs;
--- a/packages/gateway/src/discovery/LocalPermits.ts
+++ b/packages/gateway/src/discovery/LocalPermits.ts
@@ -4,7 +4,7 @@
 const chargedWindowMs = 1_000;
 
 /** Usage of permits that the next request for permits reports. */
-export interface PermitAccount {
+export interface PermitUsage {
   readonly used: number;
   /** Permits that expired unused. */
   readonly returned: number;
@@ -13,7 +13,7 @@
 }
 
 /**
- * Holds the permits that this instance may use for one life of an endpoint with a limit, and counts its sends from before the limit became
+ * Keeps the permits that this instance may use for one life of an endpoint with a limit, and counts its sends from before the limit became
  * known.
  */
 export class LocalPermits {
@@ -54,7 +54,7 @@
   }
 
   /** Returns the usage since the last call, and starts counting anew. */
-  takeAccount(nowMs: number): PermitAccount {
+  takeUsage(nowMs: number): PermitUsage {
     this._dropExpired(nowMs);
     // A permit that was reported as used and returned afterwards is deducted from the next usage.
     const account = {
--- a/packages/gateway/src/http/EndpointStatement.ts
+++ b/packages/gateway/src/http/EndpointStatement.ts
@@ -20,7 +20,7 @@
   readonly retryAfter: StatedRetryAfter;
   /** Whether the endpoint is about to stop and accepts no new requests. */
   readonly isDraining: boolean;
-  /** Names, in lower case, of headers that this version does not interpret; they may have a meaning that it does not know. */
+  /** Names, in lower case, of headers that this version does not interpret; they may state something that it does not support. */
   readonly unknownHeaderNames: readonly string[];
 }
 
--- a/packages/gateway/src/http/HttpCall.ts
+++ b/packages/gateway/src/http/HttpCall.ts
@@ -32,7 +32,7 @@
   readonly status: number;
   readonly headers: readonly string[];
   readonly message: http.IncomingMessage;
-  /** Whether the body arrived completely. The end of the connection completes a body without a stated length, a reset does not. */
+  /** Returns whether the body arrived completely. The end of the connection completes a body without a stated length, a reset does not. */
   isWhole(): Promise<boolean>;
   /** Aborts the call and closes its connection. */
   abort(): void;
--- a/packages/gateway/src/http/HttpClient.ts
+++ b/packages/gateway/src/http/HttpClient.ts
@@ -6,7 +6,7 @@
 import { KeepAliveAgent } from "./KeepAliveAgent.js";
 import { readBody } from "./readBody.js";
 
-/** Makes calls over pooled keep-alive connections, or over new ones if a call asks for it. */
+/** Makes calls over pooled keep-alive connections, or over a new connection if `isFresh` is set. */
 export class HttpClient {
   private readonly _keepAlive = new KeepAliveAgent();
   private readonly _fresh = new http.Agent({ keepAlive: false });
--- a/packages/gateway/src/http/HttpExchange.ts
+++ b/packages/gateway/src/http/HttpExchange.ts
@@ -114,7 +114,7 @@
   }
 }
 
-/** Whether the headers of the answer define where its body ends. */
+/** Returns whether the headers of the answer define where its body ends. */
 function isFramed(message: http.IncomingMessage): boolean {
   return (
     message.headers["content-length"] !== undefined || message.headers["transfer-encoding"] !== undefined
--- a/packages/gateway/src/orders/EnginePoll.ts
+++ b/packages/gateway/src/orders/EnginePoll.ts
@@ -21,7 +21,7 @@
   readonly log: DecisionLog;
   readonly availabilityZone: string;
   /** Whether this instance polls the engines of its zone now. */
-  readonly mayAsk: () => boolean;
+  readonly mayPoll: () => boolean;
   readonly broadcastSlowness: (endpointId: string, slowness: number) => void;
 }
 
@@ -34,10 +34,10 @@
 
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const engines = this._structure.mayAsk() ? this._getEngines() : [];
+      const engines = this._structure.mayPoll() ? this._getEngines() : [];
       if (engines.length === 0) await utils.sleep(idleMs, signal).catch(() => undefined);
       for (const engine of engines) {
-        if (signal.aborted || !this._structure.mayAsk()) break;
+        if (signal.aborted || !this._structure.mayPoll()) break;
         void this._poll(engine);
         await utils.sleep(pollIntervalMs / engines.length, signal).catch(() => undefined);
       }
--- a/packages/gateway/src/orders/LayerReconciler.ts
+++ b/packages/gateway/src/orders/LayerReconciler.ts
@@ -74,7 +74,7 @@
     );
   }
 
-  /** Returns whether this instance sends orders to the endpoint, as an engine of a zone. */
+  /** Returns whether the endpoint is an engine with layers to which this instance may send orders now. */
   private _isManaged(endpoint: Endpoint): boolean {
     const { listed } = endpoint;
     return listed.layers.length > 0 && this._structure.mayOrder(listed.availabilityZone);
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Returns the orders that bring a zone closer to a balance; none while engines are still being added. */
+  /** Returns the orders that are due for the engines of a zone; none while engines are still being added. */
   private async _plan(members: readonly Endpoint[], profile: EngineProfile): Promise<ZoneOrder[]> {
     const nowMs = utils.monotonicMs();
     const [sample] = members;
@@ -119,7 +119,7 @@
       engine: toCopyEngine(member, profile),
       listed: member.listed.layers[0],
       ordered: isPending ? pending.span : undefined,
-      passing: member.getLoad().requests,
+      passingRequests: member.getLoad().requests,
       isFree: !isPending && nowMs >= (this._retryAtMs.get(member.id) ?? 0),
     };
   }
--- a/packages/gateway/src/orders/LeaderElection.ts
+++ b/packages/gateway/src/orders/LeaderElection.ts
@@ -9,7 +9,7 @@
    */
   abstract campaign(): Promise<results.Result<boolean, StoreError>>;
 
-  /** Gives up leadership, so that another instance can take over at once. */
+  /** Resigns the leadership, so that another instance can take over at once. */
   abstract resign(): Promise<void>;
 
   /** How long an instance leads, counted from the start of the campaign that it won. */
--- a/packages/gateway/src/orders/Leadership.ts
+++ b/packages/gateway/src/orders/Leadership.ts
@@ -15,7 +15,7 @@
   readonly nowMs?: () => number;
 }
 
-/** The leadership of this instance: campaigns regularly, and tells whether the instance may send orders now. */
+/** The leadership of this instance: campaigns regularly, and determines whether the instance may send orders now. */
 export class Leadership {
   private _untilMs = Number.NEGATIVE_INFINITY;
   private _wasLeader = false;
--- a/packages/gateway/src/orders/LifeCheckedOrders.ts
+++ b/packages/gateway/src/orders/LifeCheckedOrders.ts
@@ -15,7 +15,7 @@
  * newer life to the endpoint table before the report is used; one per instance.
  */
 export class LifeCheckedOrders extends EngineOrders {
-  /** @param _tellPeers - Called once for each restart that a report revealed first. */
+  /** @param _broadcastRestart - Called once for each restart that is first detected by a report. */
   constructor(
     private readonly _orders: EngineOrders,
     private readonly _endpoints: EndpointTable,
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -66,7 +66,7 @@
     const isLongBroken = this._noteBroken(engines, model);
     // Requests come and go all the time, and cause no order by themselves.
     const state = JSON.stringify([
-      engines.map((engine) => ({ ...engine, passing: 0 })),
+      engines.map((engine) => ({ ...engine, passingRequests: 0 })),
       isStable,
       isLongBroken,
     ]);
@@ -77,7 +77,7 @@
     return orders;
   }
 
-  /** Returns whether an engine of a broken zone may drop its layers now that was in use in each plan without orders. */
+  /** Returns whether the zone is broken and an engine may now drop its layers that was in use at each search of the settled state. */
   private _hasNewlyRelocatable(engines: readonly ZoneEngine[]): boolean {
     return (
       this._brokenSinceMs !== undefined && getRelocatable(engines).some((name) => !this._tried.has(name))
@@ -144,7 +144,7 @@
   model: placement.CopyModel,
 ): Promise<Spans | undefined> {
   const unused = new Set(
-    [...engines.keys()].filter((index) => (engines[index]?.passing ?? 0) <= maxPassingRequests),
+    [...engines.keys()].filter((index) => (engines[index]?.passingRequests ?? 0) <= maxPassingRequests),
   );
   for (const maxLoads of [countMissing(spans, model), Number.POSITIVE_INFINITY]) {
     for (const requests of [changeOverRequests, minRepairRequests]) {
@@ -161,7 +161,9 @@
 
 /** Returns the names of the engines that so few requests pass through that they may drop their layers. */
 function getRelocatable(engines: readonly ZoneEngine[]): string[] {
-  return engines.flatMap(({ engine, passing }) => (passing <= maxPassingRequests ? [engine.name] : []));
+  return engines.flatMap(({ engine, passingRequests }) =>
+    passingRequests <= maxPassingRequests ? [engine.name] : [],
+  );
 }
 
 /** Returns the number of layers that no engine has loaded. */
--- a/packages/gateway/src/orders/planZoneOrders.ts
+++ b/packages/gateway/src/orders/planZoneOrders.ts
@@ -8,8 +8,8 @@
   readonly listed: LayerSpan | undefined;
   /** Layers that the engine was ordered to load and that are not listed yet. */
   readonly ordered: LayerSpan | undefined;
-  /** Requests that pass through the engine now, as far as this instance knows. */
-  readonly passing: number;
+  /** Requests that pass through the engine now, by the loads that this instance has received from its peers and its own load. */
+  readonly passingRequests: number;
   /** Whether the engine may receive an order now. */
   readonly isFree: boolean;
 }
@@ -49,9 +49,9 @@
   const isComplete = isZoneComplete(members, model);
   const isSettled = members.every((member) => member.ordered === undefined);
   return members.flatMap((member, index) => {
-    const wanted = target[index] ?? noLayers;
-    if (!member.isFree || member.ordered !== undefined || wanted.end <= wanted.start) return [];
-    const span = getNextSpan(member, wanted, model, isComplete);
+    const targetSpan = target[index] ?? noLayers;
+    if (!member.isFree || member.ordered !== undefined || targetSpan.end <= targetSpan.start) return [];
+    const span = getNextSpan(member, targetSpan, model, isComplete);
     if (span === undefined) return [];
     const order = {
       name: member.engine.name,
@@ -67,23 +67,23 @@
   });
 }
 
-/** Returns the next span for an engine on its way to `wanted`; undefined where the engine has that span already, or has to wait. */
+/** Returns the next span for an engine on its way to `targetSpan`; undefined where the engine has that span already, or has to wait. */
 function getNextSpan(
   member: ZoneEngine,
-  wanted: LayerSpan,
+  targetSpan: LayerSpan,
   model: placement.CopyModel,
   isComplete: boolean,
 ): LayerSpan | undefined {
   const { listed } = member;
-  if (listed === undefined) return wanted;
-  if (listed.start === wanted.start && listed.end === wanted.end) return undefined;
-  const both = { start: Math.min(listed.start, wanted.start), end: Math.max(listed.end, wanted.end) };
+  if (listed === undefined) return targetSpan;
+  if (listed.start === targetSpan.start && listed.end === targetSpan.end) return undefined;
+  const both = { start: Math.min(listed.start, targetSpan.start), end: Math.max(listed.end, targetSpan.end) };
   const isGrowing = both.start < listed.start || both.end > listed.end;
-  if (!isGrowing) return wanted;
+  if (!isGrowing) return targetSpan;
   const hasCapacity =
     placement.getKvTokenCapacity(member.engine, both.end - both.start, model) >= model.tokensPerRequest;
   if (hasCapacity) return both;
-  return isComplete ? undefined : wanted;
+  return isComplete ? undefined : targetSpan;
 }
 
 /** Returns whether an engine drops some of its listed layers in order to load `span`. */
--- a/packages/gateway/src/peers/LimitBroadcast.ts
+++ b/packages/gateway/src/peers/LimitBroadcast.ts
@@ -39,7 +39,7 @@
       applyUpdate: (messages) => this._accept(messages),
       getFullState: () => this._toMessages(endpoints.getAll()),
     });
-    limits.onLearnt((endpoint) => {
+    limits.onChangedByAnswer((endpoint) => {
       const messages = this._toMessages([endpoint]);
       if (messages !== undefined) this._broadcast.broadcast(messages);
     });
--- a/packages/gateway/src/requests/PermitForecast.ts
+++ b/packages/gateway/src/requests/PermitForecast.ts
@@ -38,7 +38,7 @@
     this._random = _structure.random ?? Math.random;
   }
 
-  /** Whether rate limits or back-offs keep every endpoint of the service from accepting a request now. */
+  /** Returns whether rate limits or back-offs keep every endpoint of the service from accepting a request now. */
   isBlocked(service: string): boolean {
     return this.getIntervalMs(service) > 0 || this._getBackoffMs(service) > 0;
   }
@@ -142,7 +142,7 @@
 }
 
 /**
- * Whether the available endpoints can run a request: any one of them is enough if none of `all` has layers, otherwise they must cover
+ * Returns whether the available endpoints can run a request: any one of them is enough if none of `all` has layers, otherwise they must cover
  * the layers of `all`.
  */
 function isServable(available: readonly Endpoint[], all: readonly Endpoint[]): boolean {
--- a/packages/gateway/src/requests/PermitQueue.ts
+++ b/packages/gateway/src/requests/PermitQueue.ts
@@ -24,7 +24,7 @@
   readonly service: string;
   readonly priority: number;
   readonly accountName: string | undefined;
-  /** Number of requests of the same account that waited when this one arrived; the accounts take turns by it. */
+  /** Number of requests of the same account that waited when this one arrived; orders the round robin over the accounts. */
   readonly turn: number;
   /** Tries to take a permit; returns whether it has taken one. */
   readonly tryComplete: () => boolean;
@@ -138,7 +138,7 @@
   }
 }
 
-/** Whether `one` goes before `other` regardless of their arrival; if neither does, they keep their order of arrival. */
+/** Returns whether `one` goes before `other` regardless of their arrival; if neither does, they keep their order of arrival. */
 function isBefore(one: Pick<Waiter, "priority" | "turn">, other: Pick<Waiter, "priority" | "turn">): boolean {
   return one.priority - other.priority < 0 || (one.priority === other.priority && one.turn < other.turn);
 }
--- a/packages/gateway/src/requests/PlainForwarder.ts
+++ b/packages/gateway/src/requests/PlainForwarder.ts
@@ -81,7 +81,7 @@
   }
 
   /**
-   * Whether the request may still be sent after its wait for a permit: meanwhile its deadline may have come, or an equal request may have
+   * Returns whether the request may still be sent after its wait for a permit: meanwhile its deadline may have come, or an equal request may have
    * crashed endpoints.
    */
   private _mayBeSentNow(request: CallerRequest): boolean {
@@ -116,7 +116,7 @@
     return endpoint === undefined || permit === undefined ? undefined : { endpoint, permit };
   }
 
-  /** Whether an untried endpoint has no permit now. */
+  /** Returns whether an untried endpoint has no permit now. */
   private _lacksPermits(service: string, tried: ReadonlySet<string>): boolean {
     const nowMs = utils.monotonicMs();
     const untried = this.context.endpoints.getUsable(service).filter(({ id }) => !tried.has(id));
@@ -200,7 +200,7 @@
       if (result.val instanceof errors.ConnectionLostError) return { kind: "lost", error: result.val.code };
       if (!(result.val instanceof errors.NotReachedError)) return { kind: "unknown", error: result.val.code };
       request.attempts -= 1;
-      this.context.suspicions.noteSilent(endpoint.id, result.val.code);
+      this.context.suspicions.noteUnresponsive(endpoint.id, result.val.code);
       return { kind: "not-run", error: result.val.code };
     }
     const fields = this.context.codec.decodeAnswer(result.val.headers);
@@ -230,14 +230,14 @@
 }
 
 /**
- * Whether the request was not sent yet and may be sent again whatever its outcome. Only such a request probes an endpoint that may still
+ * Returns whether the request was not sent yet and may be sent again whatever its outcome. Only such a request probes an endpoint that may still
  * be failing; its retry does not.
  */
 function hasRetryLeft(request: CallerRequest): boolean {
   return request.isIdempotent && request.attempts === 0 && request.route.maxAttempts > 1;
 }
 
-/** Whether an answer is a failure of the endpoint itself that an idempotent request may retry. */
+/** Returns whether an answer is a failure of the endpoint itself that an idempotent request may retry. */
 function isRetryable(request: CallerRequest, status: number): boolean {
   return request.isIdempotent && status >= failureStatus;
 }
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -24,7 +24,7 @@
   readonly budgets: RetryBudgets;
   readonly log: DecisionLog;
   readonly availabilityZone: string;
-  readonly suspicions: Pick<FailureDetector, "noteSilent" | "noteNamed" | "noteNotHeld">;
+  readonly suspicions: Pick<FailureDetector, "noteUnresponsive" | "noteReportedFaulty" | "noteLayersMissing">;
   readonly crashes: Pick<
     CrashDetector,
     | "isQuiet"
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -28,7 +28,7 @@
 const laterEventSilenceMs = 300;
 /** Minimum time between two queries of an engine. Its report is about 200 ms old, so an earlier query returns nothing new. */
 const reportIntervalMs = 300;
-/** An engine that does not report within this time counts as dead. */
+/** An engine that does not report within this time counts as unresponsive. */
 const reportTimeoutMs = 400;
 /** Silence after which a resumable stream continues at another chain; callers abandon a stream that is silent for two seconds. */
 const maxSilenceMs = 1_200;
@@ -137,7 +137,7 @@
     if (endpoint === undefined) return this._abortSilentStreams(endpointId);
     const report = await this._orders.getReport(endpoint.orderTarget, reportTimeoutMs);
     if (report.err) {
-      this._context.suspicions.noteSilent(endpointId, `no report: ${report.val.code}`);
+      this._context.suspicions.noteUnresponsive(endpointId, `no report: ${report.val.code}`);
       return this._abortSilentStreams(endpointId);
     }
     endpoint.slowness = getSlowness(report.val);
@@ -181,7 +181,7 @@
     const before = attempt.reservation.stages;
     attempt.reservation.move([]);
     const chain = this._chooseReplacement(attempt, first, profile);
-    // The new chain is reserved before the engine is asked, so that streams moved at the same time do not all choose the same engine.
+    // The new chain is reserved before the order is sent, so that streams moved at the same time do not all choose the same engine.
     attempt.reservation.move(chain ?? before);
     // Without a replacement the stream stays: its engine may recover, or capacity may become free, before the maximum silence.
     if (chain === undefined) return;
@@ -239,7 +239,8 @@
   private _suspectAddress(address: string): void {
     const stages = [...this._attempts].flatMap(({ reservation }) => reservation.stages);
     const endpoint = findNamedEndpoint(this._context.endpoints, stages, address);
-    if (endpoint !== undefined) void this._context.suspicions.noteNamed(endpoint.id, "stalled chain");
+    if (endpoint !== undefined)
+      void this._context.suspicions.noteReportedFaulty(endpoint.id, "stalled chain");
   }
 
   private _abandon(attempt: StreamAttempt, cause: string): void {
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -33,8 +33,8 @@
 const stalledRefusalMs = 1_000;
 
 /**
- * Retry-After of a request that engines rejected while others have capacity. The instances of the zone learn within 5 ms which engine is
- * full, so the retry chooses another one, and its answer can still arrive within a latency target of 500 ms. With half a second every
+ * Retry-After of a request that engines rejected while others have capacity. The instances of the zone are notified within 5 ms which engine
+ * is full, so the retry chooses another one, and its answer can still arrive within a latency target of 500 ms. With half a second every
  * such answer would be late.
  */
 const notRunRetryAfterMs = 50;
@@ -209,7 +209,7 @@
     if (!(sent.val instanceof errors.NotReachedError)) return "lost";
     request.attempts -= 1;
     attempt.reservation.permit?.release();
-    this.context.suspicions.noteSilent(first.id, sent.val.code);
+    this.context.suspicions.noteUnresponsive(first.id, sent.val.code);
     return "not-run";
   }
 
@@ -282,10 +282,10 @@
     const faulty = findNamedEndpoint(this.context.endpoints, attempt.reservation.stages, address);
     const waitedMs = nowMs - attempt.lastActivityAtMs;
     if (faulty !== undefined && waitedMs >= stalledRefusalMs)
-      void this.context.suspicions.noteNamed(faulty.id, `refusal ${answer.status}`);
+      void this.context.suspicions.noteReportedFaulty(faulty.id, `refusal ${answer.status}`);
     else if (faulty?.noteFull(nowMs) === true) this.context.broadcastFull(faulty.id);
     if (faulty !== undefined && answer.status === misdirectedStatus)
-      void this.context.suspicions.noteNotHeld(faulty.id);
+      void this.context.suspicions.noteLayersMissing(faulty.id);
     this._logFailedRun(attempt, `refusal ${answer.status} for ${address} after ${Math.round(waitedMs)} ms`);
     return "not-run";
   }
--- a/packages/gateway/src/requests/admitCaller.ts
+++ b/packages/gateway/src/requests/admitCaller.ts
@@ -39,7 +39,7 @@
   retryAfterMs: notReadyRetryAfterMs,
 };
 
-/** Whether the request is rejected permanently, because its route does not exist or its key does not give access. */
+/** Returns whether the request is rejected permanently, because its route does not exist or its key does not give access. */
 export function isDenial(decision: AdmittedRequest | Refusal): boolean {
   return "reason" in decision && permanentStatuses.has(decision.status);
 }
--- a/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
@@ -29,14 +29,14 @@
 
 test("an endpoint that did not answer is suspected here and by the peers", (t) => {
   const { detector, sent, isSuspect } = setUp();
-  detector.noteSilent("a", "not reached");
+  detector.noteUnresponsive("a", "not reached");
   t.true(isSuspect());
   t.deepEqual(sent, ["a"]);
 });
 
 test("an engine that another one reported, but that answers, is avoided only for a moment", async (t) => {
   const { detector, sent, isSuspect, endpoints } = setUp();
-  const checked = detector.noteNamed("a", "stalled chain");
+  const checked = detector.noteReportedFaulty("a", "stalled chain");
   t.true(isSuspect(), "until it has answered");
   await checked;
   t.false(isSuspect());
@@ -48,7 +48,7 @@
 test("an engine that another one reported and that does not answer is suspected by all instances", async (t) => {
   const { detector, sent, isSuspect, orders } = setUp();
   orders.silent.add("a");
-  await detector.noteNamed("a", "stalled chain");
+  await detector.noteReportedFaulty("a", "stalled chain");
   t.true(isSuspect());
   t.deepEqual(sent, ["a"]);
 });
@@ -56,7 +56,11 @@
 test("an engine without the listed layers is queried once, and its actual layers are broadcast at once", async (t) => {
   const { detector, sent, endpoints, orders, isSuspect } = setUp();
   orders.reports.set("a", { layers: [] });
-  await Promise.all([detector.noteNotHeld("a"), detector.noteNotHeld("a"), detector.noteNotHeld("a")]);
+  await Promise.all([
+    detector.noteLayersMissing("a"),
+    detector.noteLayersMissing("a"),
+    detector.noteLayersMissing("a"),
+  ]);
   t.deepEqual(endpoints.get("a")?.listed.layers, []);
   t.deepEqual(sent, ["a holds []"]);
   t.false(isSuspect());
@@ -68,11 +72,11 @@
 test("an engine whose report agrees with the list is avoided for a moment; an engine without a report is suspected", async (t) => {
   const { detector, sent, endpoints, orders, isSuspect } = setUp();
   orders.reports.set("a", { layers: [{ start: 0, end: 4 }] });
-  await detector.noteNotHeld("a");
+  await detector.noteLayersMissing("a");
   t.true((endpoints.get("a")?.refusedUntilMs ?? 0) > nowMs);
   t.deepEqual(sent, []);
   orders.silent.add("a");
-  await detector.noteNotHeld("a");
+  await detector.noteLayersMissing("a");
   t.true(isSuspect());
   t.deepEqual(sent, ["a"]);
 });
--- a/packages/gateway/src/tests/orders/LeadershipTests.ts
+++ b/packages/gateway/src/tests/orders/LeadershipTests.ts
@@ -54,7 +54,7 @@
   t.false(leadership.isLeader());
 });
 
-test("an instance that learns of another leader stops at once", async (t) => {
+test("a leader that loses a campaign stops acting as leader at once", async (t) => {
   const { election, leadership } = setUp();
   await leadership.campaign();
   election.answer = results.Ok(false);
--- a/packages/gateway/src/tests/orders/ZonePlannerTests.ts
+++ b/packages/gateway/src/tests/orders/ZonePlannerTests.ts
@@ -31,7 +31,7 @@
 test("a gap that no engine can extend over rearranges the zone if the lost engine does not return", async (t) => {
   const { clock, plan } = setUp();
   // Neither engine has capacity for more layers beside its own, but the second one could load all layers.
-  const members = [createMember("a", 0, 4, 42), { ...createMember("b", 0, 4, 120), passing: 9 }];
+  const members = [createMember("a", 0, 4, 42), { ...createMember("b", 0, 4, 120), passingRequests: 9 }];
   t.is(await plan(members), "");
   clock.nowMs += 3_900;
   t.is(await plan(members), "");
@@ -82,7 +82,7 @@
 
 test("an engine that requests pass through does not drop its layers for a gap, although others have loaded them, too", async (t) => {
   const { plan } = setUp();
-  const used = { ...createMember("a", 0, 3, 150), passing: 9 };
+  const used = { ...createMember("a", 0, 3, 150), passingRequests: 9 };
   const orders = await plan([used, createMember("b", 0, 3, 150), createMember("c", 5, 8, 150)]);
   t.regex(orders, /^b=[03]-5$/);
 });
@@ -99,10 +99,10 @@
 // Guards against a broken zone that waits for stability although no request passes through the engine that can close its gap any more.
 test("a gap is closed as soon as the requests through the engine that can close it have ended", async (t) => {
   const { plan } = setUp();
-  const members = (passing: number): ZoneEngine[] => [
+  const members = (passingRequests: number): ZoneEngine[] => [
     createMember("a", 0, 3, 45),
-    { ...createMember("b", 5, 8, 45), passing: 9 },
-    { ...createMember("c", 5, 8, 60), passing },
+    { ...createMember("b", 5, 8, 45), passingRequests: 9 },
+    { ...createMember("c", 5, 8, 60), passingRequests },
   ];
   t.is(await plan(members(9)), "");
   t.regex(await plan(members(0)), /^c=3-\d$/);
--- a/packages/gateway/src/tests/orders/zoneParts.ts
+++ b/packages/gateway/src/tests/orders/zoneParts.ts
@@ -26,7 +26,7 @@
     engine: { name, memoryMb, stepFactor: 1 },
     listed: end > start ? { start, end } : undefined,
     ordered: undefined,
-    passing: 0,
+    passingRequests: 0,
     isFree: true,
     ...changes,
   };
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -163,9 +163,9 @@
       log,
       availabilityZone: "east",
       suspicions: {
-        noteSilent: (id: string) => void this.endpoints.suspect(id),
-        noteNamed: async (id: string) => void this.endpoints.suspect(id),
-        noteNotHeld: () => Promise.resolve(),
+        noteUnresponsive: (id: string) => void this.endpoints.suspect(id),
+        noteReportedFaulty: async (id: string) => void this.endpoints.suspect(id),
+        noteLayersMissing: () => Promise.resolve(),
       },
       crashes: new CrashDetector({
         endpoints: this.endpoints,
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -69,9 +69,9 @@
     log: new DecisionLog(new SilentSink(), () => 0),
     availabilityZone: "east",
     suspicions: {
-      noteSilent: (id: string) => void endpoints.suspect(id),
-      noteNamed: async (id: string) => void endpoints.suspect(id),
-      noteNotHeld: () => Promise.resolve(),
+      noteUnresponsive: (id: string) => void endpoints.suspect(id),
+      noteReportedFaulty: async (id: string) => void endpoints.suspect(id),
+      noteLayersMissing: () => Promise.resolve(),
     },
     crashes: new CrashDetector({
       endpoints,
--- a/packages/gateway/src/tests/requests/denialTests.ts
+++ b/packages/gateway/src/tests/requests/denialTests.ts
@@ -102,7 +102,7 @@
     const freshness = new DenialFreshness({ ...structure, nowMs: () => nowMs });
     activeConfiguration.accept(createConfiguration(1));
     activeConfiguration.confirmFreshness(1, 0);
-    // A confirmation counts from the send of its read, so the next one arrives after two held reads at the latest.
+    // A confirmation counts from the send of its read, so the next one arrives after two long polls at the latest.
     nowMs = 2 * getLongPollMs(boundMs);
     t.true(freshness.isFresh(), `${boundMs} ms`);
   }
--- a/packages/gateway/src/tests/requests/endpointStatementTests.ts
+++ b/packages/gateway/src/tests/requests/endpointStatementTests.ts
@@ -23,8 +23,8 @@
   return statuses;
 }
 
-// Guards against requests that reach a plain endpoint during the back-off that it asked for.
-test("a plain endpoint that asks for a back-off gets no requests until its end", async (t) => {
+// Guards against requests that reach a plain endpoint during the back-off that it requested.
+test("a plain endpoint that requests a back-off gets no requests until its end", async (t) => {
   const fixture = await setUp(t, { kind: "safe" });
   const backingOff = count(rejectWithBackoff);
   await fixture.list([backingOff, answer(200)], {});
@@ -33,7 +33,7 @@
 });
 
 // Guards against streams that begin at an engine during its back-off as soon as another stream ends there.
-test("an engine that asks for a back-off gets no streams until its end", async (t) => {
+test("an engine that requests a back-off gets no streams until its end", async (t) => {
   const fixture = await setUp(t, streaming);
   const open: http.ServerResponse[] = [];
   const backingOff = count((request, response, crash) => {
