--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -77,7 +77,7 @@
     return orders;
   }
 
-  /** Returns whether the zone is broken and an engine may now drop its layers that was in use at each search of the settled state. */
+  /** Returns whether the zone is broken and an engine may drop its layers now that was in use at every earlier search of this state. */
   private _hasNewlyRelocatable(engines: readonly ZoneEngine[]): boolean {
     return (
       this._brokenSinceMs !== undefined && getRelocatable(engines).some((name) => !this._tried.has(name))
