--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -171,7 +171,8 @@
   }
 
   /**
-   * Returns whether this instance may try a request after its quarantine: its turn has come, and no other request is being tried.
+   * Returns whether this instance may try a request after its quarantine: its turn has come, and neither this request nor another one is being
+   * tried.
    * @param rank - Number of instances that come before this one.
    */
   mayTry(digest: string, rank: number): boolean {
