--- a/packages/admission/src/permits/LentQuotas.ts
+++ b/packages/admission/src/permits/LentQuotas.ts
@@ -74,7 +74,10 @@
     return present > majority && nowMs - sinceMs >= absentMs ? 1 : present;
   }
 
-  /** Returns the highest number of instances that a lender reports, since an instance that has just started may know few of them. */
+  /**
+   * Returns the highest number of instances that a lender reports, since an instance that has just started may not have discovered all. The
+   * result is at least the number of lent shares, and an assumed number as long as no lender reports any.
+   */
   countInstances(): number {
     const lenders = [...this._lenders.values()];
     const known = Math.max(0, ...lenders.map((lender) => lender.known));
@@ -99,8 +102,8 @@
   }
 
   /**
-   * Returns the number of instances that the instances of this zone know. Numbers from other zones are excluded, since zones would otherwise
-   * send them back and forth for ever.
+   * Returns the highest number of instances that an instance of this zone reports. Numbers from other zones are excluded, since zones would
+   * otherwise send them back and forth for ever.
    */
   private _getKnownByOwnZone(): number {
     const own = [...this._lenders.values()].filter(({ zones }) => zones === undefined);
--- a/packages/admission/src/permits/permitMessages.ts
+++ b/packages/admission/src/permits/permitMessages.ts
@@ -28,7 +28,7 @@
 export const permitRequestSchema = zod.object({
   /** Number of instances whose equal quota shares are lent. */
   lending: count,
-  /** Number of all instances that the sender knows, or 0 if it is unknown. */
+  /** Number of all instances as far as the sender has discovered them, or 0 if it is unknown. */
   known: count,
   /** Availability zones of the endpoints for whose limits the shares are lent; all zones if it is left out. */
   zones: zod.array(zod.string()).max(maxLimits).optional(),
