--- a/packages/claims/src/AtMostOnce.ts
+++ b/packages/claims/src/AtMostOnce.ts
@@ -43,7 +43,7 @@
   /** Maximum number of outcomes in the cache. */
   readonly answersKept: number;
   /** Requests the response of a key from the instance that holds it, and returns undefined if it is not available. */
-  readonly askHolder: (holder: string, key: string, timeoutMs: number) => Promise<A | undefined>;
+  readonly requestFromHolder: (holder: string, key: string, timeoutMs: number) => Promise<A | undefined>;
 }
 
 /** Options of {@link AtMostOnce.run}. */
@@ -60,8 +60,8 @@
 const holderTimeoutMs = 2_000;
 
 /**
- * Runs work at most once for each idempotency key, across all instances and for ever. It claims a key in the log, runs the work if the claim
- * was won, and caches the outcome for later calls with the same key.
+ * Runs work at most once for each idempotency key, across all instances and for ever. It claims a key in the log, runs the work if the
+ * claim was won, and caches the outcome for later calls with the same key.
  */
 export class AtMostOnce<A> {
   private readonly _outcomes: utils.BoundedMap<Promise<Once<A>>>;
@@ -147,7 +147,7 @@
         new OutcomeUnknownError("the key was claimed by this instance, which no longer has the outcome"),
       );
     }
-    const answer = await this._structure.askHolder(holder, key, holderTimeoutMs);
+    const answer = await this._structure.requestFromHolder(holder, key, holderTimeoutMs);
     if (answer !== undefined) return results.Ok(answer);
     return results.Err(new OutcomeUnknownError(`the key was claimed by ${holder}, which does not respond`));
   }
--- a/packages/claims/src/tests/atMostOnceTests.ts
+++ b/packages/claims/src/tests/atMostOnceTests.ts
@@ -34,7 +34,7 @@
       timeline: new Timeline(name),
       holder: name,
       answersKept: 100,
-      askHolder: async (holder, key) =>
+      requestFromHolder: async (holder, key) =>
         this._unreachable.has(holder) ? undefined : this._instances.get(holder)?.getAnswer(key),
     });
     this._instances.set(name, once);
--- a/packages/entry/src/createAtMostOnce.ts
+++ b/packages/entry/src/createAtMostOnce.ts
@@ -23,7 +23,7 @@
     timeline: c.get(timeline.Timeline),
     holder: settings.instance.name,
     answersKept: settings.claims.answersKept,
-    askHolder: async (holder, key, timeoutMs) => {
+    requestFromHolder: async (holder, key, timeoutMs) => {
       const reply = await members.request(holder, claimsTopic, key, timeoutMs);
       const answer = reply.ok ? storedAnswerSchema.safeParse(reply.val) : undefined;
       return answer?.success === true ? answer.data : undefined;
--- a/packages/standins/src/bench/claims.ts
+++ b/packages/standins/src/bench/claims.ts
@@ -77,13 +77,13 @@
     { log, holder: name, appendsPerSecond, countAppenders: () => instanceCount },
     signal,
   );
-  const askHolder = async (): Promise<undefined> => undefined;
+  const requestFromHolder = async (): Promise<undefined> => undefined;
   return new AtMostOnce<string>({
     projection,
     batcher,
     timeline: new Timeline(name),
     holder: name,
     answersKept: 10_000,
-    askHolder,
+    requestFromHolder,
   });
 }
