--- a/packages/gateway/src/configuration/ActiveConfiguration.ts
+++ b/packages/gateway/src/configuration/ActiveConfiguration.ts
@@ -6,7 +6,7 @@
 export type ConfigurationSource = "store" | "peer";
 
 /**
- * Holds the configuration in force at this instance, and its freshness: the time at which the version was last known to be the newest in
+ * Stores the configuration in force at this instance, and its freshness: the time at which the version was last known to be the newest in
  * the store. Within the life of a process, versions never decrease.
  */
 export class ActiveConfiguration {
--- a/packages/gateway/src/configuration/ConfigurationWatch.ts
+++ b/packages/gateway/src/configuration/ConfigurationWatch.ts
@@ -24,12 +24,12 @@
     clock: Pick<FollowOptions, "nowMs" | "pause"> = {},
   ) {
     const listener = {
-      onSnapshot: (values: ReadonlyMap<string, GatewayConfiguration>, provenAtMs: number) =>
-        this._accept([...values.values()], provenAtMs),
-      onChanges: (changes: readonly Change<GatewayConfiguration>[], provenAtMs: number) =>
+      onSnapshot: (values: ReadonlyMap<string, GatewayConfiguration>, freshAtMs: number) =>
+        this._accept([...values.values()], freshAtMs),
+      onChanges: (changes: readonly Change<GatewayConfiguration>[], freshAtMs: number) =>
         this._accept(
           changes.flatMap((change) => change.value ?? []),
-          provenAtMs,
+          freshAtMs,
         ),
       onLost: (error: StoreError) => _log.warn("configuration-store-lost", { cause: error.message }),
       onRegained: () => _log.info("configuration-store-regained", { version: _activeConfiguration.version }),
@@ -48,12 +48,12 @@
     return this.follower.run(signal);
   }
 
-  private _accept(configurations: readonly GatewayConfiguration[], provenAtMs: number): void {
+  private _accept(configurations: readonly GatewayConfiguration[], freshAtMs: number): void {
     for (const configuration of configurations) this._activeConfiguration.accept(configuration);
-    this._activeConfiguration.confirmFreshness(this._activeConfiguration.version, provenAtMs);
+    this._activeConfiguration.confirmFreshness(this._activeConfiguration.version, freshAtMs);
   }
 
-  /** Logs a read that returned changes. A long poll without changes is not worth a line, and its duration says nothing. */
+  /** Logs a read that returned changes. Long polls without changes are not logged: their duration is only the wait. */
   private _logRead(changes: number, nextOffset: number): void {
     if (changes === 0) return;
     const tookMs = Math.round(this.follower.getFreshnessAgeMs());
--- a/packages/gateway/src/configuration/DenialFreshness.ts
+++ b/packages/gateway/src/configuration/DenialFreshness.ts
@@ -5,7 +5,7 @@
 const marginMs = 500;
 /** Time that a relayed read takes from the reader of a zone to the other instances. */
 const relayMs = 100;
-/** Maximum duration of a long poll. The age of the freshness has to stay well below the bound for revoked keys, 5 s in present deployments. */
+/** Maximum duration of a long poll. The freshness must stay much newer than the bound for revoked keys, 5 s in present deployments. */
 const maxLongPollMs = 1_500;
 
 /** Dependencies of {@link DenialFreshness}. */
@@ -22,8 +22,8 @@
 /**
  * Decides whether the configuration is fresh enough to respond that a route or a key does not exist. Callers don't retry after such a
  * response, so it has to be true: a newer configuration must not have been in force for longer than the deadline. If the configuration is
- * not fresh enough, callers are told to retry. Before this check existed, callers were told "no such route" 3.4 s after a configuration
- * with that route.
+ * not fresh enough, the response asks callers to retry. Before this check existed, callers received "no such route" 3.4 s after a
+ * configuration with that route had been acknowledged.
  */
 export class DenialFreshness {
   private readonly _nowMs: () => number;
--- a/packages/gateway/src/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/configuration/gatewayConfiguration.ts
@@ -45,7 +45,7 @@
 });
 export type AcceleratorKind = zod.infer<typeof acceleratorKindSchema>;
 
-/** Performance profile of the engines of a service. Times hold for all layers on an accelerator of factor 1. */
+/** Performance profile of the engines of a service. Times apply to all layers on an accelerator of factor 1. */
 export const engineProfileSchema = zod.object({
   /** Maximum number of requests that an engine runs at once, counted at the first engine of a chain. */
   slots: zod.number().int().positive(),
