--- a/packages/gateway/src/tests/patterns/CrashingFleetTests.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleetTests.ts
@@ -153,7 +153,7 @@
 }
 
 for (const seed of [31, 32, 33]) {
-  test(`before any run has completed, sound requests are told apart from a simultaneous crashing one within seconds (seed ${seed})`, async (t) => {
+  test(`before any run has completed, sound requests are distinguished from a simultaneous crashing one within seconds (seed ${seed})`, async (t) => {
     const clock = new SimulatedClock();
     const instances = 4;
     const fleet = new CrashingFleet(clock, { instances, engines: 2, seed });
--- a/packages/gateway/src/tests/patterns/SimulatedStore.ts
+++ b/packages/gateway/src/tests/patterns/SimulatedStore.ts
@@ -11,7 +11,7 @@
 const unreachableTimeoutMs = 500;
 /** Maximum size of a page, which contains at least one record. */
 const pageBytes = 1024 * 1024;
-/** Timeout of the store's client for an answer and its body, in addition to the time for which the store holds a read. */
+/** Timeout of the store's client for an answer and its body, in addition to the duration of a long poll. */
 const answerTimeoutMs = 1_500;
 /** Snapshots are encoded as base64, which takes four characters for three bytes. */
 const base64Factor = 4 / 3;
@@ -152,8 +152,8 @@
     return results.Ok({ changes: [], nextOffset: offset, isCompacted: false });
   }
 
-  private async _answer(heldMs: number): Promise<boolean> {
-    await this._clock.sleep(this._isCutOff() ? unreachableTimeoutMs : heldMs + answerMs);
+  private async _answer(waitMs: number): Promise<boolean> {
+    await this._clock.sleep(this._isCutOff() ? unreachableTimeoutMs : waitMs + answerMs);
     return !this._isCutOff();
   }
 }
