--- a/packages/gateway/src/GatewayInstance.ts
+++ b/packages/gateway/src/GatewayInstance.ts
@@ -61,7 +61,7 @@
   readonly registry: PeerRegistry;
   readonly election: LeaderElection;
   readonly orders: EngineOrders;
-  readonly heldRequests: QuarantineStore;
+  readonly quarantineStore: QuarantineStore;
   readonly codec: MessageCodec;
 }
 
@@ -111,7 +111,7 @@
     this._endpointWatch = new EndpointWatch(this.endpoints, platform.endpointFeed, _log);
     this._peers = this._createPeers(platform.registry);
     const { relay, exchange } = this._peers;
-    this.crashes = this._createQuarantine(platform.heldRequests);
+    this.crashes = this._createQuarantine(platform.quarantineStore);
     this._leadership = new Leadership(platform.election, _log, { mayCampaign: () => relay.isReader });
     const broadcastRestart = (id: string, bornAtMs: number): void => exchange.broadcastRestart(id, bornAtMs);
     const orders = new LifeCheckedOrders(platform.orders, this.endpoints, broadcastRestart);
@@ -290,7 +290,7 @@
       budgets: this._budgets,
       log: this._log,
       availabilityZone: this._settings.instance.availabilityZone,
-      suspicions: this._failureDetector,
+      failureDetector: this._failureDetector,
       crashes: this.crashes.detector,
       statements: this._statements,
       demand: this._demand,
--- a/packages/gateway/src/peers/ConfigurationExchange.ts
+++ b/packages/gateway/src/peers/ConfigurationExchange.ts
@@ -20,22 +20,22 @@
  * stays below 3 s.
  */
 const staleAfterMs = 3_200;
-/** Delay before peers are asked for a newer version that is known to exist but that the store has not delivered. */
+/** Delay before an instance requests from peers a newer version that is known to exist but that the store has not delivered. */
 const requestWhenBehindMs = 600;
-/** Delay before a peer that announced a new version is asked for it; the store may deliver the version in the meantime. */
+/** Delay before a new version is requested from the peer that announced it; the store may deliver the version in the meantime. */
 const requestAfterAnnouncementMs = 700;
 /** Time that the store has after the start of an instance to deliver a configuration, before the instance requests one from a peer. */
 const startupGraceMs = 600;
-/** Responses have a few KB at most and take about 5 ms, so a peer that takes longer than this is slow or gone. */
+/** Responses have a few KB at most and take about 5 ms, so a peer that takes longer than this is slow or unreachable. */
 const responseTimeoutMs = 400;
 /**
- * Minimum time between two whole configurations that an instance sends. One of 0.45 MB takes 0.26 s on a link of 14 Mbit/s. Instances
- * that have received it serve the others.
+ * Minimum time between two whole configurations that an instance sends. A configuration of 0.45 MB takes 0.26 s on a link of 14 Mbit/s.
+ * Instances that have received the configuration send it to the others.
  */
 const wholeIntervalMs = 300;
-/** Number of peers with a newer version that are asked one after the other, since each may be busy sending to another instance. */
+/** Maximum number of requests, one after the other, to peers with a newer version; each peer may be busy sending to another instance. */
 const newerPeersPerRound = 3;
-/** Time for which an announced whole configuration is awaited before another peer is asked; it doubles each time that none has arrived. */
+/** Timeout for an announced whole configuration before it is requested from another peer. It doubles each time that none has arrived. */
 const firstWholeTimeoutMs = 1_000;
 const maxWholeTimeoutMs = 8_000;
 
@@ -48,7 +48,7 @@
   /** Returns the store's offset that follows the configuration in force, or undefined before the first read. */
   readonly getOffset: () => number | undefined;
   /** Records that everything in the store before `nextOffset` is in force. */
-  readonly takeAhead: (nextOffset: number) => void;
+  readonly advanceTo: (nextOffset: number) => void;
 }
 
 /** Dependencies of {@link ConfigurationExchange}. */
@@ -68,7 +68,7 @@
  * whole configuration is sent as a notice of its own, from one peer at a time, and is accepted whenever it arrives.
  *
  * A whole configuration that was awaited like a response was lost when it took longer than the timeout, and a repeated request delayed
- * the next one: with 0.45 MB, links of 14 Mbit/s and two peers asked every 400 ms, instances stayed behind for the whole observation,
+ * the next one: with 0.45 MB, links of 14 Mbit/s and requests to two peers every 400 ms, instances stayed behind for the whole observation,
  * and were still behind 13 s after the store had recovered.
  */
 export class ConfigurationExchange {
@@ -79,7 +79,7 @@
   /** Whether a request for a new version is pending. Many peers announce the same version, and one request is enough. */
   private _isRequestPending = false;
   private readonly _startedAtMs: number;
-  /** Time until which a whole configuration is expected from the peer that was asked for it. */
+  /** Time until which a whole configuration is expected from the peer that the last request for it went to. */
   private _wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
   private _wholeTimeoutMs = firstWholeTimeoutMs;
   /** The newest freshness that a peer reported. */
@@ -240,9 +240,9 @@
    * reader of the zone does not reach the store.
    */
   private _accept(configuration: GatewayConfiguration, nextOffset: number | undefined): void {
-    const { activeConfiguration, takeAhead, broadcastToZone } = this._structure;
+    const { activeConfiguration, advanceTo, broadcastToZone } = this._structure;
     if (configuration.version <= activeConfiguration.version) return;
-    if (nextOffset !== undefined) takeAhead(nextOffset);
+    if (nextOffset !== undefined) advanceTo(nextOffset);
     activeConfiguration.accept(configuration, "peer");
     activeConfiguration.confirmFreshness(this._peerFreshness.version, this._peerFreshness.atMs);
     broadcastToZone(configuration.version);
--- a/packages/gateway/src/peers/GatewayPeers.ts
+++ b/packages/gateway/src/peers/GatewayPeers.ts
@@ -142,12 +142,12 @@
       history: this._history,
       getBehindMs: () => configurationWatch.follower.getBehindMs(),
       getOffset: () => configurationWatch.follower.nextOffset,
-      takeAhead: (nextOffset) => configurationWatch.follower.advanceTo(nextOffset),
+      advanceTo: (nextOffset) => configurationWatch.follower.advanceTo(nextOffset),
       getListOffset: () => endpointWatch.follower.nextOffset,
-      takeList: (list, nextOffset, provenAtMs) => endpointWatch.applyPeerList(list, nextOffset, provenAtMs),
+      applyList: (list, nextOffset, freshAtMs) => endpointWatch.applyPeerList(list, nextOffset, freshAtMs),
       isRegistryReached: () => this._directory.isReached,
       getInstances: () => this._directory.getInstances(),
-      takeInstances: (instances) => this._directory.addInstances(instances),
+      addInstances: (instances) => this._directory.addInstances(instances),
     });
   }
 
--- a/packages/gateway/src/peers/PeerExchange.ts
+++ b/packages/gateway/src/peers/PeerExchange.ts
@@ -42,16 +42,16 @@
   readonly getListAgeMs: () => number;
   /** Returns the store's offset that follows what this instance has read of the list, or undefined before the first read. */
   readonly getListOffset: () => number | undefined;
-  /** Accepts a list that was complete at `provenAtMs`; the list is undefined if this instance has the same one. */
-  readonly takeList: (
+  /** Accepts a list that was complete at `freshAtMs`; the list is undefined if this instance has the same one. */
+  readonly applyList: (
     list: readonly ListedEndpoint[] | undefined,
     nextOffset: number,
-    provenAtMs: number,
+    freshAtMs: number,
   ) => void;
   /** Returns whether the last read of the registry of instances succeeded. */
   readonly isRegistryReached: () => boolean;
   readonly getInstances: () => readonly RegisteredInstance[];
-  readonly takeInstances: (instances: readonly RegisteredInstance[]) => void;
+  readonly addInstances: (instances: readonly RegisteredInstance[]) => void;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: () => number;
   /** Waits, replaced in tests. */
@@ -60,7 +60,7 @@
   readonly random?: () => number;
 }
 
-/** Exchanges with peers the configuration, the list of endpoints, and observations of endpoints such as suspicions, restarts and slowness. */
+/** Exchanges the configuration, the list of endpoints, and observations such as suspicions, restarts and slowness with peers. */
 export class PeerExchange {
   private readonly _configurations: ConfigurationExchange;
   private readonly _nowMs: () => number;
@@ -92,39 +92,39 @@
     await utils.repeat(
       requestIntervalMs,
       signal,
-      () => this.askIfStale(),
+      () => this.requestIfStale(),
       (error) => {
         this._structure.log.error("peer-exchange-failed", { cause: String(error) });
       },
     );
   }
 
-  /** Tells all peers to suspect an endpoint. */
+  /** Broadcasts to all peers that an endpoint is suspected. */
   broadcastSuspicion(endpointId: string): void {
     this._notifyOf(endpointId, peerTopics.suspect);
   }
 
-  /** Tells the peers of this zone that an endpoint rejected a request for lack of capacity. Most of its load comes from this zone. */
+  /** Broadcasts to this zone that an endpoint rejected a request for lack of capacity. Most of the endpoint's load comes from this zone. */
   broadcastFull(endpointId: string): void {
     this._notifyOf(endpointId, peerTopics.full, {}, this._isOwnZone);
   }
 
-  /** Tells all peers the slowness that an engine reports. */
+  /** Broadcasts to all peers the slowness that an engine reports. */
   broadcastSlowness(endpointId: string, slowness: number): void {
     this._notifyOf(endpointId, peerTopics.slowness, { slowness });
   }
 
-  /** Tells all peers that an endpoint's process has restarted. The list shows it up to one heartbeat and two reads later. */
+  /** Broadcasts to all peers that an endpoint's process has restarted. The list shows this up to one heartbeat and two reads later. */
   broadcastRestart(endpointId: string, bornAtMs: number): void {
     this._structure.membership.notifyAll(peerTopics.restarted, { endpointId, bornAtMs });
   }
 
-  /** Tells all peers that a version of the configuration has come into force at this instance. */
+  /** Broadcasts to all peers that a version of the configuration has come into force at this instance. */
   broadcastVersion(version: number): void {
     this._structure.membership.notifyAll(peerTopics.newVersion, { version });
   }
 
-  /** Tells all peers which layers an engine has loaded, where the list shows others. */
+  /** Broadcasts to all peers which layers an engine has loaded, where the list shows others. */
   broadcastLayers(endpointId: string, layers: readonly LayerSpan[]): void {
     this._notifyOf(endpointId, peerTopics.layers, { layers });
   }
@@ -191,11 +191,11 @@
   private async _requestInstances(peer: PeerIdentity): Promise<void> {
     if (this._structure.isRegistryReached()) return;
     const instances = await this._request(peer.name, peerTopics.instances, null, instancesSchema);
-    if (instances !== undefined) this._structure.takeInstances(instances);
+    if (instances !== undefined) this._structure.addInstances(instances);
   }
 
   /** Requests the configuration and the list of endpoints from peers if they are stale at this instance. */
-  async askIfStale(): Promise<void> {
+  async requestIfStale(): Promise<void> {
     const { membership, getListAgeMs } = this._structure;
     const linked = membership.getLinked().map((member) => member.name);
     const sampled = utils.sample(linked, peersPerRound, this._random);
@@ -221,7 +221,7 @@
     const request = { nextOffset: this._structure.getListOffset() };
     const response = await this._request(name, peerTopics.endpoints, request, endpointsResponseSchema);
     if (response === undefined) return;
-    this._structure.takeList(response.endpoints, response.nextOffset, requestedAtMs - response.proofAgeMs);
+    this._structure.applyList(response.endpoints, response.nextOffset, requestedAtMs - response.proofAgeMs);
   }
 
   /** Sends a request to a peer, and returns undefined if no response with a valid schema arrives in time. */
--- a/packages/gateway/src/peers/StoreRelay.ts
+++ b/packages/gateway/src/peers/StoreRelay.ts
@@ -12,8 +12,8 @@
 const tickMs = 200;
 /**
  * A reader whose freshness is older than this does not reach the store: the other instances begin to read by themselves, and one of them
- * takes over the role. In the present deployments, all instances have to know that an endpoint drains within 2 s. The long polls of a
- * healthy reader last 0.4 s, so the age stays below 0.8 s, or slightly more while the store is slow.
+ * takes over the role. In the present deployments, the notice of a draining endpoint has to reach all instances within 2 s. The long polls
+ * of a healthy reader last 0.4 s, so the age stays below 0.8 s, or slightly more while the store is slow.
  */
 const staleMs = 1_400;
 
@@ -24,7 +24,7 @@
 const standInGroups = 2;
 
 /**
- * For this long after its start an instance reads nothing beyond its first list, since it does not know its zone yet: links are
+ * For this long after its start an instance reads nothing beyond its first list, since it is not linked to its zone yet: links are
  * established within half a second, and relayed reads arrive within the next. Without this delay each instance made about six reads of
  * both feeds at each start.
  */
--- a/packages/gateway/src/peers/ZoneRole.ts
+++ b/packages/gateway/src/peers/ZoneRole.ts
@@ -43,7 +43,7 @@
     return this._holder === this._structure.membership.self.name;
   }
 
-  /** Whether this instance knows no other instance of its zone. */
+  /** Whether no other instance of this zone is known. */
   get isAlone(): boolean {
     return this._structure.membership.getZoneRoleCandidates().length <= 1;
   }
@@ -53,7 +53,10 @@
     this._activeAtMs = this._nowMs();
   }
 
-  /** Records that this instance was suspended. Messages of the holder from that time are not processed yet, so it isn't counted as silence. */
+  /**
+   * Records that this instance was suspended. That time doesn't count as silence of the holder, whose messages from it are not processed
+   * yet.
+   */
   noteSuspension(pauseMs: number): void {
     this._activeAtMs += pauseMs;
   }
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -66,7 +66,7 @@
 /** The version of the configuration that is in force at the sender. */
 export const versionSchema = zod.object({ version: zod.number() });
 
-/** A request for a configuration: the version in force at the sender, and whether it wants a whole configuration if there is no delta. */
+/** A request for a configuration: the version in force at the sender, and whether it requests a whole one if there is no delta. */
 export const configurationRequestSchema = versionSchema.extend({ wantsWhole: zod.boolean() });
 
 /** The response to a request for a configuration. */
@@ -110,5 +110,5 @@
   endpoints: zod.array(listedEndpointSchema).optional(),
 });
 
-/** The instances that the responder knows. */
+/** The instances that the responder has in its directory. */
 export const instancesSchema = zod.array(registeredInstanceSchema);
--- a/packages/gateway/src/requests/PlainForwarder.ts
+++ b/packages/gateway/src/requests/PlainForwarder.ts
@@ -200,7 +200,7 @@
       if (result.val instanceof errors.ConnectionLostError) return { kind: "lost", error: result.val.code };
       if (!(result.val instanceof errors.NotReachedError)) return { kind: "unknown", error: result.val.code };
       request.attempts -= 1;
-      this.context.suspicions.noteUnresponsive(endpoint.id, result.val.code);
+      this.context.failureDetector.noteUnresponsive(endpoint.id, result.val.code);
       return { kind: "not-run", error: result.val.code };
     }
     const fields = this.context.codec.decodeAnswer(result.val.headers);
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -24,7 +24,10 @@
   readonly budgets: RetryBudgets;
   readonly log: DecisionLog;
   readonly availabilityZone: string;
-  readonly suspicions: Pick<FailureDetector, "noteUnresponsive" | "noteReportedFaulty" | "noteLayersMissing">;
+  readonly failureDetector: Pick<
+    FailureDetector,
+    "noteUnresponsive" | "noteReportedFaulty" | "noteLayersMissing"
+  >;
   readonly crashes: Pick<
     CrashDetector,
     | "isQuiet"
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -137,7 +137,7 @@
     if (endpoint === undefined) return this._abortSilentStreams(endpointId);
     const report = await this._orders.getReport(endpoint.orderTarget, reportTimeoutMs);
     if (report.err) {
-      this._context.suspicions.noteUnresponsive(endpointId, `no report: ${report.val.code}`);
+      this._context.failureDetector.noteUnresponsive(endpointId, `no report: ${report.val.code}`);
       return this._abortSilentStreams(endpointId);
     }
     endpoint.slowness = getSlowness(report.val);
@@ -240,7 +240,7 @@
     const stages = [...this._attempts].flatMap(({ reservation }) => reservation.stages);
     const endpoint = findNamedEndpoint(this._context.endpoints, stages, address);
     if (endpoint !== undefined)
-      void this._context.suspicions.noteReportedFaulty(endpoint.id, "stalled chain");
+      void this._context.failureDetector.noteReportedFaulty(endpoint.id, "stalled chain");
   }
 
   private _abandon(attempt: StreamAttempt, cause: string): void {
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -209,7 +209,7 @@
     if (!(sent.val instanceof errors.NotReachedError)) return "lost";
     request.attempts -= 1;
     attempt.reservation.permit?.release();
-    this.context.suspicions.noteUnresponsive(first.id, sent.val.code);
+    this.context.failureDetector.noteUnresponsive(first.id, sent.val.code);
     return "not-run";
   }
 
@@ -282,10 +282,10 @@
     const faulty = findNamedEndpoint(this.context.endpoints, attempt.reservation.stages, address);
     const waitedMs = nowMs - attempt.lastActivityAtMs;
     if (faulty !== undefined && waitedMs >= stalledRefusalMs)
-      void this.context.suspicions.noteReportedFaulty(faulty.id, `refusal ${answer.status}`);
+      void this.context.failureDetector.noteReportedFaulty(faulty.id, `refusal ${answer.status}`);
     else if (faulty?.noteFull(nowMs) === true) this.context.broadcastFull(faulty.id);
     if (faulty !== undefined && answer.status === misdirectedStatus)
-      void this.context.suspicions.noteLayersMissing(faulty.id);
+      void this.context.failureDetector.noteLayersMissing(faulty.id);
     this._logFailedRun(attempt, `refusal ${answer.status} for ${address} after ${Math.round(waitedMs)} ms`);
     return "not-run";
   }
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -125,7 +125,7 @@
     void watch.run(stop.signal);
     void endpointWatch.run(stop.signal);
     void this._repeat(relayTickMs, stop.signal, () => relay.check());
-    void this._repeat(requestTickMs, stop.signal, () => exchange.askIfStale());
+    void this._repeat(requestTickMs, stop.signal, () => exchange.requestIfStale());
     const startedAtMs = clock.nowMs();
     this._instances.set(name, {
       name,
@@ -154,12 +154,12 @@
       history,
       getBehindMs: () => watch.follower.getBehindMs(),
       getOffset: () => watch.follower.nextOffset,
-      takeAhead: (nextOffset) => watch.follower.advanceTo(nextOffset),
+      advanceTo: (nextOffset) => watch.follower.advanceTo(nextOffset),
       getListOffset: () => 0,
-      takeList: () => undefined,
+      applyList: () => undefined,
       isRegistryReached: () => true,
       getInstances: () => [],
-      takeInstances: () => undefined,
+      addInstances: () => undefined,
       nowMs: this.clock.nowMs,
       pause: this.clock.sleep,
       random: () => this._random.nextUnit(),
--- a/packages/gateway/src/tests/patterns/CrashingFleet.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleet.ts
@@ -258,9 +258,9 @@
       membership: {
         self: identity,
         getLinked: () => this._getPeers(instance).map((peer) => toMember(peer.identity)),
-        notifyAll: (topic, body, wants = () => true) => {
+        notifyAll: (topic, body, isReceiver = () => true) => {
           for (const peer of this._getPeers(instance))
-            if (wants(toMember(peer.identity))) this._notify(instance, peer, topic, body);
+            if (isReceiver(toMember(peer.identity))) this._notify(instance, peer, topic, body);
         },
         onLinked: (listener) => void linkedListeners.push(listener),
         onNotice: (topic, handler) => void handlers.set(topic, handler),
--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -72,9 +72,9 @@
       onLinked: () => undefined,
       onNotice: (topic, handler) => void joined.notices.set(topic, handler),
       onRequest: (topic, handler) => void joined.requests.set(topic, handler),
-      notifyAll: (topic, body, wants = () => true) => {
+      notifyAll: (topic, body, isReceiver = () => true) => {
         for (const peer of this._getLinked(self))
-          if (wants(peer)) void this._notify(joined, peer, topic, body);
+          if (isReceiver(peer)) void this._notify(joined, peer, topic, body);
       },
       request: (name, topic, body, timeoutMs) => this._request(joined, name, topic, body, timeoutMs),
     };
--- a/packages/gateway/src/tests/patterns/LimitedFleet.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleet.ts
@@ -170,8 +170,18 @@
       random,
     });
     const waiting: (() => boolean)[] = [];
-    const parts = { notices, requests, linkedListeners, endpoints, limits, demand, waiting, loads, permits };
-    const instance: Instance = { identity, ...parts, isStopped: false };
+    const components = {
+      notices,
+      requests,
+      linkedListeners,
+      endpoints,
+      limits,
+      demand,
+      waiting,
+      loads,
+      permits,
+    };
+    const instance: Instance = { identity, ...components, isStopped: false };
     demand.addQueue(() => waiting.length);
     demand.onPermits(() => this._serveWaiting(instance));
     this._repeat(instance, loadTickMs, () => loads.sendDue());
@@ -206,9 +216,9 @@
       onLinked: (listener) => void handlers.linkedListeners.push(listener),
       onNotice: (topic, handler) => void handlers.notices.set(topic, handler),
       onRequest: (topic, handler) => void handlers.requests.set(topic, handler),
-      notifyAll: (topic, body, wants = () => true) => {
+      notifyAll: (topic, body, isReceiver = () => true) => {
         for (const peer of this._getLinked(self))
-          if (wants(toMember(peer))) this._notify(self, peer, topic, body);
+          if (isReceiver(toMember(peer))) this._notify(self, peer, topic, body);
       },
       request: (name, topic, body) => this._request(self, name, topic, body),
     };
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -33,7 +33,7 @@
       log: new DecisionLog(new SilentSink(), nowMs),
       getBehindMs: () => 0,
       getOffset: () => 7,
-      takeAhead: (nextOffset) => void ahead.push(nextOffset),
+      advanceTo: (nextOffset) => void ahead.push(nextOffset),
       broadcastToZone: () => undefined,
       nowMs,
       pause: utils.yieldToEvents,
@@ -81,7 +81,7 @@
   t.is(second.activeConfiguration.version, 2);
 });
 
-test("while a whole configuration is expected from one peer, no other peer is asked for one", async (t) => {
+test("while a whole configuration is expected from one peer, none is requested from another", async (t) => {
   const fleet = new Fleet();
   const holders = ["a", "b"].map((name) => fleet.join(name));
   for (const { activeConfiguration } of holders) activeConfiguration.accept(createConfiguration(2, routes));
--- a/packages/gateway/src/tests/peers/DrainingBroadcastTests.ts
+++ b/packages/gateway/src/tests/peers/DrainingBroadcastTests.ts
@@ -1,4 +1,4 @@
-/** Tests that all instances, including those of other zones, learn that an endpoint drains once it has told one instance. */
+/** Tests that all instances, including those of other zones, are notified that an endpoint drains once it has notified one instance. */
 import test from "ava";
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { EndpointStatements } from "../../discovery/EndpointStatements.js";
@@ -27,8 +27,8 @@
   return { endpoints, statements };
 }
 
-// Guards against instances that keep sending requests to a draining endpoint because it has told only other instances.
-test("an endpoint that told one instance that it drains receives no new requests from any instance", (t) => {
+// Guards against instances that keep sending requests to a draining endpoint because it has notified only other instances.
+test("an endpoint that notified one instance that it drains receives no new requests from any instance", (t) => {
   const network = new PeerNetwork();
   const instances = zones.map((zone, index) => createInstance(network, `i${index}`, zone));
   const [first] = instances;
--- a/packages/gateway/src/tests/peers/PeerExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PeerExchangeTests.ts
@@ -30,12 +30,12 @@
     history: new ConfigurationHistory(activeConfiguration),
     getBehindMs: () => 0,
     getOffset: () => 0,
-    takeAhead: () => undefined,
+    advanceTo: () => undefined,
     getListOffset: () => 0,
-    takeList: () => undefined,
+    applyList: () => undefined,
     isRegistryReached: () => true,
     getInstances: () => [],
-    takeInstances: () => undefined,
+    addInstances: () => undefined,
   });
   return { activeConfiguration, endpoints, exchange };
 }
@@ -61,7 +61,7 @@
   const cutOff = join(network, "c");
   sender.exchange.broadcastVersion(7);
   served.activeConfiguration.accept(createConfiguration(7));
-  // Both instances received the announcement at the same moment: once the cut-off one has sent its request, the other would have done so too.
+  // Both instances received the announcement at the same moment: once the cut-off one has sent its request, the other one would have too.
   t.true(await utils.waitUntil(() => cutOff.activeConfiguration.version === 7, timeoutMs));
   t.is(network.sent.get("configuration"), 1);
 });
--- a/packages/gateway/src/tests/peers/StoreRelayTests.ts
+++ b/packages/gateway/src/tests/peers/StoreRelayTests.ts
@@ -20,7 +20,7 @@
 const topic = "endpoints-read";
 const tickMs = 200;
 const names = ["a", "b", "c"];
-/** Time within which all instances have to know that an endpoint drains. */
+/** Time within which the notice of a draining endpoint has to reach all instances. */
 const boundMs = 2_000;
 
 /** An in-memory store that is unreachable for selected readers. */
@@ -160,7 +160,7 @@
   zone.stop();
 });
 
-test("when the store is unreachable for the reader, all others learn of a removed endpoint within two seconds", async (t) => {
+test("when the store is unreachable for the reader, all others are notified of a removed endpoint within two seconds", async (t) => {
   const zone = new Zone();
   zone.store.changes.push({ key: "x", value: createListed("x") });
   await zone.run(4);
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -162,7 +162,7 @@
       budgets,
       log,
       availabilityZone: "east",
-      suspicions: {
+      failureDetector: {
         noteUnresponsive: (id: string) => void this.endpoints.suspect(id),
         noteReportedFaulty: async (id: string) => void this.endpoints.suspect(id),
         noteLayersMissing: () => Promise.resolve(),
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -68,7 +68,7 @@
     budgets: new RetryBudgets({ ratio: 1, slack: 10, windowMs: 10_000 }),
     log: new DecisionLog(new SilentSink(), () => 0),
     availabilityZone: "east",
-    suspicions: {
+    failureDetector: {
       noteUnresponsive: (id: string) => void endpoints.suspect(id),
       noteReportedFaulty: async (id: string) => void endpoints.suspect(id),
       noteLayersMissing: () => Promise.resolve(),
