--- a/packages/admission/src/AccountLimits.ts
+++ b/packages/admission/src/AccountLimits.ts
@@ -173,7 +173,10 @@
     return this._getOthers(account, 1).length + 1;
   }
 
-  /** Returns this instance's share of a limit. Instances that have sent no demands may have any demand, so each of them keeps an equal share. */
+  /**
+   * Returns this instance's share of a limit. Instances that have sent no demands may have any demand, so each of them keeps an equal
+   * share.
+   */
   private _getShare(limit: number, ownDemand: number, otherDemands: readonly number[]): number {
     const reporting = 1 + otherDemands.length;
     const known = Math.max(reporting, this._getInstanceCount());
