--- a/packages/common/src/tests/ElapsedClockTests.ts
+++ b/packages/common/src/tests/ElapsedClockTests.ts
@@ -1,4 +1,4 @@
-/** Suspensions, jumps of the wall clock in both directions, and machines without a clock that can distinguish the two. */
+/** The clock counts suspensions but no jumps of the wall clock, and errs on the side of too much time if it can't distinguish the two. */
 import test from "ava";
 import { utils } from "../index.js";
 
@@ -31,13 +31,13 @@
   }
 
   /** Suspends the process while the machine continues. */
-  freeze(durationMs: number): void {
+  pauseProcess(durationMs: number): void {
     this._steadyMs += durationMs;
     this._wallMs += durationMs;
     this._uptimeMs += durationMs * this.uptimeRate;
   }
 
-  setWall(byMs: number): void {
+  shiftWallClock(byMs: number): void {
     this._wallMs += byMs;
   }
 
@@ -75,7 +75,7 @@
   const machine = new Machine();
   machine.run(3_000);
   t.is(
-    machine.measure(() => machine.freeze(6_000)),
+    machine.measure(() => machine.pauseProcess(6_000)),
     6_000,
   );
 });
@@ -85,7 +85,7 @@
   machine.run(3_000);
   for (const byMs of [2_000, -2_000, 3_600_000, -3_600_000]) {
     t.is(
-      machine.measure(() => machine.setWall(byMs)),
+      machine.measure(() => machine.shiftWallClock(byMs)),
       0,
       `${byMs} ms`,
     );
@@ -97,19 +97,19 @@
   );
 });
 
-test("a suspension counts also if the wall clock is set back during it", (t) => {
+test("a suspension also counts if the wall clock is set back during it", (t) => {
   const machine = new Machine();
   machine.run(3_000);
   const elapsedMs = machine.measure(() => {
     machine.suspend(4_000);
-    machine.setWall(-4_000);
+    machine.shiftWallClock(-4_000);
     machine.run(80);
   });
   t.true(Math.abs(elapsedMs - 4_080) <= 20, `${elapsedMs} ms`);
 });
 
 for (const uptimeRate of [0.3, 0.9, 1.8]) {
-  test(`if the uptime runs at ${uptimeRate} of the steady clock, a forward jump of the wall clock counts, and nothing else`, (t) => {
+  test(`with an uptime that runs ${uptimeRate} times as fast as the steady clock, only forward wall clock jumps count`, (t) => {
     const machine = new Machine();
     machine.uptimeRate = uptimeRate;
     machine.run(20_000);
@@ -119,7 +119,7 @@
       4_000,
     );
     t.is(
-      machine.measure(() => machine.setWall(-2_000)),
+      machine.measure(() => machine.shiftWallClock(-2_000)),
       0,
     );
     t.is(
@@ -134,7 +134,7 @@
   machine.run(3_000);
   const elapsedMs = machine.measure(() => {
     for (let step = 0; step < 100; step++) {
-      machine.setWall(5);
+      machine.shiftWallClock(5);
       machine.run(40);
     }
   });
@@ -146,10 +146,10 @@
   let lastMs = machine.clock.nowMs();
   for (const runEvent of [
     () => machine.run(2_000),
-    () => machine.setWall(-50_000),
+    () => machine.shiftWallClock(-50_000),
     () => machine.suspend(300),
-    () => machine.setWall(50_000),
-    () => machine.freeze(1_000),
+    () => machine.shiftWallClock(50_000),
+    () => machine.pauseProcess(1_000),
   ]) {
     runEvent();
     const nowMs = machine.clock.nowMs();
--- a/packages/common/src/utils/AdaptiveTimeout.ts
+++ b/packages/common/src/utils/AdaptiveTimeout.ts
@@ -5,9 +5,9 @@
 const answerFactor = 2;
 
 /**
- * Adaptive timeout for each peer name. With a fixed timeout, a peer that is permanently slower would always be taken for dead: on a tenth
- * of a core, a report takes longer than 400 ms, so that every report timed out and was requested again, and instances had no engines for
- * 17 s.
+ * Maintains an adaptive timeout for each peer name. With a fixed timeout, a peer that is permanently slower would always be taken for dead:
+ * on a tenth of a CPU core, an engine's report takes longer than 400 ms, so that every request for a report timed out at 400 ms and was
+ * repeated, and instances had no engines for 17 s.
  */
 export class AdaptiveTimeout {
   private readonly _timeoutsMs = new Map<string, number>();
--- a/packages/common/src/utils/ElapsedClock.ts
+++ b/packages/common/src/utils/ElapsedClock.ts
@@ -3,8 +3,8 @@
  * so does every age, lease and deadline measured with it: after resuming, a process would act under a lease that has expired.
  *
  * The wall clock continues during a suspension, but may also be set forward or back. The uptime of the machine continues as well and never
- * jumps, so it decides wherever it is reliable. Elsewhere a forward jump of the wall clock counts as elapsed time: a lease that ends too
- * early is acquired again, while one that ends too late does harm.
+ * jumps, so it determines the length of a suspension wherever it is reliable. Elsewhere a forward jump of the wall clock counts as elapsed
+ * time: a lease that ends too early is acquired again, while under one that ends too late, a process would act without holding the lease.
  */
 import * as os from "node:os";
 import { performance } from "node:perf_hooks";
@@ -37,7 +37,7 @@
 /** Whether the uptime of the machine is reliable. */
 type UptimeState = "untested" | "reliable" | "unreliable";
 
-/** Measures elapsed time including suspensions of the machine. One per process. */
+/** Measures elapsed time including suspensions of the machine. All code of a process shares one clock, `monotonicMs`. */
 export class ElapsedClock {
   private _lostMs = 0;
   private _steadyMs: number;
--- a/packages/common/src/utils/PauseDetector.ts
+++ b/packages/common/src/utils/PauseDetector.ts
@@ -1,6 +1,6 @@
 /**
- * Detection of pauses of this process, which was frozen, or whose machine was suspended. Silence of a peer during a pause is no evidence
- * against the peer: its messages have not been read yet, and may be as old as the pause is long.
+ * Detection of pauses of this process, during which the process was frozen or its machine was suspended. Silence of a peer during a pause
+ * is no evidence against the peer: its messages have not been read yet, and may be as old as the pause is long.
  */
 import { monotonicMs } from "./clock.js";
 
@@ -9,7 +9,7 @@
 /** Messages that arrived during a pause are read within this time after its end. */
 const backlogReadMs = 250;
 
-/** Detects pauses of this process by late ticks of a periodic task. One per task. */
+/** Detects pauses of this process by late ticks of one periodic task. */
 export class PauseDetector {
   private _tickedAtMs: number;
   private _pauseMs = 0;
@@ -34,7 +34,10 @@
     return pauseMs;
   }
 
-  /** Returns the duration of a pause that has just ended, also before the next tick, or 0. Messages read now may be older by this. */
+  /**
+   * Returns the duration of a pause that has just ended, even if no tick has followed yet, or 0 if there was none. The age of messages that
+   * are read now may include this duration.
+   */
   getRecentPauseMs(): number {
     const nowMs = this._nowMs();
     const latenessMs = this._getLatenessMs(nowMs);
--- a/packages/common/src/utils/ids.ts
+++ b/packages/common/src/utils/ids.ts
@@ -6,7 +6,7 @@
   return uuid.v7();
 }
 
-/** Creates an id with a given time, for keys that a caller created earlier. */
+/** Creates an id with a given creation time instead of the current time. */
 export function newIdAt(wallMs: number): string {
   return uuid.v7({ msecs: wallMs });
 }
