--- a/packages/membership/src/LinkFailureDetector.ts
+++ b/packages/membership/src/LinkFailureDetector.ts
@@ -1,7 +1,8 @@
 /**
  * Failure detection for peer links. A connection can stop delivering data without a reset, which only a probe reveals. Heartbeats are not
- * sufficient: they carry fields, and their interval grows with the number of links, up to 5.7 s at 51 links. A probe takes six bytes and is
- * sent only on silent links, so that a dead link is detected within five seconds at any number of links, at 0.3 KB/s for 51 links.
+ * sufficient: they carry fields, and their interval grows with the number of links, to 5.7 s at 51 links. A probe takes six bytes and is
+ * sent only on silent links, so that a dead link is detected within five seconds at any number of links. The probes take 0.3 KB/s for 51
+ * links.
  */
 import { utils } from "@shedtiller/common";
 import type { PeerLink } from "./PeerLink.js";
@@ -11,15 +12,15 @@
 /**
  * Silence after which the side that dialled the link probes it at each check. A probe also shows the other side that this instance is
  * alive; the accepting side probes one check later if it has received nothing. One more check remains before the link is closed. Probing
- * from both sides at each check made 108 frames a second at 27 links, a third of the work of an idle instance; this rule makes 27.
+ * from both sides at each check causes 108 frames a second at 27 links, a third of the work of an idle instance; this rule causes 27.
  */
 const probeAfterMs = 1_900;
-/** Silence after which a link is closed. Above the 3.5 s for which instances freeze and recover, since redialling a link costs 1 ms. */
+/** Silence after which a link is closed. Longer than the 3.5 s freezes from which instances recover, since redialling costs 1 ms. */
 const maxSilenceMs = 4_000;
 /** A check that is late by more than this shows that this process was suspended; silence is then no evidence against its peers. */
 export const suspensionThresholdMs = 500;
 
-/** Probes peer links that have gone silent and closes those that stay silent. One per instance. */
+/** Probes the peer links of an instance that have gone silent, and closes those that stay silent. */
 export class LinkFailureDetector {
   private _checkedAtMs: number;
 
--- a/packages/membership/src/Member.ts
+++ b/packages/membership/src/Member.ts
@@ -6,9 +6,9 @@
   readonly availabilityZone: string;
   readonly address: string;
   isLeaving: boolean;
-  /** Wall-clock time at which the link was lost; undefined while the link is open. */
+  /** Wall-clock time since which there is no open link; undefined while the link is open. */
   lostSinceMs: number | undefined;
-  /** Monotonic time at which the link was lost. */
+  /** Monotonic time at which the link was last lost; before the first link, the time at which the member was added. */
   unlinkedSinceMs: number;
   /** Fields of the last received heartbeat. */
   heartbeat: Record<string, unknown>;
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -188,7 +188,10 @@
     return utils.pickOwner(role, this.getZoneRoleCandidates()) === this.self.name;
   }
 
-  /** Returns the wall-clock time since when no other zone can be reached; undefined while one is reached or none is listed. */
+  /**
+   * Returns the wall-clock time since which this instance has had no link to any other zone; undefined while it has one or no instance of
+   * another zone is listed.
+   */
   getCutOffSinceMs(): number | undefined {
     const contacts = this._getMembersOfOtherZones().filter((member) => this._isContact(member));
     if (contacts.length === 0 || contacts.some((member) => member.lostSinceMs === undefined))
@@ -202,7 +205,7 @@
       if (isReceiver(member)) this._links.get(member.name)?.notify(topic, body);
   }
 
-  /** Sends a request to an instance, over its link or else forwarded by a linked instance of its zone. */
+  /** Sends a request to an instance over its link; without a link, a linked instance of the same zone forwards the request. */
   async request(
     name: string,
     topic: string,
@@ -235,7 +238,7 @@
     return reply.ok ? { isDelivered: true, body: reply.val } : { isDelivered: false, body: null };
   }
 
-  /** Dials the members that should be linked but are not. Of two instances, the one with the smaller name dials first. */
+  /** Dials the members to which a link is needed but not open. Of two instances, the one with the smaller name dials first. */
   private _dialMissingLinks(): void {
     for (const member of this._members.values()) {
       if (!this._needsLink(member) || this._links.get(member.name)?.isOpen === true) continue;
--- a/packages/membership/src/PeerBroadcast.ts
+++ b/packages/membership/src/PeerBroadcast.ts
@@ -1,7 +1,7 @@
 /**
- * Broadcast of updates to all instances. An update is sent to the own zone and to a few instances of each other zone; those forward to their
- * zone what was new to them, so that a broadcast takes about as many messages as there are instances. When a link is established, the full
- * state is sent over it, which brings instances up to date that were partitioned, have just started or were added.
+ * Broadcast of updates to all instances. An update is sent to the own zone and to a few relays in each other zone. A relay forwards the
+ * entries that were new to it to its own zone, so that a broadcast takes about as many messages as there are instances. When a link is
+ * established, the full state is sent over the link, which updates instances that were partitioned, have just started or were added.
  */
 import { utils } from "@shedtiller/common";
 import type * as zod from "zod";
@@ -9,7 +9,7 @@
 import type { Membership } from "./Membership.js";
 import type { PeerIdentity } from "./PeerLink.js";
 
-/** Instances of each other zone that receive an update first. More than one, since one of them may have just died. */
+/** Number of relays in each other zone. More than one, since a relay may have just failed. */
 const relaysPerZone = 2;
 
 /** Dependencies of {@link PeerBroadcast}. */
@@ -19,7 +19,7 @@
   readonly schema: zod.ZodType<T>;
   /** Called for a message that does not match the schema. The message is dropped: a peer of another version may have sent it. */
   readonly onInvalid: (topic: string, from: PeerIdentity) => void;
-  /** Applies an update from a peer; returns the part of it that was new here, or undefined if nothing was. */
+  /** Applies an update from a peer; returns the entries that were new to this instance, or undefined if none were. */
   readonly applyUpdate: (update: T) => T | undefined;
   /** Returns the full local state; undefined if it is empty. */
   readonly getFullState: () => T | undefined;
@@ -27,7 +27,7 @@
   readonly random?: (() => number) | undefined;
 }
 
-/** Broadcasts updates of one topic to all instances and forwards those of other zones. One per topic and instance. */
+/** Broadcasts the updates of one topic to all instances, and forwards updates from other zones to the own zone. */
 export class PeerBroadcast<T> {
   constructor(private readonly _structure: PeerBroadcastStructure<T>) {
     const { membership, topic } = _structure;
@@ -50,9 +50,9 @@
     const { schema, topic, onInvalid, applyUpdate } = this._structure;
     const parsed = schema.safeParse(body);
     if (!parsed.success) return onInvalid(topic, from);
-    const newPart = applyUpdate(parsed.data);
-    if (newPart === undefined || this._isOwnZone(from)) return;
-    this._notify(newPart, (member) => this._isOwnZone(member));
+    const unseenUpdate = applyUpdate(parsed.data);
+    if (unseenUpdate === undefined || this._isOwnZone(from)) return;
+    this._notify(unseenUpdate, (member) => this._isOwnZone(member));
   }
 
   private _sampleRelays(): Set<string> {
--- a/packages/membership/src/PeerLink.ts
+++ b/packages/membership/src/PeerLink.ts
@@ -29,9 +29,9 @@
   /** Monotonic time at which a frame, ping or pong of the peer was last received. */
   lastReceivedAtMs = utils.monotonicMs();
   private _nextId = 1;
-  private readonly _waiting = new Map<
+  private readonly _pendingRequests = new Map<
     number,
-    { topic: string; done: utils.Deferred<results.Result<unknown, PeerError>> }
+    { topic: string; pendingReply: utils.Deferred<results.Result<unknown, PeerError>> }
   >();
   private _isClosed = false;
 
@@ -42,7 +42,7 @@
     private readonly _socket: ws.WebSocket,
     private readonly _events: PeerLinkEvents,
   ) {
-    _socket.on("message", (data) => this._accept(data));
+    _socket.on("message", (data) => this._handleMessage(data));
     _socket.on("ping", () => this._recordReceived());
     _socket.on("pong", () => this._recordReceived());
     _socket.on("close", () => this._close());
@@ -61,19 +61,19 @@
   ): Promise<results.Result<unknown, PeerError>> {
     if (!this.isOpen) return results.Err(new errors.ConnectionLostError(this.peer.name));
     const id = this._nextId++;
-    const done = new utils.Deferred<results.Result<unknown, PeerError>>();
-    this._waiting.set(id, { topic, done });
+    const pendingReply = new utils.Deferred<results.Result<unknown, PeerError>>();
+    this._pendingRequests.set(id, { topic, pendingReply });
     const timer = setTimeout(
       () =>
-        done.resolve(
+        pendingReply.resolve(
           results.Err(new errors.DeadlineError(`The request ${topic} to ${this.peer.name}`, timeoutMs)),
         ),
       timeoutMs,
     );
     this._send({ kind: "request", id, topic, body });
-    const reply = await done.promise;
+    const reply = await pendingReply.promise;
     clearTimeout(timer);
-    this._waiting.delete(id);
+    this._pendingRequests.delete(id);
     return reply;
   }
 
@@ -98,16 +98,16 @@
     this._socket.send(encoded);
   }
 
-  private _accept(data: ws.RawData): void {
+  private _handleMessage(data: ws.RawData): void {
     const frame = decodePeerFrame(data);
     if (frame.err) return this.close();
     this._recordReceived();
-    this._events.onTraffic("received", getTopic(frame.val, this._waiting), byteLength(data));
+    this._events.onTraffic("received", getTopic(frame.val, this._pendingRequests), getByteLength(data));
     switch (frame.val.kind) {
       case "request":
         return void this._answer(frame.val.id, frame.val.topic, frame.val.body);
       case "reply":
-        return this._waiting.get(frame.val.id)?.done.resolve(results.Ok(frame.val.body));
+        return this._pendingRequests.get(frame.val.id)?.pendingReply.resolve(results.Ok(frame.val.body));
       case "notice":
         return this._events.onNotice(this, frame.val.topic, frame.val.body);
       default:
@@ -127,20 +127,20 @@
   private _close(): void {
     if (this._isClosed) return;
     this._isClosed = true;
-    for (const { done } of this._waiting.values()) {
-      done.resolve(results.Err(new errors.ConnectionLostError(this.peer.name)));
+    for (const { pendingReply } of this._pendingRequests.values()) {
+      pendingReply.resolve(results.Err(new errors.ConnectionLostError(this.peer.name)));
     }
-    this._waiting.clear();
+    this._pendingRequests.clear();
     this._events.onClosed(this);
   }
 }
 
-function getTopic(frame: PeerFrame, waiting: ReadonlyMap<number, { topic: string }>): string {
-  if (frame.kind === "reply") return waiting.get(frame.id)?.topic ?? "reply";
+function getTopic(frame: PeerFrame, pendingRequests: ReadonlyMap<number, { topic: string }>): string {
+  if (frame.kind === "reply") return pendingRequests.get(frame.id)?.topic ?? "reply";
   return "topic" in frame ? frame.topic : frame.kind;
 }
 
-function byteLength(data: ws.RawData): number {
+function getByteLength(data: ws.RawData): number {
   return data instanceof Buffer ? data.byteLength : 0;
 }
 
--- a/packages/membership/src/controlBudget.ts
+++ b/packages/membership/src/controlBudget.ts
@@ -1,4 +1,4 @@
-/** Intervals of periodic control messages, chosen so that an instance's traffic stays within its budget at any fleet size. */
+/** Intervals of periodic control messages, with which an instance's traffic stays within its budget at any fleet size. */
 import { utils } from "@shedtiller/common";
 
 /** Size and bandwidth budget of one kind of control message. */
--- a/packages/membership/src/tests/LinkFailureDetectorTests.ts
+++ b/packages/membership/src/tests/LinkFailureDetectorTests.ts
@@ -2,7 +2,8 @@
 import test from "ava";
 import { linkCheckIntervalMs, LinkFailureDetector } from "../LinkFailureDetector.js";
 
-class Link {
+/** A link that answers pings immediately or not at all, depending on `_answers`. */
+class FakeLink {
   pings = 0;
   isClosed = false;
   isDialled = true;
@@ -27,7 +28,7 @@
   test(`of ${count} links, one that has gone silent is closed within five seconds, and no other`, (t) => {
     const clock = { nowMs: 0 };
     const detector = new LinkFailureDetector(() => clock.nowMs);
-    const links = Array.from({ length: count }, (_value, index) => new Link(0, index > 0, clock));
+    const links = Array.from({ length: count }, (_value, index) => new FakeLink(0, index > 0, clock));
     for (; clock.nowMs <= 5_000; clock.nowMs += linkCheckIntervalMs) detector.check(links);
     t.deepEqual(
       links.filter((link) => link.isClosed),
@@ -39,7 +40,7 @@
 test("a link over which frames arrive is not probed", (t) => {
   const clock = { nowMs: 0 };
   const detector = new LinkFailureDetector(() => clock.nowMs);
-  const link = new Link(0, true, clock);
+  const link = new FakeLink(0, true, clock);
   for (; clock.nowMs <= 5_000; clock.nowMs += linkCheckIntervalMs) {
     link.lastReceivedAtMs = clock.nowMs - 100;
     detector.check([link]);
@@ -50,7 +51,7 @@
 test("an instance that was suspended probes its peers before it closes their links", (t) => {
   const clock = { nowMs: 0 };
   const detector = new LinkFailureDetector(() => clock.nowMs);
-  const link = new Link(0, true, clock);
+  const link = new FakeLink(0, true, clock);
   detector.check([link]);
   clock.nowMs = 20_000;
   detector.check([link]);
@@ -63,23 +64,23 @@
 test("on an idle link the dialling side sends one probe every two seconds, the accepting side none", (t) => {
   const clock = { nowMs: 0 };
   const detectors = [new LinkFailureDetector(() => clock.nowMs), new LinkFailureDetector(() => clock.nowMs)];
-  const dialling = new Link(0, true, clock);
-  const dialled = new Link(0, true, clock);
-  dialled.isDialled = false;
+  const dialled = new FakeLink(0, true, clock);
+  const accepted = new FakeLink(0, true, clock);
+  accepted.isDialled = false;
   for (; clock.nowMs < 20_000; clock.nowMs += linkCheckIntervalMs) {
-    const before = dialling.pings;
-    detectors[0]?.check([dialling]);
-    if (dialling.pings > before) dialled.lastReceivedAtMs = clock.nowMs;
-    detectors[1]?.check([dialled]);
+    const before = dialled.pings;
+    detectors[0]?.check([dialled]);
+    if (dialled.pings > before) accepted.lastReceivedAtMs = clock.nowMs;
+    detectors[1]?.check([accepted]);
   }
-  t.is(dialling.pings, 9);
-  t.is(dialled.pings, 0);
+  t.is(dialled.pings, 9);
+  t.is(accepted.pings, 0);
 });
 
 test("the accepting side detects by itself that the other side has gone silent", (t) => {
   const clock = { nowMs: 0 };
   const detector = new LinkFailureDetector(() => clock.nowMs);
-  const link = new Link(0, false, clock);
+  const link = new FakeLink(0, false, clock);
   link.isDialled = false;
   for (; clock.nowMs <= 5_000; clock.nowMs += linkCheckIntervalMs) detector.check([link]);
   t.true(link.pings > 0);
--- a/packages/membership/src/tests/membershipTests.ts
+++ b/packages/membership/src/tests/membershipTests.ts
@@ -33,8 +33,8 @@
     return membership;
   }
 
-  /** Gives each instance a list of all instances. */
-  list(): void {
+  /** Sets the list of all instances on each instance. */
+  setListedOnAll(): void {
     const listed = [...this.members.values()].map(({ self, port }): ListedInstance => {
       return { ...self, role: "entry", address: `127.0.0.1:${port}`, state: "live" };
     });
@@ -56,7 +56,7 @@
   const peers = new Peers();
   const [a, b] = [await peers.add("a", "x"), await peers.add("b", "x")];
   b.onRequest("echo", (body, from) => `${String(body)} from ${from.name}`);
-  peers.list();
+  peers.setListedOnAll();
   t.true(await utils.waitUntil(() => a.getLinked().length === 1 && b.getLinked().length === 1, waitMs));
   t.is((await a.request("b", "echo", "hello", 2_000)).unwrap(), "hello from a");
   t.true((await a.request("nobody", "echo", "hello", 2_000)).err);
@@ -65,11 +65,11 @@
 
 test("a peer without the shared secret gets no link", async (t) => {
   const peers = new Peers();
-  const [a, stranger] = [await peers.add("a", "x"), await peers.add("b", "x", "another secret")];
+  const [a, unauthenticated] = [await peers.add("a", "x"), await peers.add("b", "x", "another secret")];
   const c = await peers.add("c", "x");
-  peers.list();
+  peers.setListedOnAll();
   t.true(await utils.waitUntil(() => a.getLinked().length === 1 && c.getLinked().length === 1, waitMs));
-  t.is(stranger.getLinked().length, 0);
+  t.is(unauthenticated.getLinked().length, 0);
   peers.close();
 });
 
@@ -95,7 +95,7 @@
 test("a malformed frame closes its own connection and no other", async (t) => {
   const peers = new Peers();
   const [a, b] = [await peers.add("a", "x"), await peers.add("b", "x")];
-  peers.list();
+  peers.setListedOnAll();
   await utils.waitUntil(() => a.getLinked().length === 1 && b.getLinked().length === 1, waitMs);
   const intruder = new ws.WebSocket(`ws://127.0.0.1:${a.port}/peer`);
   const closed = new Promise((resolve) => intruder.once("close", resolve));
@@ -110,16 +110,16 @@
   const peers = new Peers();
   const names = ["a", "b", "c"];
   for (const name of names) await peers.add(name, "x");
-  peers.list();
-  const isFull = (count: number) => () =>
+  peers.setListedOnAll();
+  const areAllLinked = (count: number) => () =>
     [...peers.members.values()].every((m) => m.getLinked().length === count);
-  t.true(await utils.waitUntil(isFull(2), waitMs));
+  t.true(await utils.waitUntil(areAllLinked(2), waitMs));
   const roles = Array.from({ length: 30 }, (_value, index) => `report:g${index}`);
   const countOwners = (role: string): number =>
     [...peers.members.values()].filter((m) => m.ownsZoneRole(role)).length;
   for (const role of roles) t.is(countOwners(role), 1);
   peers.kill("a");
-  t.true(await utils.waitUntil(isFull(1), waitMs));
+  t.true(await utils.waitUntil(areAllLinked(1), waitMs));
   for (const role of roles) t.is(countOwners(role), 1);
   peers.close();
 });
@@ -127,7 +127,7 @@
 test("an instance that shuts down hands its zone roles to the others at once", async (t) => {
   const peers = new Peers();
   const [a, b] = [await peers.add("a", "x"), await peers.add("b", "x")];
-  peers.list();
+  peers.setListedOnAll();
   await utils.waitUntil(() => a.getLinked().length === 1 && b.getLinked().length === 1, waitMs);
   a.leave();
   t.true(await utils.waitUntil(() => b.getZoneRoleCandidates().length === 1, waitMs));
@@ -136,10 +136,10 @@
   peers.close();
 });
 
-test("an instance that can reach no other zone reports since when", async (t) => {
+test("an instance without a link to any other zone reports the time since which it has been partitioned", async (t) => {
   const peers = new Peers();
   const [a] = [await peers.add("a", "x"), await peers.add("b", "y")];
-  peers.list();
+  peers.setListedOnAll();
   await utils.waitUntil(() => a.getLinked().length === 1, waitMs);
   t.is(a.getCutOffSinceMs(), undefined);
   peers.kill("b");
