--- a/packages/lease/src/LeaseHolder.ts
+++ b/packages/lease/src/LeaseHolder.ts
@@ -9,9 +9,9 @@
   type LeaseRecord,
 } from "./LeaseProjection.js";
 
-/** Fraction of the lease duration in which the holder may act, counted from before it sent its append. */
+/** Fraction of the lease duration for which the holder may act, counted from just before the holder sent the append. */
 const usableFraction = 0.5;
-/** Fraction of the lease duration after which the holder renews the lease. */
+/** Fraction of the lease duration after which the holder renews the lease, counted from the same time. */
 const renewalFraction = 0.3;
 
 /** Dependencies of {@link LeaseHolder}. */
@@ -40,7 +40,7 @@
    */
   getToken(): number | undefined {
     if (utils.monotonicMs() < this._usableUntilMs) return this._fencingToken;
-    if (this._fencingToken !== undefined) this._markLapsed();
+    if (this._fencingToken !== undefined) this._clearToken();
     return undefined;
   }
 
@@ -70,11 +70,12 @@
   /** Releases the lease, so that the next holder does not have to wait for its expiry. */
   async release(): Promise<void> {
     if (this._fencingToken === undefined) return;
-    this._markLapsed();
+    this._clearToken();
     await this._structure.log.append(leasesStream, utils.newId(), this._createRecord("release"));
   }
 
-  private _markLapsed(): void {
+  /** Clears the token after the lease was released or may have expired. */
+  private _clearToken(): void {
     this._fencingToken = undefined;
     this._usableUntilMs = Number.NEGATIVE_INFINITY;
     this._renewAtMs = Number.NEGATIVE_INFINITY;
--- a/packages/lease/src/LeaseProjection.ts
+++ b/packages/lease/src/LeaseProjection.ts
@@ -24,7 +24,7 @@
   readonly holderId: string;
   /** The fencing token: offset of the record that granted or last renewed the lease. */
   readonly fencingToken: number;
-  /** Time of the log at which the lease expires. */
+  /** Time by the clock of the log (`LogRecord.atMs`) at which the lease expires. */
   readonly lapsesAtMs: number;
 }
 
@@ -53,15 +53,15 @@
     return this._leases.get(lease);
   }
 
-  private _grant(record: LogRecord, take: LeaseRecord, current: LeaseState | undefined): void {
+  private _grant(record: LogRecord, request: LeaseRecord, current: LeaseState | undefined): void {
     const isAvailable =
-      current === undefined || current.holderId === take.holderId || current.lapsesAtMs <= record.atMs;
+      current === undefined || current.holderId === request.holderId || current.lapsesAtMs <= record.atMs;
     if (!isAvailable) return;
-    this._leases.set(take.lease, {
-      holder: take.holder,
-      holderId: take.holderId,
+    this._leases.set(request.lease, {
+      holder: request.holder,
+      holderId: request.holderId,
       fencingToken: record.offset,
-      lapsesAtMs: record.atMs + take.durationMs,
+      lapsesAtMs: record.atMs + request.durationMs,
     });
   }
 
--- a/packages/lease/src/orders.ts
+++ b/packages/lease/src/orders.ts
@@ -5,7 +5,7 @@
 import * as zod from "zod";
 
 export const orderSchema = zod.object({
-  /** Offset of the lease record under which the order is sent. An engine that checks it rejects orders with a lower token than before. */
+  /** Offset of the lease record under which the order is sent. Engines that check the token reject an order with a lower one. */
   fencingToken: zod.number().int().nonnegative(),
   /** Wall-clock time after which the order must not take effect. */
   expiresAtMs: zod.number(),
@@ -32,7 +32,10 @@
 const orderTimeoutMs = 2_000;
 const okStatus = 200;
 
-/** Sends an order to an engine. After a `ConnectionLostError` it may have taken effect: read the engine's state before sending another. */
+/**
+ * Sends an order to an engine. After a `ConnectionLostError`, the order may have taken effect: read the engine's state before sending
+ * another one.
+ */
 export async function sendOrder(
   endpoint: string,
   address: string,
