--- a/packages/intent/src/ConfigurationProjection.ts
+++ b/packages/intent/src/ConfigurationProjection.ts
@@ -24,7 +24,7 @@
   private readonly _outcomes = new utils.BoundedMap<records.PlanOutcome>(maxOutcomes);
   /** Records received while earlier ones were missing; they are applied after a snapshot. */
   private _buffered: LogRecord[] = [];
-  private _isMissingPast = false;
+  private _hasHistoryGap = false;
   private _recent: LogRecord[] = [];
   private _listeners: ((changedKeys: readonly string[] | undefined) => void)[] = [];
   /** Offset of the last snapshot record read, and the time at which the log stored it. */
@@ -37,7 +37,7 @@
 
   /** Whether records expired from the log before they were read, and no snapshot or peer state has replaced them yet. */
   get hasHistoryGap(): boolean {
-    return this._isMissingPast;
+    return this._hasHistoryGap;
   }
 
   /** The full state, for peers and snapshots. */
@@ -87,7 +87,7 @@
     const parsed = records.configurationRecordSchema.safeParse(record.payload);
     if (parsed.success && parsed.data.type === "snapshot")
       return this._acceptSnapshot(record, parsed.data.state);
-    if (this._isMissingPast) {
+    if (this._hasHistoryGap) {
       this._buffered.push(record);
       return;
     }
@@ -97,7 +97,7 @@
   }
 
   skipTo(oldestOffset: number): void {
-    if (oldestOffset > this._offset + 1) this._isMissingPast = true;
+    if (oldestOffset > this._offset + 1) this._hasHistoryGap = true;
   }
 
   /** Replaces the state by a peer's if that is newer; returns whether it was replaced. */
@@ -126,7 +126,7 @@
 
   private _acceptSnapshot(record: LogRecord, state: records.ConfigurationState): void {
     this.lastSnapshot = { offset: record.offset, atMs: record.atMs };
-    if (this._isMissingPast) {
+    if (this._hasHistoryGap) {
       const buffered = this._buffered;
       const firstBufferedOffset = buffered[0]?.offset ?? record.offset;
       // If the snapshot ends before the buffered records begin, the records in between are missing.
@@ -156,7 +156,7 @@
     for (const [key, stored] of Object.entries(state.objects)) this._objects.set(key, stored);
     for (const [key, removed] of Object.entries(state.removedAt)) this._removedAt.set(key, removed);
     for (const outcome of state.outcomes) this._outcomes.set(outcome.planId, outcome);
-    this._isMissingPast = false;
+    this._hasHistoryGap = false;
     this._buffered = [];
     this._recent = [];
     this._notify(undefined);
@@ -187,13 +187,13 @@
     const overtaken = record.changes.find((change) => this.getBaseOffset(change.key) !== change.baseOffset);
     const outcome = { planId: record.planId, operator: record.operator, offset };
     if (overtaken !== undefined) {
-      const by = this._getLastChange(overtaken.key);
+      const lastChange = this._getLastChange(overtaken.key);
       this._addOutcome({
         ...outcome,
         isAccepted: false,
         overtakenKey: overtaken.key,
-        overtakenBy: by?.setByPlan,
-        overtakenByOperator: by?.setByOperator,
+        overtakenBy: lastChange?.setByPlan,
+        overtakenByOperator: lastChange?.setByOperator,
       });
       return;
     }
--- a/packages/intent/src/Confirmer.ts
+++ b/packages/intent/src/Confirmer.ts
@@ -1,4 +1,4 @@
-/** Confirmation of plans by an append with the plan's id, whose outcome is determined also if the reply is lost. */
+/** Confirmation of plans by an append under the plan's id, so that the outcome can be determined even if the reply is lost. */
 import { errors, results, utils } from "@shedtiller/common";
 import type { AppendReceipt, LogError, LogService } from "@shedtiller/logservice";
 import type { ConfigurationProjection } from "./ConfigurationProjection.js";
--- a/packages/intent/src/intents.ts
+++ b/packages/intent/src/intents.ts
@@ -5,7 +5,7 @@
 import { changeSchema } from "./configurationRecords.js";
 
 export const intentSchema = zod.strictObject({
-  /** Name of the operator who states the intent; shown to operators whose plans it overtakes. */
+  /** Name of the operator who states the intent; shown to operators whose plans are rejected because of the intent. */
   operator: zod.string().min(1).max(64),
   /** Target state of the objects to add or change. */
   objects: zod.array(configurationObjectSchema).default([]),
@@ -27,6 +27,7 @@
 export const planSchema = zod.object({
   planId: zod.string(),
   operator: zod.string(),
+  /** Name of the instance that made the plan. */
   madeBy: zod.string(),
   /** Offset of the configuration on which the plan is based. */
   baseOffset: zod.number().int(),
--- a/packages/intent/src/tests/ConfirmerTests.ts
+++ b/packages/intent/src/tests/ConfirmerTests.ts
@@ -1,4 +1,4 @@
-/** The result that an operator gets for a confirmation, depending on the answer of the log. */
+/** The result of a confirmation when the log rejects the append after a long delay. */
 import test from "ava";
 import { errors, results } from "@shedtiller/common";
 import {
@@ -12,11 +12,11 @@
 import { Confirmer } from "../Confirmer.js";
 import type { Plan } from "../intents.js";
 
-/** Longer than the default timeout of an append. */
-const answerMs = 3_000;
+/** Delay of the log's rejections. Longer than the default timeout of an append. */
+const rejectionDelayMs = 3_000;
 const timeoutMs = 5_000;
 
-/** A log that rejects appends after a long delay; a caller with a shorter timeout gets no answer. */
+/** A log that rejects appends after `rejectionDelayMs`; for a caller with a shorter timeout, the append times out. */
 class SlowLog extends LogService {
   appends = 0;
   nowMs = 0;
@@ -27,9 +27,9 @@
     waitedMs = 2_000,
   ): Promise<results.Result<AppendReceipt, LogError>> {
     this.appends += 1;
-    const late = new errors.DeadlineError("An append", waitedMs);
-    const error = waitedMs < answerMs ? late : new LogRefusedError(503);
-    this.nowMs += Math.min(waitedMs, answerMs);
+    const timeout = new errors.DeadlineError("An append", waitedMs);
+    const error = waitedMs < rejectionDelayMs ? timeout : new LogRefusedError(503);
+    this.nowMs += Math.min(waitedMs, rejectionDelayMs);
     return Promise.resolve(results.Err(error));
   }
   override read(): Promise<results.Result<LogPage, LogError>> {
--- a/packages/intent/src/tests/configurationProjectionTests.ts
+++ b/packages/intent/src/tests/configurationProjectionTests.ts
@@ -1,4 +1,4 @@
-/** All instances derive the same configuration from the same records, and none returns to an older one. */
+/** All instances derive the same configuration from the same records, and no instance returns to an older configuration. */
 import type { LogRecord } from "@shedtiller/logservice";
 import test from "ava";
 import * as fc from "fast-check";
@@ -91,19 +91,19 @@
   t.is(projection.offset, 3);
 });
 
-test("an instance that starts after records expired applies a snapshot that leaves no gap, and no other", (t) => {
-  const whole = new ConfigurationProjection();
-  whole.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
-  const tooOld = createSnapshot(3, whole);
-  whole.acceptRecord(createRecord(1, "p2", [createClassChange("b", 1, absentOffset)]));
-  const second = createRecord(2, "p3", [createClassChange("b", 2, 1)]);
-  const good = createSnapshot(4, whole);
+test("an instance that starts after records expired applies only a snapshot that leaves no gap before the later records", (t) => {
+  const complete = new ConfigurationProjection();
+  complete.acceptRecord(createRecord(0, "p1", [createClassChange("a", 1, absentOffset)]));
+  const outdated = createSnapshot(3, complete);
+  complete.acceptRecord(createRecord(1, "p2", [createClassChange("b", 1, absentOffset)]));
+  const lastRecord = createRecord(2, "p3", [createClassChange("b", 2, 1)]);
+  const usable = createSnapshot(4, complete);
   const fresh = new ConfigurationProjection();
   fresh.skipTo(2);
-  fresh.acceptRecord(second);
-  fresh.acceptRecord(tooOld);
+  fresh.acceptRecord(lastRecord);
+  fresh.acceptRecord(outdated);
   t.true(fresh.hasHistoryGap);
-  fresh.acceptRecord(good);
+  fresh.acceptRecord(usable);
   t.false(fresh.hasHistoryGap);
   t.is(fresh.getObject("class", "a")?.rank, 1);
   t.is(fresh.getObject("class", "b")?.rank, 2);
