--- a/packages/placement/src/BalanceSearch.ts
+++ b/packages/placement/src/BalanceSearch.ts
@@ -16,7 +16,7 @@
 export interface BalanceOptions {
   /** Whether engines may only add layers and remove none. */
   readonly isGrowthOnly?: boolean;
-  /** Indices of the spans whose engines may move to other layers at once, if all their layers are also on other engines. */
+  /** Indices of the spans whose engines may move to any other layers in one step, if all their layers are also on other engines. */
   readonly relocatable?: ReadonlySet<number>;
   /** Whether only engines that had no layers at the start may change. */
   readonly isFillOnly?: boolean;
@@ -24,7 +24,7 @@
   readonly maxShift?: number;
   /** Maximum number of layers that an engine loads: loads take time, and a gap remains open until the last one is done. */
   readonly maxLoads?: number;
-  /** Tokens of KV cache that have to fit beside the union of an engine's current and new layers while it changes over. */
+  /** Tokens of KV cache that have to fit beside the union of an engine's current and new layers while the engine loads the new ones. */
   readonly minKvTokens?: number;
 }
 
@@ -91,22 +91,22 @@
     if (initial === undefined) return true;
     if (countLoads(initial, span) > (this._options.maxLoads ?? Number.POSITIVE_INFINITY)) return false;
     const minTokens = this._options.minKvTokens ?? 0;
-    const hasRoom = (layers: number): boolean =>
+    const hasKvCapacity = (layers: number): boolean =>
       getKvTokenCapacity(span.engine, layers, this._model) >= minTokens;
     const isNew =
       initial.end <= initial.start || (this._relocatable.has(index) && !isOverlapping(initial, span));
-    if (isNew) return hasRoom(span.end - span.start);
+    if (isNew) return hasKvCapacity(span.end - span.start);
     const start = Math.min(initial.start, span.start);
     const end = Math.max(initial.end, span.end);
     if (this._options.isGrowthOnly === true && (start < span.start || end > span.end)) return false;
     if (this._options.isFillOnly === true) return false;
     const isGrowing = start < initial.start || end > initial.end;
-    return !isGrowing || hasRoom(end - start);
+    return !isGrowing || hasKvCapacity(end - start);
   }
 
   private _getGain(step: BalanceStep): number {
-    const before = this._getBefore(step);
-    const after = getAfter(step);
+    const before = this._getReplacedSpans(step);
+    const after = getNewSpans(step);
     const costBefore = this.cost;
     this._replace(before, after);
     const costAfter = this.cost;
@@ -114,7 +114,7 @@
     return costBefore - costAfter;
   }
 
-  private _getBefore(step: BalanceStep): BalancedSpan[] {
+  private _getReplacedSpans(step: BalanceStep): BalancedSpan[] {
     return step.flatMap(({ index }) => this._spans[index] ?? []);
   }
 
@@ -135,7 +135,7 @@
   return search.spans;
 }
 
-function getAfter(step: BalanceStep): BalancedSpan[] {
+function getNewSpans(step: BalanceStep): BalancedSpan[] {
   return step.map(({ span }) => span);
 }
 
--- a/packages/placement/src/ZoneArrangement.ts
+++ b/packages/placement/src/ZoneArrangement.ts
@@ -90,8 +90,8 @@
     const { covered, redundant, replicas, stepFactors, scarcity } = this._totals;
     const gaps = (layerCount - covered) * gapCost;
     if (covered === 0) return gaps;
-    const room = (covered / scarcity) ** (1 / 8) / tokensPerRequest;
-    const requests = Math.max(1, room - headroomDeviations * Math.sqrt(room));
+    const requestCapacity = (covered / scarcity) ** (1 / 8) / tokensPerRequest;
+    const requests = Math.max(1, requestCapacity - headroomDeviations * Math.sqrt(requestCapacity));
     // The requests are distributed over the replicas of the layers, which run concurrently.
     const stepLoad =
       1 + (requests * layerCount * stepMsPerRequest) / (Math.max(layerCount, replicas) * stepMs);
--- a/packages/placement/src/balanceSteps.ts
+++ b/packages/placement/src/balanceSteps.ts
@@ -23,17 +23,18 @@
     if (span.end > span.start) {
       yield* getResized(index, span, model, maxShift);
       yield* getShifted(index, spans, model, maxShift);
-      if (relocatable.has(index)) yield* getFirstSpans(index, span, model);
+      if (relocatable.has(index)) yield* getPlaced(index, span, model);
       continue;
     }
     // Equal empty engines are interchangeable, so only the first of each kind is tried.
     const kind = `${span.engine.memoryMb}|${span.engine.stepFactor}`;
-    if (!emptyKinds.has(kind)) yield* getFirstSpans(index, span, model);
+    if (!emptyKinds.has(kind)) yield* getPlaced(index, span, model);
     emptyKinds.add(kind);
   }
 }
 
-function* getFirstSpans(index: number, span: BalancedSpan, model: CopyModel): Generator<BalanceStep> {
+/** Yields the steps that assign an engine each range of layers that fits in its memory. */
+function* getPlaced(index: number, span: BalancedSpan, model: CopyModel): Generator<BalanceStep> {
   const maxLayers = getMaxLayers(span.engine, model);
   for (let start = 0; start < model.layerCount; start++) {
     for (let end = start + 1; end <= Math.min(model.layerCount, start + maxLayers); end++) {
@@ -42,6 +43,7 @@
   }
 }
 
+/** Yields the steps that move one end of a span, so that its engine gains or loses layers. */
 function* getResized(
   index: number,
   span: BalancedSpan,
@@ -72,23 +74,23 @@
 ): Generator<BalanceStep> {
   const chain = followChain(index, spans);
   for (let length = 2; length <= chain.length; length++) {
-    const part = chain.slice(0, length);
+    const segment = chain.slice(0, length);
     for (let layers = -maxShift; layers <= maxShift; layers++) {
       if (layers === 0) continue;
-      const step = shiftBoundaries(part, spans, layers);
+      const step = shiftBoundaries(segment, spans, layers);
       if (step.every(({ span }) => isPossible(span, model))) yield step;
     }
   }
 }
 
-/** Returns the indices of consecutive spans from `first` on; if several spans start at a boundary, the first of them continues the chain. */
+/** Returns the indices of consecutive spans from `first` on; of several spans that start at a boundary, the first continues the chain. */
 function followChain(first: number, spans: readonly BalancedSpan[]): number[] {
   const chain = [first];
-  for (let at: number | undefined = first; at !== undefined;) {
-    const end = spans[at]?.end ?? 0;
+  for (let current: number | undefined = first; current !== undefined;) {
+    const end = spans[current]?.end ?? 0;
     const next = spans.findIndex((span) => span.start === end && span.end > span.start);
-    at = next < 0 ? undefined : next;
-    if (at !== undefined) chain.push(at);
+    current = next < 0 ? undefined : next;
+    if (current !== undefined) chain.push(current);
   }
   return chain;
 }
@@ -98,11 +100,11 @@
   spans: readonly BalancedSpan[],
   layers: number,
 ): BalanceStep {
-  return chain.flatMap((index, at) => {
+  return chain.flatMap((index, position) => {
     const span = spans[index];
     if (span === undefined) return [];
-    const start = at === 0 ? span.start : span.start + layers;
-    const end = at === chain.length - 1 ? span.end : span.end + layers;
+    const start = position === 0 ? span.start : span.start + layers;
+    const end = position === chain.length - 1 ? span.end : span.end + layers;
     return [{ index, span: { ...span, start, end } }];
   });
 }
--- a/packages/placement/src/planLayerCopies.ts
+++ b/packages/placement/src/planLayerCopies.ts
@@ -45,14 +45,14 @@
 const secondCopyCredit = 1.6;
 /** Minimum number of usual requests for which a copy needs KV cache; below it, a copy is not worth the memory of its weights. */
 const minRequestsPerCopy = 12;
-/** Assumed, not measured, share of engines that are down; it lowers the value of long chains. */
+/** Assumed share of engines that are down; it lowers the value of long chains. */
 const engineLossShare = 0.03;
 const maxImprovementRounds = 40;
 /** A move or swap has to raise the value by more than this factor; smaller gains are rounding errors. */
 const minGainFactor = 1.0001;
-/** Value in the search of a copy with KV cache for enough requests, relative to a rate of one request per second. */
+/** Value in the search of a copy with KV cache for `minRequestsPerCopy` requests, relative to a rate of one request per second. */
 const completeCopyValue = 1e6;
-/** Value in the search of KV cache for each request up to that number. */
+/** Value in the search of a copy's KV cache for each request up to `minRequestsPerCopy`. */
 const requestCapacityValue = 1e3;
 /** Upper end of the bisection for the most tokens beside the layers. */
 const maxTokens = 1e7;
@@ -98,7 +98,10 @@
   return a.name < b.name ? -1 : 1;
 }
 
-/** Returns whether a plan is better: the higher rate wins, with a credit for a second copy. A copy with too little KV cache rules it out. */
+/**
+ * Returns whether a plan is better: the higher rate wins, with a credit for a second copy. A plan with a copy that has too little KV cache
+ * is never better.
+ */
 function isBetter(groups: readonly CopyGroup[], best: readonly CopyGroup[] | undefined): boolean {
   if (groups.some((group) => group.requests < minRequestsPerCopy)) return false;
   if (best === undefined) return true;
@@ -113,14 +116,14 @@
 /** Cuts the engines, fastest first, into groups of about equal memory. */
 function createGroups(sorted: readonly CopyEngine[], copies: number, model: CopyModel): CopyGroup[] {
   const total = utils.getSum(sorted.map((engine) => engine.memoryMb));
-  const runs: CopyEngine[][] = Array.from({ length: copies }, () => []);
+  const partitions: CopyEngine[][] = Array.from({ length: copies }, () => []);
   let sumMb = 0;
   for (const engine of sorted) {
     const index = Math.min(copies - 1, Math.floor(((sumMb + engine.memoryMb / 2) / total) * copies));
-    runs[index]?.push(engine);
+    partitions[index]?.push(engine);
     sumMb += engine.memoryMb;
   }
-  return runs.map((run) => createGroup(run, model));
+  return partitions.map((partition) => createGroup(partition, model));
 }
 
 /** Moves or swaps engines between groups while that raises the value. */
@@ -141,10 +144,10 @@
   for (const [from, source] of groups.entries()) {
     for (const [to, target] of groups.entries()) {
       if (from === to) continue;
-      for (const [left, right] of getExchanges(source, target)) {
+      for (const [newSource, newTarget] of getExchanges(source, target)) {
         const candidate = [...groups];
-        candidate[from] = createGroup(left, model);
-        candidate[to] = createGroup(right, model);
+        candidate[from] = createGroup(newSource, model);
+        candidate[to] = createGroup(newTarget, model);
         const value = getValue(candidate);
         if (value <= bestValue * minGainFactor) continue;
         best = candidate;
@@ -162,14 +165,14 @@
   return complete * completeCopyValue + capacity * requestCapacityValue + getTotalRate(groups);
 }
 
-/** Yields all single moves and swaps of engines; equal engines are tried only once. */
+/** Yields the engines of both groups after each single move or swap; equal engines are tried only once. */
 function* getExchanges(source: CopyGroup, target: CopyGroup): Generator<[CopyEngine[], CopyEngine[]]> {
   for (const moved of getDistinct(source.engines)) {
-    const left = source.engines.filter((engine) => engine !== moved);
-    yield [left, [...target.engines, moved]];
+    const remaining = source.engines.filter((engine) => engine !== moved);
+    yield [remaining, [...target.engines, moved]];
     for (const other of getDistinct(target.engines)) {
       yield [
-        [...left, other],
+        [...remaining, other],
         [...target.engines.filter((engine) => engine !== other), moved],
       ];
     }
@@ -180,7 +183,7 @@
   return [...new Map(engines.map((engine) => [`${engine.memoryMb}|${engine.stepFactor}`, engine])).values()];
 }
 
-/** Creates a group and computes the rate of its copy. The requests are negative if the model does not fit, so that the search can improve it. */
+/** Creates a group with the rate of its copy. If the model does not fit, `requests` is negative, so that the search can improve it. */
 function createGroup(engines: readonly CopyEngine[], model: CopyModel): CopyGroup {
   const spans = spreadLayers(engines, model);
   if (spans === undefined) {
@@ -188,11 +191,11 @@
       model.layerCount * model.layerMb - utils.getSum(engines.map((engine) => engine.memoryMb));
     return { engines, rate: 0, requests: -missingMb / (model.layerCount * model.layerMb) };
   }
-  return { engines, ...rateChain(engines, spans, model) };
+  return { engines, ...estimateRate(engines, spans, model) };
 }
 
-/** Returns the number of concurrent requests of a chain, and how many requests it completes per second. */
-function rateChain(
+/** Estimates how many requests a chain can run concurrently, and how many it completes per second. */
+function estimateRate(
   engines: readonly CopyEngine[],
   spans: readonly PlannedSpan[],
   model: CopyModel,
--- a/packages/placement/src/planPlacement.ts
+++ b/packages/placement/src/planPlacement.ts
@@ -94,14 +94,14 @@
   const total = utils.getSum(sorted.map((engine) => engine.layersPerSecond));
   const groups: Group[] = Array.from({ length: stages }, () => ({ engines: [], layers: 0 }));
   let sum = 0;
-  let latest = -1;
+  let previous = -1;
   for (const [index, engine] of sorted.entries()) {
     const byRate = Math.floor(((sum + engine.layersPerSecond / 2) / total) * stages);
     // Every group needs at least one engine, so an engine goes to a later group if too few would remain for the groups after it.
     const earliest = stages - (sorted.length - index);
-    const target = Math.min(stages - 1, latest + 1, Math.max(byRate, earliest, 0));
+    const target = Math.min(stages - 1, previous + 1, Math.max(byRate, earliest, 0));
     groups[target]?.engines.push(engine);
-    latest = target;
+    previous = target;
     sum += engine.layersPerSecond;
   }
   return groups.every((group) => group.engines.length > 0) ? groups : undefined;
@@ -122,7 +122,7 @@
   return groups.every((group) => group.layers <= getMemory(group));
 }
 
-/** Applies the move or swap that raises the rate of the slowest stage most; returns whether there was one. */
+/** Applies the move or swap that raises the rate of the slowest stage most; returns whether any raised it. */
 function improve(groups: Group[], layerCount: number): boolean {
   let best: { groups: Group[]; rate: number } | undefined;
   const consider = (candidate: Group[]): void => {
--- a/packages/placement/src/tests/BalanceSearchTests.ts
+++ b/packages/placement/src/tests/BalanceSearchTests.ts
@@ -52,9 +52,9 @@
     const balanced = planBalance(planSpans(createFleet(kinds, counts)), model);
     for (const [index, lost] of balanced.entries()) {
       const remaining = balanced.filter((_, at) => at !== index);
-      const moved = planBalance(remaining, model);
-      const anew = planBalance(planSpans(remaining.map(({ engine }) => engine)), model);
-      const tokens = Math.max(getMinTokens(moved), getMinTokens(anew));
+      const rebalanced = planBalance(remaining, model);
+      const replanned = planBalance(planSpans(remaining.map(({ engine }) => engine)), model);
+      const tokens = Math.max(getMinTokens(rebalanced), getMinTokens(replanned));
       t.true(tokens > minRequests * model.tokensPerRequest, lost.engine.name);
     }
   });
@@ -90,8 +90,8 @@
       ({ engine, start, end }) =>
         start >= 0 && end <= model.layerCount && (end - start) * model.layerMb <= engine.memoryMb,
     );
-    const keepsNames = balanced.every((span, index) => span.engine === remaining[index]?.engine);
-    return fits && keepsNames && cost(balanced) <= cost(remaining) + 1e-6;
+    const hasSameEngines = balanced.every((span, index) => span.engine === remaining[index]?.engine);
+    return fits && hasSameEngines && cost(balanced) <= cost(remaining) + 1e-6;
   });
   t.notThrows(() => fc.assert(property, { seed: 5, numRuns: 40 }));
 });
@@ -109,11 +109,11 @@
       const remaining = spans.filter((span) => span !== lost);
       const grown = planBalance(remaining, model, { isGrowthOnly: true });
       t.true(getMinTokens(grown) > model.tokensPerRequest, lost.engine.name);
-      const isOnlyMore = remaining.every((span, index) => {
+      const hasOnlyGrown = remaining.every((span, index) => {
         const now = grown[index];
         return now !== undefined && now.start <= span.start && span.end <= now.end;
       });
-      t.true(isOnlyMore, lost.engine.name);
+      t.true(hasOnlyGrown, lost.engine.name);
     }
   }
 });
--- a/packages/placement/src/tests/burstTests.ts
+++ b/packages/placement/src/tests/burstTests.ts
@@ -15,7 +15,7 @@
   hopMs: 0.25,
 };
 
-function create(
+function createEngines(
   counts: readonly (readonly [count: number, memoryMb: number, stepFactor: number])[],
 ): CopyEngine[] {
   return counts.flatMap(([count, memoryMb, stepFactor]) =>
@@ -28,7 +28,7 @@
 }
 
 test("a zone with memory for many copies reserves headroom for the requests that it starts within 0.4 s", (t) => {
-  const engines = create([
+  const engines = createEngines([
     [2, 72_000, 2.4],
     [18, 43_200, 5.6],
     [15, 21_600, 16],
@@ -38,7 +38,7 @@
 });
 
 test("a zone for which one copy is best reserves no headroom", (t) => {
-  const engines = create([
+  const engines = createEngines([
     [1, 72_000, 2.4],
     [6, 14_400, 5.3],
     [6, 21_600, 16],
--- a/packages/placement/src/tests/planLayerCopiesTests.ts
+++ b/packages/placement/src/tests/planLayerCopiesTests.ts
@@ -34,14 +34,16 @@
       const fleet = createFleet(kinds, counts);
       const spans = planLayerCopies(fleet, model);
       const holders = new Set(countHolders(spans));
-      const hasRoom = spans.every((span) => {
+      const hasKvCache = spans.every((span) => {
         const engine = fleet.find((item) => item.name === span.name);
         return (
           engine !== undefined &&
           getKvTokenCapacity(engine, span.end - span.start, model) > model.tokensPerRequest
         );
       });
-      return holders.size === 1 && hasRoom && new Set(spans.map((span) => span.name)).size === spans.length;
+      return (
+        holders.size === 1 && hasKvCache && new Set(spans.map((span) => span.name)).size === spans.length
+      );
     },
   );
   t.notThrows(() => fc.assert(property, { seed: 3, numRuns: 60 }));
