--- a/packages/pipeline/src/engine/EngineLink.ts
+++ b/packages/pipeline/src/engine/EngineLink.ts
@@ -37,7 +37,7 @@
   /** Whether the connection is open. */
   abstract readonly isOpen: boolean;
 
-  /** Sends work and waits for its outcome without a timeout, which is up to the caller. */
+  /** Sends work and waits for its outcome. The call itself has no timeout; callers limit the wait. */
   abstract apply(frame: ApplyFrame): Promise<results.Result<AppliedFrame, EngineError>>;
 
   /** Requests the status of a stage. */
--- a/packages/pipeline/src/engine/SilenceDetector.ts
+++ b/packages/pipeline/src/engine/SilenceDetector.ts
@@ -9,11 +9,11 @@
   readonly factor: number;
   /** Minimum deadline of a call. */
   readonly floorMs: number;
-  /** Factor on the quantile of probe times after which the engine counts as lost. If too low, stages are rebuilt in vain. */
+  /** Factor on the quantile of probe times after which the engine counts as lost. If too low, stages of live engines are rebuilt. */
   readonly probeFactor: number;
   /** Minimum deadline of a probe. */
   readonly probeFloorMs: number;
-  /** Number of calls for each probe that only measures the probe time, so that it is known when needed; 0 for no probes. */
+  /** Number of calls for each probe that is sent only to have a recent measurement of the probe time; 0 for no such probes. */
   readonly callsPerProbe: number;
 }
 
@@ -36,18 +36,18 @@
  */
 export class SilenceDetector {
   /** Response times of calls, as multiples of the expected times. */
-  private readonly _steps: utils.SampleWindow;
-  private readonly _probes: utils.SampleWindow;
+  private readonly _callRatios: utils.SampleWindow;
+  private readonly _probeTimesMs: utils.SampleWindow;
   private _calls = 0;
 
   constructor(private readonly _options: SilenceOptions = defaultSilenceOptions) {
-    this._steps = new utils.SampleWindow({ share: _options.quantile });
-    this._probes = new utils.SampleWindow({ share: _options.quantile });
+    this._callRatios = new utils.SampleWindow({ share: _options.quantile });
+    this._probeTimesMs = new utils.SampleWindow({ share: _options.quantile });
   }
 
   /** Records the response time of a call. */
-  recordStep(expectedMs: number, tookMs: number): void {
-    this._steps.add(tookMs / expectedMs);
+  recordCall(expectedMs: number, tookMs: number): void {
+    this._callRatios.add(tookMs / expectedMs);
   }
 
   /** Counts a call, and returns whether a probe should be sent with it to measure the probe time. */
@@ -60,20 +60,20 @@
 
   /** Records the response time of a probe. */
   recordProbe(tookMs: number): void {
-    this._probes.add(tookMs);
+    this._probeTimesMs.add(tookMs);
   }
 
   /** Returns how long a call that should take `expectedMs` may take before the engine is probed. */
-  getStepDeadlineMs(expectedMs: number): number {
-    const ratio = this._steps.quantile ?? initialRatio;
+  getCallDeadlineMs(expectedMs: number): number {
+    const ratio = this._callRatios.quantile ?? initialRatio;
     return Math.max(this._options.floorMs, expectedMs * Math.max(1, ratio) * this._options.factor);
   }
 
   /** Returns how long a probe may take before the engine counts as lost. */
   getProbeDeadlineMs(): number {
-    const slowestMs = this._probes.quantile;
-    const learnedMs =
+    const slowestMs = this._probeTimesMs.quantile;
+    const deadlineMs =
       slowestMs === undefined ? initialProbeDeadlineMs : slowestMs * this._options.probeFactor;
-    return Math.max(this._options.probeFloorMs, learnedMs);
+    return Math.max(this._options.probeFloorMs, deadlineMs);
   }
 }
--- a/packages/pipeline/src/engine/WsEngineConnector.ts
+++ b/packages/pipeline/src/engine/WsEngineConnector.ts
@@ -60,7 +60,8 @@
       socket.terminate();
       // A single late handshake is no evidence against the engine: this instance may be short of CPU time. The next
       // handshake has twice the timeout.
-      if (isSlow) return results.Err(new errors.DeadlineError(`A connection to ${endpoint}`, timeoutMs));
+      if (isSlow)
+        return results.Err(new errors.DeadlineError(`Opening a connection to ${endpoint}`, timeoutMs));
       return results.Err(new errors.NotReachedError(address, failure));
     }
     const link = new WsEngineLink(endpoint, socket, {
--- a/packages/pipeline/src/engine/frameCodec.ts
+++ b/packages/pipeline/src/engine/frameCodec.ts
@@ -18,13 +18,13 @@
   sender: string,
 ): results.Result<zod.infer<S>, errors.InvalidInputError> {
   if (!(data instanceof Uint8Array))
-    return results.Err(new errors.InvalidInputError(sender, "sent a text frame"));
+    return results.Err(new errors.InvalidInputError(sender, "sent a text frame instead of a binary one"));
   let decoded: unknown;
   try {
     decoded = packr.unpack(data);
   } catch (error) {
     return results.Err(
-      new errors.InvalidInputError(sender, `sent a broken frame: ${errors.describeError(error)}`),
+      new errors.InvalidInputError(sender, `sent a malformed frame: ${errors.describeError(error)}`),
     );
   }
   const checked = schema.safeParse(decoded);
--- a/packages/pipeline/src/request/CrashQuarantine.ts
+++ b/packages/pipeline/src/request/CrashQuarantine.ts
@@ -11,7 +11,7 @@
 export abstract class CrashQuarantine {
   /** Returns how long a request is still quarantined; undefined if it may run. */
   abstract getQuarantineMs(digest: string): number | undefined;
-  /** Records that an engine closed its connection before a run had a token; resolves once it is known whether it crashed. */
+  /** Records that an engine closed its connection before a run had a token; resolves once it is decided whether the engine crashed. */
   abstract noteLost(digest: string, engine: LostEngine): Promise<void>;
   /** Records that a run has produced its first token, and so has not crashed its engines. */
   abstract noteSurvived(digest: string): void;
--- a/packages/pipeline/src/request/PipelineRequest.ts
+++ b/packages/pipeline/src/request/PipelineRequest.ts
@@ -1,7 +1,7 @@
 /** Requests to a pipeline, their answers and their errors. */
 import { errors, type ExecutionStatus } from "@shedtiller/common";
 
-/** Lets a request continue on another version if no chain of its own is left. */
+/** Switches a request to another version of the model if no chain of its own version is left. */
 export interface VersionChoice {
   /** Returns whether the configuration has replaced a version by another one. */
   isReplaced(version: string): boolean;
@@ -37,7 +37,7 @@
   readonly replacements: number;
 }
 
-/** Error of a request without a complete answer, with whether the request has run. */
+/** Error of a request that ended without a complete answer; `ran` states whether the request may have run. */
 export abstract class PipelineError extends errors.ShedtillerError {
   abstract readonly ran: ExecutionStatus;
 }
--- a/packages/pipeline/src/request/PipelineRun.ts
+++ b/packages/pipeline/src/request/PipelineRun.ts
@@ -8,7 +8,10 @@
 import { Stage, type StageError } from "./Stage.js";
 
 const chainRetryIntervalMs = 20;
-/** Interval of steps that are added to the time line, besides those with a replaced stage; all steps would flood it. */
+/**
+ * Every this many tokens, a step is added to the time line; steps with a replaced stage are always added. All steps would
+ * flood the time line.
+ */
 const tokensPerEvent = 32;
 
 /** Receives each token once, in order, as soon as it is generated. */
@@ -20,7 +23,7 @@
 
 /**
  * Runs one request. A lost stage is replaced by a replica and rebuilt from the stored activations; if that is not possible,
- * the request restarts on another chain. Each instance runs a single request.
+ * the request restarts on another chain. Each `PipelineRun` object runs a single request.
  */
 export class PipelineRun {
   private readonly _tokens: number[];
@@ -236,9 +239,9 @@
   }
 
   /**
-   * Returns whether no chain of the version will come back: the configuration has replaced it, and by their last reports the
-   * engines don't make up a chain of it, whatever their state. Waiting for one would delay the caller until its deadline,
-   * which is two minutes unless the caller sets another.
+   * Returns whether no chain of the version will become available again: the configuration has replaced the version, and by
+   * their last reports the engines don't make up a chain of it, whatever their state. Waiting for a chain would delay the
+   * caller until its deadline, which is two minutes unless the caller sets another.
    */
   private _isVersionGone(): boolean {
     const { model, layerCount, versions } = this._request;
@@ -247,8 +250,8 @@
   }
 
   /**
-   * Switches to the version that is served now, unless the caller has received tokens of the lost one: an answer must not
-   * mix two versions.
+   * Switches to the version that is served now, unless the caller has received tokens of the previous one: an answer must
+   * not mix two versions. Returns whether the version was switched.
    */
   private _changeVersion(): boolean {
     const { versions, promptTokens } = this._request;
@@ -258,12 +261,12 @@
   }
 
   /**
-   * Chooses a chain without engines that were lost in this run or are about to load other layers. If there is none, the
-   * latter are allowed, then both.
+   * Chooses a chain without engines that were lost in this run or are about to load other layers. If there is none, engines
+   * that are about to load other layers are allowed, and if there is still none, lost engines as well.
    */
   private _tryChoose(): EngineCandidate[] | undefined {
     const all = this._context.directory.getEngines(this._request.model, this._version);
-    const staying = all.filter((candidate) => !candidate.entry.isRetiring);
+    const notRetiring = all.filter((candidate) => !candidate.entry.isRetiring);
     const { chooser, availabilityZone, getInstanceCount } = this._context;
     const options = {
       layerCount: this._request.layerCount,
@@ -271,7 +274,7 @@
       instanceCount: getInstanceCount(),
     };
     return (
-      chooser.choose(staying, { ...options, excluded: this._lostEndpoints }) ??
+      chooser.choose(notRetiring, { ...options, excluded: this._lostEndpoints }) ??
       chooser.choose(all, { ...options, excluded: this._lostEndpoints }) ??
       chooser.choose(all, options)
     );
--- a/packages/pipeline/src/request/Stage.ts
+++ b/packages/pipeline/src/request/Stage.ts
@@ -52,7 +52,7 @@
     return this.candidate.entry.name;
   }
 
-  /** Applies the stage to positions from `appliedTo` on, and waits for as long as the engine answers probes. */
+  /** Applies the stage to the positions in `frame`, and waits for the outcome for as long as the engine answers probes. */
   async apply(frame: ApplyFrame): Promise<Applied> {
     const link = await this._context.connector.getLink(this.endpoint, this.candidate.entry.address);
     if (link.err) return link;
@@ -78,7 +78,7 @@
     const detector = this._context.getDetector(this.endpoint);
     if (detector.isProbeDue()) void this._sampleProbeTime(link);
     const startMs = utils.monotonicMs();
-    let waitMs = detector.getStepDeadlineMs(expectedMs);
+    let waitMs = detector.getCallDeadlineMs(expectedMs);
     for (;;) {
       const first = await settleWithin(reply, waitMs);
       if (first !== undefined) return first;
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Probes an engine while it responds, to measure how soon it answers. */
+  /** Measures the probe time of an engine that is not suspected. */
   private async _sampleProbeTime(link: EngineLink): Promise<void> {
     const startMs = utils.monotonicMs();
     const status = await link.probe(this.key);
@@ -112,7 +112,7 @@
     return status;
   }
 
-  /** Returns the outcome if its reply was lost, an error if the KV cache was lost, or undefined while the stage is busy. */
+  /** Returns the outcome if the reply was lost, an error if the KV cache was lost, or undefined while the stage is busy. */
   private _resolveStatus(status: StageStatusFrame, frame: ApplyFrame): Applied | undefined {
     const end = frame.position + frame.count;
     if (status.position === end && status.last?.position === frame.position) return results.Ok(status.last);
@@ -127,7 +127,7 @@
 
   private _recordSuccess(frame: ApplyFrame, expectedMs: number, tookMs: number): void {
     this.appliedTo = frame.position + frame.count;
-    this._context.getDetector(this.endpoint).recordStep(expectedMs, tookMs);
+    this._context.getDetector(this.endpoint).recordCall(expectedMs, tookMs);
     this._context.directory.outliers.recordSuccess(this.endpoint);
   }
 }
--- a/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
+++ b/packages/pipeline/src/tests/engine/WsEngineConnectorTests.ts
@@ -4,10 +4,10 @@
 import test, { type ExecutionContext } from "ava";
 import { WsEngineConnector } from "../../engine/WsEngineConnector.js";
 
-const firstWaitMs = 20;
-const longestWaitMs = 40;
+const initialTimeoutMs = 20;
+const maxTimeoutMs = 40;
 
-/** Starts a server that accepts connections and answers no handshake. */
+/** Starts a server that accepts TCP connections and never answers a WebSocket handshake. */
 async function listenSilently(t: ExecutionContext): Promise<string> {
   const sockets = new Set<net.Socket>();
   const server = net.createServer((socket) => sockets.add(socket.on("error", () => undefined)));
@@ -22,10 +22,10 @@
 function createConnector(): WsEngineConnector {
   const ignore = (): void => undefined;
   const events = { onDraining: ignore, onStrayReply: ignore, onLinkLost: ignore };
-  return new WsEngineConnector(events, new utils.AdaptiveTimeout(firstWaitMs, longestWaitMs));
+  return new WsEngineConnector(events, new utils.AdaptiveTimeout(initialTimeoutMs, maxTimeoutMs));
 }
 
-test("one late handshake is no evidence that an engine is gone, a second one with a longer timeout is", async (t) => {
+test("a first handshake timeout fails with DeadlineError, a second one with a longer timeout with NotReachedError", async (t) => {
   const address = await listenSilently(t);
   const connector = createConnector();
   const first = await connector.getLink("g1", address);
