--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -7,7 +7,7 @@
 import * as intent from "@shedtiller/intent";
 import * as membership from "@shedtiller/membership";
 import * as pipeline from "@shedtiller/pipeline";
-import * as platform from "@shedtiller/logservice";
+import * as logservice from "@shedtiller/logservice";
 import * as routing from "@shedtiller/routing";
 import type { InstanceSettings } from "@shedtiller/settings";
 import * as timeline from "@shedtiller/timeline";
@@ -40,7 +40,7 @@
 
 const readyPollMs = 10;
 const retiringUpdateIntervalMs = 250;
-/** While the log is unavailable, an instance waits this long for peers before it regards its configuration as the newest. */
+/** Time since its start from which an instance may become ready without the log, if all linked peers have answered. */
 const peerWaitMs = 2_000;
 
 /** Result of a drain. */
@@ -116,7 +116,7 @@
   /** Opens all listeners and starts the background tasks. */
   async start(): Promise<void> {
     this._startedAtMs = utils.monotonicMs();
-    // All waiting tasks listen to the same signal, more than Node allows without a warning.
+    // All background tasks listen to this signal. Beyond 10 listeners, Node would warn about a leak.
     EventEmitter.setMaxListeners(0, this._shutdown.signal);
     this._addRoutes();
     this._addMetricSources();
@@ -181,7 +181,7 @@
   }
 
   private _checkReady(): boolean {
-    const follower = this._container.get<platform.LogFollower>(serviceIdentifiers.configurationFollower);
+    const follower = this._container.get<logservice.LogFollower>(serviceIdentifiers.configurationFollower);
     if (this.configuration.offset < 0 || this.configuration.hasHistoryGap) return false;
     if (follower.isCaughtUp) return true;
     const hasWaited = utils.monotonicMs() - this._startedAtMs > peerWaitMs;
@@ -194,20 +194,20 @@
       serviceIdentifiers.claimFollower,
       serviceIdentifiers.leaseFollower,
     ];
-    const followers = followerIds.map((id) => this._container.get<platform.LogFollower>(id));
-    const list = new InstanceListPoller(this._container.get(platform.InstanceList), (page) =>
+    const followers = followerIds.map((id) => this._container.get<logservice.LogFollower>(id));
+    const listPoller = new InstanceListPoller(this._container.get(logservice.InstanceList), (page) =>
       this._applyInstanceList(page),
     );
-    const retire = (): void => markRetiringEngines(this.configuration, this.directory);
+    const markRetiring = (): void => markRetiringEngines(this.configuration, this.directory);
     this._tasks = [
       ...followers.map((follower) => follower.run(signal)),
-      list.run(signal),
+      listPoller.run(signal),
       this.membership.run(signal),
       this._container.get(ConfigurationSync).run(signal),
       this._container.get(ZoneStateExchange).run(signal),
       this._container.get(ModelQueues).run(signal),
       this._container.get(OrderReconciler).run(signal),
-      utils.repeat(retiringUpdateIntervalMs, signal, retire, (error) =>
+      utils.repeat(retiringUpdateIntervalMs, signal, markRetiring, (error) =>
         this._log.error(errors.describeError(error)),
       ),
     ];
@@ -215,14 +215,14 @@
       task.catch((error: unknown) => this._log.error(errors.describeError(error)));
   }
 
-  private _applyInstanceList(page: readonly platform.ListedInstance[]): void {
+  private _applyInstanceList(page: readonly logservice.ListedInstance[]): void {
     this.directory.setListed(page);
     this.membership.setListed(page);
-    const own = this.settings.instance.availabilityZone;
+    const ownZone = this.settings.instance.availabilityZone;
     const entries = page.filter((instance) => instance.role === "entry");
-    const sources = new Set(entries.filter((e) => e.availabilityZone === own).map((e) => e.name));
+    const sources = new Set(entries.filter((e) => e.availabilityZone === ownZone).map((e) => e.name));
     for (const entry of entries)
-      if (entry.availabilityZone !== own) sources.add(getZoneSource(entry.availabilityZone));
+      if (entry.availabilityZone !== ownZone) sources.add(getZoneSource(entry.availabilityZone));
     this._container.get(admission.AccountLimits).retainSources(sources);
     this._container.get(PipelineDemands).retainSources(sources);
     this._container.get(VersionsInUse).retainSources(sources);
@@ -233,38 +233,38 @@
   }
 
   private _addRoutes(): void {
-    const p = this._container;
+    const container = this._container;
     const shared = {
       settings: this.settings,
       configuration: this.configuration,
-      accounts: p.get(AccountDirectory),
-      once: p.get(claims.AtMostOnce) as claims.AtMostOnce<StoredAnswer>,
+      accounts: container.get(AccountDirectory),
+      atMostOnce: container.get(claims.AtMostOnce) as claims.AtMostOnce<StoredAnswer>,
       timeline: this.timeline,
       metrics: this.metrics,
       inFlight: this._inFlight,
     };
     const completions = new CompletionHandler({
       ...shared,
-      limits: p.get(admission.AccountLimits),
-      queues: p.get(ModelQueues),
-      versions: p.get(VersionsInUse),
+      limits: container.get(admission.AccountLimits),
+      queues: container.get(ModelQueues),
+      versions: container.get(VersionsInUse),
       pipeline: this.pipeline,
-      tokenizer: p.get(Tokenizer),
+      tokenizer: container.get(Tokenizer),
     });
-    const services = new ServiceHandler({ ...shared, caller: p.get(claims.ServiceCaller) });
+    const services = new ServiceHandler({ ...shared, caller: container.get(claims.ServiceCaller) });
     const isReady = (): boolean => this.isReady;
     const isDraining = (): boolean => this._isDraining;
     addCallerRoutes(this._callerListener, { ...shared, completions, services, isReady, isDraining });
     addOperatorRoutes(this._operatorListener, {
-      tokenHash: p.get<InstanceSecrets>(serviceIdentifiers.secrets).operatorTokenHash,
+      tokenHash: container.get<InstanceSecrets>(serviceIdentifiers.secrets).operatorTokenHash,
       configuration: this.configuration,
-      planner: p.get(Planner),
-      planService: p.get(PlanService),
-      status: p.get(StatusGatherer),
-      timelines: p.get(TimelineGatherer),
+      planner: container.get(Planner),
+      planService: container.get(PlanService),
+      status: container.get(StatusGatherer),
+      timelines: container.get(TimelineGatherer),
       timeline: this.timeline,
       metrics: this.metrics,
-      logs: p.get<Logs>(serviceIdentifiers.logs),
+      logs: container.get<Logs>(serviceIdentifiers.logs),
     });
   }
 
--- a/packages/entry/src/InFlightRequests.ts
+++ b/packages/entry/src/InFlightRequests.ts
@@ -29,8 +29,8 @@
 
   /** Aborts all requests in flight, and returns their ids. */
   abortAll(): string[] {
-    const cut = [...this._requests.keys()];
+    const abortedIds = [...this._requests.keys()];
     for (const controller of this._requests.values()) controller.abort();
-    return cut;
+    return abortedIds;
   }
 }
--- a/packages/entry/src/ModelQueues.ts
+++ b/packages/entry/src/ModelQueues.ts
@@ -12,13 +12,14 @@
 import type { PipelineDemand, PipelineDemands } from "./feeds/PipelineDemands.js";
 import { getServedVersion } from "./orders/servedVersions.js";
 
-/** Streams admitted per slot of an engine. It is above 1 so that slots stay full while streams wait at the next stage. */
+/** Streams admitted per slot of an engine. The factor is above 1 so that slots stay full while streams wait at the next stage. */
 const streamsPerSlot = 1.75;
-const refreshMs = 100;
+const refreshIntervalMs = 100;
 const limitCacheMs = 100;
+/** Factor by which the limit of a queue may grow in a second. */
 const limitGrowthPerSecond = 2;
 
-/** Creates a queue with the given limit; benchmarks replace it by another kind of queue. */
+/** Creates a queue with the given limit. Benchmarks supply a factory for another kind of queue. */
 export type QueueFactory = (getLimit: () => number) => Admission;
 
 /** Admits requests through one queue per pipeline, limited to this instance's share of the pipeline's streams. */
@@ -62,8 +63,8 @@
     request: AdmissionRequest,
   ): Promise<results.Result<AdmissionPermit, AdmissionRefusedError>> {
     this._pipelines.set(pipeline.name, pipeline);
-    const known = this._queues.get(pipeline.name) ?? this._addQueue(pipeline);
-    return known.acquire(request);
+    const queue = this._queues.get(pipeline.name) ?? this._addQueue(pipeline);
+    return queue.acquire(request);
   }
 
   /** Admits waiting requests when shares have grown, until `signal` aborts. */
@@ -71,7 +72,7 @@
     const refresh = (): void => {
       for (const queue of this._queues.values()) if (queue instanceof AdmissionQueue) queue.refresh();
     };
-    await utils.repeat(refreshMs, signal, refresh, () => undefined);
+    await utils.repeat(refreshIntervalMs, signal, refresh, () => undefined);
   }
 
   private _addQueue(pipeline: PipelineObject): Admission {
@@ -82,17 +83,17 @@
 
   private _getLimit(pipeline: PipelineObject): number {
     const nowMs = utils.monotonicMs();
-    const known = this._limits.get(pipeline.name);
-    if (known !== undefined && nowMs - known.atMs < limitCacheMs) return known.streams;
-    const all = this._getTotalStreams(pipeline);
-    const share = this._demands?.getShare(pipeline.name, all) ?? all;
-    // The demands of other instances arrive late. In a burst each instance starts with an equal share and takes more of
-    // what the others leave only step by step, so that all together never admit much more than there are streams.
-    const equalShare = all / this._getInstanceCount();
-    const elapsedMs = known === undefined ? 0 : nowMs - known.atMs;
+    const cached = this._limits.get(pipeline.name);
+    if (cached !== undefined && nowMs - cached.atMs < limitCacheMs) return cached.streams;
+    const totalStreams = this._getTotalStreams(pipeline);
+    const share = this._demands?.getShare(pipeline.name, totalStreams) ?? totalStreams;
+    // The demands of other instances arrive late. In a burst, each instance starts with an equal share and claims unused
+    // streams of the others only gradually, so that all instances together never admit much more than the total.
+    const equalShare = totalStreams / this._getInstanceCount();
+    const elapsedMs = cached === undefined ? 0 : nowMs - cached.atMs;
     const grown = Math.max(
       equalShare,
-      (known?.streams ?? 0) * limitGrowthPerSecond ** (elapsedMs / utils.msPerSecond),
+      (cached?.streams ?? 0) * limitGrowthPerSecond ** (elapsedMs / utils.msPerSecond),
     );
     const streams = Math.max(1, Math.min(share, grown));
     this._limits.set(pipeline.name, { streams, atMs: nowMs });
--- a/packages/entry/src/bin/shedtillerd.ts
+++ b/packages/entry/src/bin/shedtillerd.ts
@@ -4,12 +4,12 @@
 import { EntryInstance } from "../EntryInstance.js";
 import { loadSecrets } from "../secrets.js";
 
-const usageStatus = 2;
+const startFailedStatus = 2;
 const abortedStatus = 1;
 
 function fail(message: string): never {
   process.stderr.write(`${message}\n`);
-  process.exit(usageStatus);
+  process.exit(startFailedStatus);
 }
 
 function getSettingsFile(args: readonly string[]): string {
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -8,7 +8,7 @@
 import * as lease from "@shedtiller/lease";
 import * as membership from "@shedtiller/membership";
 import * as pipeline from "@shedtiller/pipeline";
-import * as platform from "@shedtiller/logservice";
+import * as logservice from "@shedtiller/logservice";
 import * as routing from "@shedtiller/routing";
 import type { InstanceSettings } from "@shedtiller/settings";
 import * as timeline from "@shedtiller/timeline";
@@ -78,12 +78,12 @@
 function bindPlatform(container: inversify.Container, settings: InstanceSettings): void {
   const { logAddress, instanceListAddress } = settings.platform;
   container
-    .bind(platform.LogService)
-    .toDynamicValue(() => new platform.HttpLogService(logAddress))
+    .bind(logservice.LogService)
+    .toDynamicValue(() => new logservice.HttpLogService(logAddress))
     .inSingletonScope();
   container
-    .bind(platform.InstanceList)
-    .toDynamicValue(() => new platform.HttpInstanceList(instanceListAddress, settings.instance.name))
+    .bind(logservice.InstanceList)
+    .toDynamicValue(() => new logservice.HttpInstanceList(instanceListAddress, settings.instance.name))
     .inSingletonScope();
 }
 
@@ -99,8 +99,8 @@
     .bind(serviceIdentifiers.configurationFollower)
     .toDynamicValue(
       (c) =>
-        new platform.LogFollower(
-          c.get(platform.LogService),
+        new logservice.LogFollower(
+          c.get(logservice.LogService),
           intent.configurationStream,
           c.get(intent.ConfigurationProjection),
         ),
@@ -126,7 +126,7 @@
       return new ConfigurationSync({
         configuration: c.get(intent.ConfigurationProjection),
         membership: c.get(membership.Membership),
-        log: c.get(platform.LogService),
+        log: c.get(logservice.LogService),
         logRetentionMs: settings.platform.logRetentionMs,
       });
     })
@@ -251,8 +251,8 @@
     .bind(serviceIdentifiers.claimFollower)
     .toDynamicValue(
       (c) =>
-        new platform.LogFollower(
-          c.get(platform.LogService),
+        new logservice.LogFollower(
+          c.get(logservice.LogService),
           claims.claimsStream,
           c.get(claims.ClaimProjection),
         ),
@@ -263,7 +263,7 @@
     .toDynamicValue((c) => {
       const members = c.get(membership.Membership);
       const structure: claims.ClaimBatcherStructure = {
-        log: c.get(platform.LogService),
+        log: c.get(logservice.LogService),
         holder: name,
         appendsPerSecond: settings.platform.appendsPerSecond,
         countAppenders: () => members.getMembers().length + 1,
@@ -290,8 +290,8 @@
     .bind(serviceIdentifiers.leaseFollower)
     .toDynamicValue(
       (c) =>
-        new platform.LogFollower(
-          c.get(platform.LogService),
+        new logservice.LogFollower(
+          c.get(logservice.LogService),
           lease.leasesStream,
           c.get(lease.LeaseProjection),
         ),
@@ -304,9 +304,9 @@
         lease: `orders/${availabilityZone}`,
         holder: name,
         durationMs: leaseDurationMs,
-        log: c.get(platform.LogService),
+        log: c.get(logservice.LogService),
         projection: c.get(lease.LeaseProjection),
-        follower: c.get<platform.LogFollower>(serviceIdentifiers.leaseFollower),
+        follower: c.get<logservice.LogFollower>(serviceIdentifiers.leaseFollower),
         timeline: c.get(timeline.Timeline),
       });
     })
@@ -354,7 +354,7 @@
   container
     .bind(intent.Confirmer)
     .toDynamicValue(
-      (c) => new intent.Confirmer(c.get(platform.LogService), c.get(intent.ConfigurationProjection)),
+      (c) => new intent.Confirmer(c.get(logservice.LogService), c.get(intent.ConfigurationProjection)),
     )
     .inSingletonScope();
   container
@@ -364,7 +364,7 @@
   container
     .bind(StatusGatherer)
     .toDynamicValue((c) => {
-      const follower = c.get<platform.LogFollower>(serviceIdentifiers.configurationFollower);
+      const follower = c.get<logservice.LogFollower>(serviceIdentifiers.configurationFollower);
       return new StatusGatherer({
         membership: c.get(membership.Membership),
         configuration: c.get(intent.ConfigurationProjection),
--- a/packages/entry/src/configuration/ConfigurationSync.ts
+++ b/packages/entry/src/configuration/ConfigurationSync.ts
@@ -17,7 +17,7 @@
 const requestTimeoutMs = 2_000;
 const snapshotTickMs = 5_000;
 const maxRecordsPerSnapshot = 500;
-/** A snapshot is written once this fraction of the log's retention has passed since the last one. */
+/** A snapshot is written once this fraction of the log's retention time has passed since the last snapshot. */
 const snapshotRetentionFraction = 0.25;
 
 const updateRequestSchema = zod.object({ offset: zod.number().int() });
--- a/packages/entry/src/crashes/PeerCrashQuarantine.ts
+++ b/packages/entry/src/crashes/PeerCrashQuarantine.ts
@@ -13,8 +13,8 @@
 
 const probeTimeoutMs = 300;
 /**
- * Losses of the same engine within this time count as one crash. The engine's name doesn't tell two crashes apart, since an
- * engine is listed under the same name in all its lives.
+ * Losses of the same engine within this time count as one crash. The engine's name doesn't distinguish two crashes, since a
+ * restarted engine is listed under the same name.
  */
 const crashWindowMs = 2_000;
 
@@ -28,10 +28,10 @@
   readonly nowMs?: () => number;
 }
 
-/** Quarantine of one instance, which exchanges its crash reports with its peers. */
+/** Quarantines requests that crash engines, based on the crash reports of this instance and its peers. */
 export class PeerCrashQuarantine extends CrashQuarantine {
   readonly ledger: CrashLedger;
-  private readonly _exchange: CrashReportBroadcast;
+  private readonly _reportBroadcast: CrashReportBroadcast;
   private readonly _nowMs: () => number;
 
   constructor(private readonly _structure: PeerCrashQuarantineStructure) {
@@ -44,7 +44,7 @@
         `Request ${digest} is ${quarantine === undefined ? "released from quarantine" : `quarantined for ${Math.round(quarantine.leftMs)} ms`}.`,
       ),
     );
-    this._exchange = new CrashReportBroadcast({
+    this._reportBroadcast = new CrashReportBroadcast({
       membership,
       onInvalid: (topic, from) =>
         warn(`Ignored a message from ${from.name} on ${topic} that does not match its schema.`),
@@ -60,7 +60,7 @@
     if (status !== "due-for-trial") return undefined;
     if (!this._mayRunTrial(digest)) return trialElsewhereRetryAfterMs;
     const trial = this.ledger.noteTrial({ digest, ageMs: 0 });
-    if (trial !== undefined) this._exchange.broadcast({ ...noCrashReports, trials: [trial] });
+    if (trial !== undefined) this._reportBroadcast.broadcast({ ...noCrashReports, trials: [trial] });
     return undefined;
   }
 
@@ -74,13 +74,13 @@
     const crash = this.ledger.noteCrash(this._getCrashId(name), atMs, new Map([[digest, 1]]));
     if (crash === undefined) return;
     this._structure.warn(`The engine ${name} crashed at the beginning of request ${digest}.`);
-    this._exchange.broadcast({ ...noCrashReports, crashes: [crash] });
+    this._reportBroadcast.broadcast({ ...noCrashReports, crashes: [crash] });
   }
 
   override noteSurvived(digest: string): void {
     if (this.ledger.isEmpty) return;
     const cleared = this.ledger.noteSurvived(digest, this._nowMs());
-    if (cleared !== undefined) this._exchange.broadcast({ ...noCrashReports, clearings: [cleared] });
+    if (cleared !== undefined) this._reportBroadcast.broadcast({ ...noCrashReports, clearings: [cleared] });
   }
 
   private _mayRunTrial(digest: string): boolean {
@@ -90,8 +90,8 @@
 
   /** Returns the id of the crash of this engine in the previous window if there was one, else that of the current window. */
   private _getCrashId(engine: string): string {
-    const span = Math.floor(utils.wallMs() / crashWindowMs);
-    const before = `${engine}@${span - 1}`;
-    return this.ledger.hasCrash(before) ? before : `${engine}@${span}`;
+    const window = Math.floor(utils.wallMs() / crashWindowMs);
+    const previousId = `${engine}@${window - 1}`;
+    return this.ledger.hasCrash(previousId) ? previousId : `${engine}@${window}`;
   }
 }
--- a/packages/entry/src/createAtMostOnce.ts
+++ b/packages/entry/src/createAtMostOnce.ts
@@ -9,26 +9,26 @@
 const claimsTopic = "claims";
 
 /**
- * Creates the at-most-once execution of an instance. It requests answers from the instances that hold a key's claim, and
- * replies to such requests with the answers of this instance.
+ * Creates the at-most-once execution of an instance, which requests answers from the instances that hold a key's claim.
+ * Also adds a handler that replies to such requests of peers with the answers of this instance.
  */
 export function createAtMostOnce(
   c: inversify.ResolutionContext,
   settings: InstanceSettings,
 ): claims.AtMostOnce<StoredAnswer> {
-  const members = c.get(membership.Membership);
-  const once = new claims.AtMostOnce<StoredAnswer>({
+  const peers = c.get(membership.Membership);
+  const atMostOnce = new claims.AtMostOnce<StoredAnswer>({
     projection: c.get(claims.ClaimProjection),
     batcher: c.get(claims.ClaimBatcher),
     timeline: c.get(timeline.Timeline),
     holder: settings.instance.name,
     answersKept: settings.claims.answersKept,
     requestFromHolder: async (holder, key, timeoutMs) => {
-      const reply = await members.request(holder, claimsTopic, key, timeoutMs);
+      const reply = await peers.request(holder, claimsTopic, key, timeoutMs);
       const answer = reply.ok ? storedAnswerSchema.safeParse(reply.val) : undefined;
       return answer?.success === true ? answer.data : undefined;
     },
   });
-  members.onRequest(claimsTopic, (body) => (typeof body === "string" ? once.getAnswer(body) : undefined));
-  return once;
+  peers.onRequest(claimsTopic, (body) => (typeof body === "string" ? atMostOnce.getAnswer(body) : undefined));
+  return atMostOnce;
 }
--- a/packages/entry/src/feeds/InstanceListPoller.ts
+++ b/packages/entry/src/feeds/InstanceListPoller.ts
@@ -4,9 +4,9 @@
 
 const pollIntervalMs = 500;
 
-/** Polls the instance list and passes each page on. While the list is unavailable, the last page stays in force. */
+/** Polls the instance list and passes each page to a callback. While the list is unavailable, the last page stays in force. */
 export class InstanceListPoller {
-  /** Wall time of the first of the failed requests since the last page; undefined if the last request succeeded. */
+  /** Wall time of the first failed request since the last page; undefined if the last request succeeded. */
   unavailableSinceMs: number | undefined;
 
   constructor(
--- a/packages/entry/src/feeds/PipelineDemands.ts
+++ b/packages/entry/src/feeds/PipelineDemands.ts
@@ -1,7 +1,7 @@
 /** Demand for each pipeline at each instance, and this instance's share of the pipeline's streams. */
 import { getShare } from "@shedtiller/admission";
 
-/** Demand for one pipeline: its streams that run or wait. */
+/** Demand for one pipeline: the number of its streams that run or wait. */
 export type PipelineDemand = [model: string, streams: number];
 
 /** Stores the demands last received from other instances and zones, and computes this instance's share from them. */
@@ -40,8 +40,8 @@
   getShare(model: string, limit: number): number {
     const otherDemands: number[] = [];
     for (const { demands, instanceCount } of this._others.values()) {
-      const each = (demands.get(model) ?? 0) / instanceCount;
-      for (let index = 0; index < instanceCount; index++) otherDemands.push(each);
+      const demandPerInstance = (demands.get(model) ?? 0) / instanceCount;
+      for (let index = 0; index < instanceCount; index++) otherDemands.push(demandPerInstance);
     }
     const ownDemand = this._getOwn().find(([name]) => name === model)?.[1] ?? 0;
     return getShare({ limit, ownDemand, otherDemands });
--- a/packages/entry/src/feeds/VersionsInUse.ts
+++ b/packages/entry/src/feeds/VersionsInUse.ts
@@ -1,6 +1,7 @@
 /**
- * Which versions of each pipeline are in use, at this instance and at the others. The last chain of a version may be broken
- * up only if no instance starts requests on it or has some in flight, since no other engines could continue them.
+ * Versions of each pipeline that are in use, at this instance and at the others. The last chain of a version may be
+ * reconfigured only if no instance starts requests on that version or has some in flight, since no other engines could
+ * continue them.
  */
 import { utils } from "@shedtiller/common";
 import type { EndpointDirectory } from "@shedtiller/routing";
@@ -8,8 +9,8 @@
 import { getServedVersion, getCompleteVersions } from "../orders/servedVersions.js";
 
 /**
- * How long an instance starts no requests on a version after it has closed it. The order that relies on this is sent within
- * 1 s, once all other instances have answered or timed out, and expires 2 s after that.
+ * Time for which an instance starts no requests on a version that it has closed. The order that requires the version to be
+ * closed is sent within 1 s, once all other instances have answered or timed out, and expires 2 s after that.
  */
 const closedDurationMs = 5_000;
 const reopenPollMs = 20;
@@ -23,19 +24,19 @@
   readonly release: () => void;
 }
 
-/** Limits to how long a request waits for a version that it can start on. */
+/** Limits on the time for which a request waits for a version to start on. */
 export interface AcquireOptions {
-  /** Monotonic milliseconds. */
+  /** Monotonic time at which the request stops waiting. */
   readonly deadlineMs: number;
   readonly signal: AbortSignal;
 }
 
-/** Counts the requests in flight by version, and stores the versions that other instances last reported to be in use. */
+/** Counts the requests in flight by version, and stores the versions in use as last reported by other instances. */
 export class VersionsInUse {
   /** Number of requests in flight, by model and version. */
   private readonly _running = new Map<string, Map<string, number>>();
   private readonly _others = new Map<string, ReadonlyMap<string, readonly string[]>>();
-  /** Monotonic milliseconds until which no requests start on a version, by model and version. */
+  /** Monotonic time until which no requests start on a version, by model and version. */
   private readonly _closedUntilMs = new Map<string, Map<string, number>>();
 
   constructor(
@@ -50,8 +51,8 @@
 
   /**
    * Adds a request to the version that is served now. If all complete chains are of closed versions, waits until another
-   * version has a complete chain or a closed one reopens, which takes a few seconds at most: the engines of the new version
-   * are loading then.
+   * version has a complete chain or a closed version reopens. This takes a few seconds at most, while the engines of the new
+   * version are loading.
    */
   async acquire(pipeline: PipelineObject, options: AcquireOptions): Promise<VersionHandle> {
     while (this._isEveryVersionClosed(pipeline)) {
@@ -81,8 +82,8 @@
     this._running.set(model, counts);
     counts.set(version, (counts.get(version) ?? 0) + 1);
     return () => {
-      const left = (counts.get(version) ?? 0) - 1;
-      if (left > 0) counts.set(version, left);
+      const remaining = (counts.get(version) ?? 0) - 1;
+      if (remaining > 0) counts.set(version, remaining);
       else counts.delete(version);
     };
   }
@@ -98,7 +99,7 @@
     return changing.map((pipeline) => [pipeline.name, this._getOwnVersions(pipeline)]);
   }
 
-  /** Stores the versions in use that another instance or zone reported; undefined if it doesn't know them all. */
+  /** Stores the versions in use that another instance or zone reported; removes the earlier report if `uses` is undefined. */
   setOther(source: string, uses: readonly VersionUse[] | undefined): void {
     if (uses === undefined) this._others.delete(source);
     else this._others.set(source, new Map(uses));
@@ -109,7 +110,7 @@
     for (const name of this._others.keys()) if (!sources.has(name)) this._others.delete(name);
   }
 
-  /** Returns the versions in use here or at the named others; undefined if one of those has not reported yet. */
+  /** Returns the versions in use at this instance or the named others; undefined if one of the others has not reported yet. */
   getZone(names: Iterable<string>): VersionUse[] | undefined {
     const reports = [...names].map((name) => this._others.get(name));
     const received = reports.flatMap((uses) => uses ?? []);
@@ -118,16 +119,16 @@
     return this.getOwn().flatMap(([model, own]): VersionUse[] => {
       const versions = received.map((uses) => uses.get(model));
       if (versions.includes(undefined)) return [];
-      return [[model, [...new Set([...own, ...versions.flatMap((some) => some ?? [])])]]];
+      return [[model, [...new Set([...own, ...versions.flatMap((list) => list ?? [])])]]];
     });
   }
 
-  /** Returns whether a version may be in use, here or at one of the named others. One that has not reported may use all. */
+  /** Returns whether this instance or a named other one may use a version. An instance without a report may use every version. */
   mayBeUsed(pipeline: PipelineObject, version: string, names: Iterable<string>): boolean {
     return this.getUsers(pipeline, version, names).length > 0;
   }
 
-  /** Returns where a version may be in use: here, and at those of the named others that use it or have not reported. */
+  /** Returns the users of a version: this instance if it uses the version, and the named others that use it or have not reported. */
   getUsers(pipeline: PipelineObject, version: string, names: Iterable<string>): string[] {
     const isOwn = this._getOwnVersions(pipeline).includes(version);
     const others = [...names].filter(
@@ -149,7 +150,7 @@
   private _isEveryVersionClosed(pipeline: PipelineObject): boolean {
     const isClosed = (version: string): boolean => this._isClosed(pipeline.name, version);
     const closed = [...(this._closedUntilMs.get(pipeline.name)?.keys() ?? [])];
-    // Almost always no version is closed, which saves the search for complete chains.
+    // Usually no version is closed; checking this first avoids the search for complete chains.
     return closed.some(isClosed) && getCompleteVersions(this._directory, pipeline).every(isClosed);
   }
 }
--- a/packages/entry/src/feeds/ZoneStateExchange.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -38,14 +38,16 @@
 /** Control traffic that one instance may send per second, by kind of message. */
 const reportBytesPerSecond = 1_200;
 const digestBytesPerSecond = 800;
+/** Estimated size of an account's demand in a message. */
 const demandBytes = 25;
 const demandBytesPerSecond = 600;
+/** Estimated size of an engine's load in a message. */
 const loadBytes = 14;
 /** Size of a full report, divided by the rounds between two full reports. */
 const amortizedFixedBytes = 26;
 const digestTimeoutMs = 1_000;
 const roundsPerFullReport = 10;
-/** Each instance polls an engine itself once its report is older than this many rounds. */
+/** An instance polls an engine itself once the engine's last report is older than this many rounds. */
 const maxReportAgeRounds = 5;
 
 /** Dependencies of {@link ZoneStateExchange}. */
@@ -79,7 +81,7 @@
     directory.onDraining((entry) => membership.notifyAll(drainingTopic, entry.name));
   }
 
-  /** Runs both exchanges until `signal` aborts. */
+  /** Exchanges reports within the zone and digests with other zones until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this._runReports(signal), this._runDigests(signal)]);
   }
@@ -184,7 +186,7 @@
     this._structure.onCpu("reports", utils.monotonicMs() - startMs);
   }
 
-  /** Returns whether to send the demands in this round. They are large, and have a traffic budget of their own. */
+  /** Returns whether to send the accounts' demands in this round. They are large, and have a traffic budget of their own. */
   private _areDemandsDue(demandCount: number): boolean {
     const { membership } = this._structure;
     const intervalMs = getBudgetIntervalMs({
@@ -274,8 +276,8 @@
     const digest = await membership.request(contact.name, digestTopic, known, digestTimeoutMs);
     if (digest.err) return;
     this._handleDigest(digest.val);
-    const own = membership.self.availabilityZone;
-    membership.notifyAll(digestTopic, digest.val, (member) => member.availabilityZone === own);
+    const ownZone = membership.self.availabilityZone;
+    membership.notifyAll(digestTopic, digest.val, (member) => member.availabilityZone === ownZone);
   }
 
   /**
--- a/packages/entry/src/feeds/zoneStateMessages.ts
+++ b/packages/entry/src/feeds/zoneStateMessages.ts
@@ -15,7 +15,7 @@
   /** Demands of client accounts; absent in rounds that leave them out. */
   accounts: zod.array(demandSchema).optional(),
   pipelines: zod.array(loadSchema),
-  /** Versions in use of pipelines whose engines have loaded several; absent if the sender doesn't know them all. */
+  /** Versions in use of pipelines whose engines have loaded several; absent if the sender lacks a report. */
   versions: zod.array(versionUseSchema).optional(),
 });
 /** Digest of a whole zone, as other zones receive it. */
--- a/packages/entry/src/http/AnswerWriter.ts
+++ b/packages/entry/src/http/AnswerWriter.ts
@@ -3,12 +3,12 @@
 import { ranHeader, sendJson, toErrorBody, type ApiError } from "./apiErrors.js";
 
 /** Format of the answer: chat completion or text completion. */
-export type CompletionForm = "chat" | "text";
+export type CompletionFormat = "chat" | "text";
 
 /** Dependencies and properties of one answer. */
 export interface AnswerWriterStructure {
   readonly response: http.ServerResponse;
-  readonly form: CompletionForm;
+  readonly format: CompletionFormat;
   readonly isStream: boolean;
   readonly requestId: string;
   readonly model: string;
@@ -28,10 +28,15 @@
   private readonly _prefix: string;
 
   constructor(private readonly _structure: AnswerWriterStructure) {
-    const { requestId, form, model } = _structure;
-    const object = form === "chat" ? "chat.completion.chunk" : "text_completion";
-    const head = JSON.stringify({ id: getId(form, requestId), object, created: this._createdS, model });
-    this._prefix = `data: ${head.slice(0, -1)},"choices":[{"index":0,`;
+    const { requestId, format, model } = _structure;
+    const object = format === "chat" ? "chat.completion.chunk" : "text_completion";
+    const commonFields = JSON.stringify({
+      id: getId(format, requestId),
+      object,
+      created: this._createdS,
+      model,
+    });
+    this._prefix = `data: ${commonFields.slice(0, -1)},"choices":[{"index":0,`;
   }
 
   /** Writes the text of the next token, or collects it for an answer that is not streamed. */
@@ -43,7 +48,7 @@
     }
     this._begin();
     const quoted = JSON.stringify(text);
-    const delta = this._structure.form === "chat" ? `"delta":{"content":${quoted}}` : `"text":${quoted}`;
+    const delta = this._structure.format === "chat" ? `"delta":{"content":${quoted}}` : `"text":${quoted}`;
     this._structure.response.write(`${this._prefix}${delta},"finish_reason":null}]}\n\n`);
   }
 
@@ -54,14 +59,14 @@
   finish(isEnd: boolean): void {
     const { response, isStream } = this._structure;
     const reason = isEnd ? "stop" : "length";
-    if (!isStream) return sendJson(response, okStatus, this._createWhole(reason));
+    if (!isStream) return sendJson(response, okStatus, this._createJsonBody(reason));
     this._begin();
-    const delta = this._structure.form === "chat" ? `"delta":{}` : `"text":""`;
+    const delta = this._structure.format === "chat" ? `"delta":{}` : `"text":""`;
     response.write(`${this._prefix}${delta},"finish_reason":"${reason}"}]}\n\n`);
     response.end("data: [DONE]\n\n");
   }
 
-  /** Ends a stream with an error event and without [DONE], so that no client takes it for complete. */
+  /** Ends a stream with an error event and without `[DONE]`, so that no client mistakes the answer for complete. */
   fail(error: ApiError): void {
     this._structure.response.end(`data: ${JSON.stringify(toErrorBody(error))}\n\n`);
   }
@@ -69,23 +74,23 @@
   private _begin(): void {
     if (this._isBegun) return;
     this._isBegun = true;
-    const { response, form } = this._structure;
+    const { response, format } = this._structure;
     response.writeHead(okStatus, {
       "content-type": "text/event-stream",
       "cache-control": "no-cache",
       [ranHeader]: "yes",
     });
-    if (form === "chat")
+    if (format === "chat")
       response.write(`${this._prefix}"delta":{"role":"assistant","content":""},"finish_reason":null}]}\n\n`);
   }
 
-  private _createWhole(reason: string): object {
-    const { form, requestId, model, promptTokens } = this._structure;
+  private _createJsonBody(reason: string): object {
+    const { format, requestId, model, promptTokens } = this._structure;
     const content =
-      form === "chat" ? { message: { role: "assistant", content: this._text } } : { text: this._text };
+      format === "chat" ? { message: { role: "assistant", content: this._text } } : { text: this._text };
     return {
-      id: getId(form, requestId),
-      object: form === "chat" ? "chat.completion" : "text_completion",
+      id: getId(format, requestId),
+      object: format === "chat" ? "chat.completion" : "text_completion",
       created: this._createdS,
       model,
       choices: [{ index: 0, ...content, finish_reason: reason }],
@@ -98,6 +103,6 @@
   }
 }
 
-function getId(form: CompletionForm, requestId: string): string {
-  return `${form === "chat" ? "chatcmpl" : "cmpl"}-${requestId}`;
+function getId(format: CompletionFormat, requestId: string): string {
+  return `${format === "chat" ? "chatcmpl" : "cmpl"}-${requestId}`;
 }
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -25,7 +25,7 @@
 import type { ModelQueues } from "../ModelQueues.js";
 import type { Tokenizer } from "../text/Tokenizer.js";
 import type { InFlightRequests } from "../InFlightRequests.js";
-import { AnswerWriter, type CompletionForm } from "./AnswerWriter.js";
+import { AnswerWriter, type CompletionFormat } from "./AnswerWriter.js";
 import { ApiError, requestIdHeader, sendError, toApiError } from "./apiErrors.js";
 import { requireAccount, type AccountDirectory } from "./authenticate.js";
 import { chatBodySchema, getChatPrompt, getMaxTokens, textBodySchema } from "./completionSchemas.js";
@@ -38,7 +38,7 @@
 const lowestRank = 9;
 
 /** Dependencies of {@link CompletionHandler}. */
-export interface CompletionStructure {
+export interface CompletionHandlerStructure {
   readonly settings: InstanceSettings;
   readonly configuration: intent.ConfigurationProjection;
   readonly accounts: AccountDirectory;
@@ -46,7 +46,7 @@
   readonly queues: ModelQueues;
   readonly versions: VersionsInUse;
   readonly pipeline: PipelineContext;
-  readonly once: AtMostOnce<StoredAnswer>;
+  readonly atMostOnce: AtMostOnce<StoredAnswer>;
   readonly tokenizer: Tokenizer;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
@@ -65,30 +65,34 @@
   readonly deadlineMs: number;
   readonly key: string | undefined;
   readonly isStream: boolean;
-  readonly form: CompletionForm;
+  readonly format: CompletionFormat;
   readonly signal: AbortSignal;
 }
 
-/** Version on which a request runs, and its switch to another one. */
+/** Version on which a request runs, and the means to switch to another version. */
 interface RequestVersion extends VersionChoice {
-  readonly first: string;
+  readonly initialVersion: string;
   /** Ends the request's use of its current version. */
   release(): void;
 }
 
-type Answered = results.Result<PipelineAnswer, PipelineError | AdmissionRefusedError>;
+type CompletionResult = results.Result<PipelineAnswer, PipelineError | AdmissionRefusedError>;
 
-/** Handles `/v1/chat/completions` and `/v1/completions`: parsing, admission, at-most-once execution and the answer. */
+/** Handles `/v1/chat/completions` and `/v1/completions`: parsing, admission, at-most-once execution and writing of the answer. */
 export class CompletionHandler {
-  constructor(private readonly _structure: CompletionStructure) {}
+  constructor(private readonly _structure: CompletionHandlerStructure) {}
 
   /** Handles one request and writes its answer. */
-  async handle(request: restify.Request, response: http.ServerResponse, form: CompletionForm): Promise<void> {
+  async handle(
+    request: restify.Request,
+    response: http.ServerResponse,
+    format: CompletionFormat,
+  ): Promise<void> {
     const { inFlight, metrics } = this._structure;
     const controller = new AbortController();
-    const completion = this._parse(request, form, controller.signal);
+    const completion = this._parse(request, format, controller.signal);
     // A request with an idempotency key continues after its caller disconnects, so that a retry finds the answer.
-    if (completion.key === undefined) callerRequest.abortWithCaller(response, controller);
+    if (completion.key === undefined) callerRequest.abortOnDisconnect(response, controller);
     response.setHeader(requestIdHeader, completion.requestId);
     const removeRequest = inFlight.add(completion.requestId, controller);
     try {
@@ -99,9 +103,9 @@
     }
   }
 
-  private _parse(request: restify.Request, form: CompletionForm, signal: AbortSignal): Completion {
+  private _parse(request: restify.Request, format: CompletionFormat, signal: AbortSignal): Completion {
     const account = requireAccount(request, this._structure.accounts);
-    const schema = form === "chat" ? chatBodySchema : textBodySchema;
+    const schema = format === "chat" ? chatBodySchema : textBodySchema;
     const checked = schema.safeParse(callerRequest.parseJson(request.body));
     if (!checked.success) {
       const fault = errors.fromSchemaIssues("body", checked.error.issues);
@@ -125,7 +129,7 @@
       deadlineMs: callerRequest.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs),
       key: isRepeatable ? undefined : key,
       isStream: body.stream,
-      form,
+      format,
       signal,
     };
   }
@@ -152,10 +156,10 @@
 
   /** Runs a request and writes its answer; returns the outcome for the metrics. */
   private async _answer(completion: Completion, response: http.ServerResponse): Promise<string> {
-    const { requestId, form, isStream, pipeline, promptTokens } = completion;
+    const { requestId, format, isStream, pipeline, promptTokens } = completion;
     const writer = new AnswerWriter({
       response,
-      form,
+      format,
       isStream,
       requestId,
       model: pipeline.name,
@@ -186,7 +190,7 @@
     writer: AnswerWriter,
   ): Promise<results.Result<PipelineAnswer, errors.ShedtillerError & { ran: "no" | "unknown" }>> {
     let hasRunHere = false;
-    const outcome = await this._structure.once.run(key, {
+    const outcome = await this._structure.atMostOnce.run(key, {
       requestId: completion.requestId,
       deadlineMs: completion.deadlineMs,
       signal: completion.signal,
@@ -204,7 +208,7 @@
     return results.Ok(outcome.val);
   }
 
-  private async _run(completion: Completion, writer: AnswerWriter): Promise<Answered> {
+  private async _run(completion: Completion, writer: AnswerWriter): Promise<CompletionResult> {
     const { limits, queues, timeline } = this._structure;
     const tokens = completion.promptTokens.length + completion.maxTokens;
     const arrivedAtMs = utils.monotonicMs();
@@ -233,13 +237,13 @@
     account: AccountPermit,
     queue: AdmissionPermit,
     arrivedAtMs: number,
-  ): Promise<Answered> {
+  ): Promise<CompletionResult> {
     const { pipeline: context, tokenizer } = this._structure;
-    // The version may have changed while the request waited.
+    // The version in force may have changed while the request waited for admission.
     const pipeline =
       this._structure.configuration.getObject("pipeline", completion.pipeline.name) ?? completion.pipeline;
     const versions = await this._acquireVersion(pipeline, completion);
-    const meter = this._createTokenTimer(completion.rank, arrivedAtMs);
+    const recordToken = this._createTokenTimer(completion.rank, arrivedAtMs);
     const run = new PipelineRun(
       context,
       {
@@ -251,7 +255,7 @@
           body: Buffer.from(completion.promptTokens.join(",")),
         }),
         model: pipeline.name,
-        version: versions.first,
+        version: versions.initialVersion,
         versions,
         layerCount: pipeline.layerCount,
         promptTokens: completion.promptTokens,
@@ -261,17 +265,17 @@
       },
       completion.signal,
     );
-    let answered = 0;
+    let tokenCount = 0;
     try {
       return await run.run((token) => {
-        answered += 1;
-        meter();
+        tokenCount += 1;
+        recordToken();
         writer.addToken(tokenizer.decode(token));
       });
     } finally {
       versions.release();
       queue.release();
-      account.release(answered === 0 ? 0 : completion.promptTokens.length + answered);
+      account.release(tokenCount === 0 ? 0 : completion.promptTokens.length + tokenCount);
     }
   }
 
@@ -281,10 +285,10 @@
     completion: Completion,
   ): Promise<RequestVersion> {
     const { versions, configuration } = this._structure;
-    const begun = await versions.acquire(pipeline, completion);
-    let { release } = begun;
+    const handle = await versions.acquire(pipeline, completion);
+    let { release } = handle;
     return {
-      first: begun.version,
+      initialVersion: handle.version,
       release: () => release(),
       isReplaced: (version) => configuration.getObject("pipeline", pipeline.name)?.version !== version,
       changeVersion: () => {
@@ -312,7 +316,7 @@
   }
 }
 
-/** The idempotency key was used for a call to a service before. */
+/** The idempotency key has been used for a call to a service. */
 class KeyReusedError extends errors.ShedtillerError {
   readonly code = "outcome_unknown";
   readonly ran = "unknown" as const;
--- a/packages/entry/src/http/HttpListener.ts
+++ b/packages/entry/src/http/HttpListener.ts
@@ -7,11 +7,11 @@
 import * as restify from "restify";
 import { ApiError, sendError } from "./apiErrors.js";
 
-/** Handles one request; an error that it throws becomes the response. */
+/** Handles one request. An error that the handler throws is sent as the response. */
 export type Handler = (request: restify.Request, response: http.ServerResponse) => Promise<void> | void;
 
 /** Settings and dependencies of {@link HttpListener}. */
-export interface ListenerStructure {
+export interface HttpListenerStructure {
   readonly name: string;
   /** IP address and port, as in the settings. */
   readonly address: string;
@@ -28,18 +28,19 @@
   private readonly _server: restify.Server;
   private readonly _sockets = new Set<net.Socket>();
 
-  constructor(private readonly _structure: ListenerStructure) {
+  constructor(private readonly _structure: HttpListenerStructure) {
     const { limits, tls } = _structure;
     this._server = restify.createServer({
       name: _structure.name,
-      // restify types this as options of https, but passes it to Node's http server as well.
+      // `httpServerOptions` is not part of restify's types, hence the cast. restify 11.1 does not read this option, so Node's
+      // default limit of 16 KiB on headers applies whatever `headerSizeBytes` is.
       ...(tls === undefined ? {} : { certificate: tls.certificate, key: tls.key }),
       httpServerOptions: { maxHeaderSize: limits.headerSizeBytes },
     } as restify.ServerOptions);
     this._server.use(restify.plugins.queryParser({ mapParams: false }));
     this._server.pre((request: restify.Request, response: restify.Response, next: restify.Next) => {
       if (Number(request.header("content-length") ?? 0) <= limits.bodySizeBytes) return next();
-      sendError(response, createTooLarge(limits.bodySizeBytes));
+      sendError(response, createBodyTooLargeError(limits.bodySizeBytes));
       return next(false);
     });
     this._server.use(
@@ -98,7 +99,7 @@
     server.setSecureContext?.({ cert: certificate, key });
   }
 
-  /** Stops accepting connections and closes idle ones; the others close after their requests. */
+  /** Stops accepting connections and closes idle ones; busy connections are closed after their requests. */
   stopAccepting(): void {
     if (this._httpServer.listening) this._httpServer.close();
     this._httpServer.closeIdleConnections();
@@ -139,7 +140,8 @@
   private _toApiError(error: unknown): ApiError {
     if (error instanceof ApiError) return error;
     const status = (error as { statusCode?: unknown } | null)?.statusCode;
-    if (status === payloadTooLargeStatus) return createTooLarge(this._structure.limits.bodySizeBytes);
+    if (status === payloadTooLargeStatus)
+      return createBodyTooLargeError(this._structure.limits.bodySizeBytes);
     if (typeof status === "number" && status >= 400 && status < 500) {
       const type = status === 404 ? "not_found_error" : "invalid_request_error";
       return new ApiError(status, type, "bad_request", errors.describeError(error));
@@ -169,7 +171,7 @@
   };
 }
 
-function createTooLarge(limitBytes: number): ApiError {
+function createBodyTooLargeError(limitBytes: number): ApiError {
   return new ApiError(
     payloadTooLargeStatus,
     "invalid_request_error",
@@ -180,6 +182,6 @@
 
 /** Splits an address from the settings into host and port. */
 export function splitAddress(address: string): [host: string, port: number] {
-  const cut = address.lastIndexOf(":");
-  return [address.slice(0, cut).replace(/^\[|\]$/g, ""), Number(address.slice(cut + 1))];
+  const separator = address.lastIndexOf(":");
+  return [address.slice(0, separator).replace(/^\[|\]$/g, ""), Number(address.slice(separator + 1))];
 }
--- a/packages/entry/src/http/ServiceHandler.ts
+++ b/packages/entry/src/http/ServiceHandler.ts
@@ -16,12 +16,12 @@
 const notFoundStatus = 404;
 
 /** Dependencies of {@link ServiceHandler}. */
-export interface ServiceStructure {
+export interface ServiceHandlerStructure {
   readonly settings: InstanceSettings;
   readonly configuration: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly caller: ServiceCaller;
-  readonly once: AtMostOnce<StoredAnswer>;
+  readonly atMostOnce: AtMostOnce<StoredAnswer>;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
   readonly inFlight: InFlightRequests;
@@ -31,7 +31,7 @@
 
 /** Forwards calls to services. Calls that are not repeatable and have an idempotency key run at most once. */
 export class ServiceHandler {
-  constructor(private readonly _structure: ServiceStructure) {}
+  constructor(private readonly _structure: ServiceHandlerStructure) {}
 
   /** Handles one call and sends its answer. */
   async handle(request: restify.Request, response: http.ServerResponse): Promise<void> {
@@ -42,7 +42,7 @@
     const call = this._createCall(request, service, controller.signal);
     // A call that runs at most once continues after its caller disconnects, so that a retry finds the answer.
     if (call.isRepeatable || call.idempotencyKey === undefined)
-      callerRequest.abortWithCaller(response, controller);
+      callerRequest.abortOnDisconnect(response, controller);
     response.setHeader(requestIdHeader, call.requestId);
     const removeRequest = inFlight.add(call.requestId, controller);
     try {
@@ -86,7 +86,7 @@
 
   private async _run(call: ServiceCall): Promise<ServiceOutcome> {
     if (call.isRepeatable || call.idempotencyKey === undefined) return this._call(call);
-    return this._structure.once.run(call.idempotencyKey, {
+    return this._structure.atMostOnce.run(call.idempotencyKey, {
       requestId: call.requestId,
       deadlineMs: utils.monotonicMs() + call.timeoutMs,
       signal: call.signal,
--- a/packages/entry/src/http/apiErrors.ts
+++ b/packages/entry/src/http/apiErrors.ts
@@ -26,9 +26,9 @@
   }
 }
 
-/** Header with whether the request has run. */
+/** Header that states whether the request has run. */
 export const ranHeader = "shedtiller-ran";
-/** Header with the id of the request in logs and in the time line. */
+/** Header with the id of the request in logs and in the timeline. */
 export const requestIdHeader = "shedtiller-request-id";
 const msPerSecond = 1000;
 
--- a/packages/entry/src/http/authenticate.ts
+++ b/packages/entry/src/http/authenticate.ts
@@ -45,7 +45,8 @@
 /** Index of client accounts by the ids of their keys, updated with each changed account of the configuration. */
 export class AccountDirectory {
   private readonly _byKeyId = new Map<string, FoundAccount>();
-  private readonly _keyIds = new Map<string, readonly string[]>();
+  /** Ids of the API keys of each account, by the object key of the account. */
+  private readonly _keyIdsByAccount = new Map<string, readonly string[]>();
 
   constructor(private readonly _configuration: intent.ConfigurationProjection) {
     _configuration.onChanged((changedKeys) => this._update(changedKeys));
@@ -57,22 +58,22 @@
   }
 
   private _update(changedKeys: readonly string[] | undefined): void {
-    const keys = changedKeys ?? [
-      ...this._keyIds.keys(),
+    const objectKeys = changedKeys ?? [
+      ...this._keyIdsByAccount.keys(),
       ...this._configuration.getObjects("account").map(intent.getObjectKey),
     ];
-    for (const key of new Set(keys)) if (key.startsWith(accountPrefix)) this._updateOne(key);
+    for (const key of new Set(objectKeys)) if (key.startsWith(accountPrefix)) this._updateAccount(key);
   }
 
-  private _updateOne(key: string): void {
-    for (const keyId of this._keyIds.get(key) ?? []) this._byKeyId.delete(keyId);
-    const account = this._configuration.getObject("account", key.slice(accountPrefix.length));
+  private _updateAccount(objectKey: string): void {
+    for (const keyId of this._keyIdsByAccount.get(objectKey) ?? []) this._byKeyId.delete(keyId);
+    const account = this._configuration.getObject("account", objectKey.slice(accountPrefix.length));
     if (account === undefined) {
-      this._keyIds.delete(key);
+      this._keyIdsByAccount.delete(objectKey);
       return;
     }
-    this._keyIds.set(
-      key,
+    this._keyIdsByAccount.set(
+      objectKey,
       account.keys.map((stored) => stored.keyId),
     );
     for (const stored of account.keys) this._byKeyId.set(stored.keyId, { account, stored });
--- a/packages/entry/src/http/callerRequest.ts
+++ b/packages/entry/src/http/callerRequest.ts
@@ -8,7 +8,7 @@
 const badRequestStatus = 400;
 
 /** Aborts `controller` if the caller disconnects before the answer has been sent. */
-export function abortWithCaller(response: http.ServerResponse, controller: AbortController): void {
+export function abortOnDisconnect(response: http.ServerResponse, controller: AbortController): void {
   response.once("close", () => {
     if (!response.writableFinished) controller.abort();
   });
--- a/packages/entry/src/http/callerRoutes.ts
+++ b/packages/entry/src/http/callerRoutes.ts
@@ -11,7 +11,7 @@
 const retryAfterMs = 1_000;
 
 /** Dependencies of the callers' routes. */
-export interface CallerStructure {
+export interface CallerRoutesStructure {
   readonly configuration: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly completions: CompletionHandler;
@@ -21,29 +21,29 @@
 }
 
 /** Adds the callers' routes to a listener. */
-export function addCallerRoutes(listener: HttpListener, structure: CallerStructure): void {
-  const whileOpen = (handler: Handler): Handler => {
+export function addCallerRoutes(listener: HttpListener, structure: CallerRoutesStructure): void {
+  const whileAccepting = (handler: Handler): Handler => {
     return (request, response) => {
-      requireOpen(structure);
+      requireAccepting(structure);
       return handler(request, response);
     };
   };
   listener.post(
     "/v1/chat/completions",
-    whileOpen((request, response) => structure.completions.handle(request, response, "chat")),
+    whileAccepting((request, response) => structure.completions.handle(request, response, "chat")),
   );
   listener.post(
     "/v1/completions",
-    whileOpen((request, response) => structure.completions.handle(request, response, "text")),
+    whileAccepting((request, response) => structure.completions.handle(request, response, "text")),
   );
   listener.get("/v1/models", (request, response) => {
     const account = requireAccount(request, structure.accounts);
-    const open = structure.configuration
+    const accessible = structure.configuration
       .getObjects("pipeline")
       .filter(
         (pipeline) => pipeline.clientAccounts.length === 0 || pipeline.clientAccounts.includes(account.name),
       );
-    const data = open.map((pipeline) => ({
+    const data = accessible.map((pipeline) => ({
       id: pipeline.name,
       object: "model",
       created: 0,
@@ -51,22 +51,24 @@
     }));
     sendJson(response, okStatus, { object: "list", data });
   });
-  const service = whileOpen((request, response) => structure.services.handle(request, response));
+  const handleService = whileAccepting((request, response) => structure.services.handle(request, response));
   for (const path of ["/services/:service", "/services/:service/*"]) {
-    listener.get(path, service);
-    listener.post(path, service);
-    listener.put(path, service);
-    listener.del(path, service);
+    listener.get(path, handleService);
+    listener.post(path, handleService);
+    listener.put(path, handleService);
+    listener.del(path, handleService);
   }
   listener.get("/healthz", (_request, response) => sendJson(response, okStatus, { status: "alive" }));
   listener.get("/readyz", (_request, response) => {
-    const isOpen = structure.isReady() && !structure.isDraining();
-    sendJson(response, isOpen ? okStatus : unavailableStatus, { status: isOpen ? "ready" : "not ready" });
+    const isAccepting = structure.isReady() && !structure.isDraining();
+    sendJson(response, isAccepting ? okStatus : unavailableStatus, {
+      status: isAccepting ? "ready" : "not ready",
+    });
   });
 }
 
-/** Throws an error that tells the caller that nothing ran, while the instance drains or has no configuration yet. */
-function requireOpen(structure: CallerStructure): void {
+/** Throws a 503 error with the execution status "no" if the instance is draining or has no configuration yet. */
+function requireAccepting(structure: CallerRoutesStructure): void {
   if (structure.isDraining()) {
     throw new ApiError(
       unavailableStatus,
--- a/packages/entry/src/http/operatorRoutes.ts
+++ b/packages/entry/src/http/operatorRoutes.ts
@@ -24,7 +24,7 @@
 const logLevelSchema = zod.strictObject({ level: zod.enum(["error", "warn", "info", "debug"]) });
 
 /** Dependencies of the operators' routes. */
-export interface OperatorStructure {
+export interface OperatorRoutesStructure {
   readonly tokenHash: intent.AccountKey;
   readonly configuration: intent.ConfigurationProjection;
   readonly planner: Planner;
@@ -37,7 +37,7 @@
 }
 
 type OperatorHandler = (
-  structure: OperatorStructure,
+  structure: OperatorRoutesStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ) => Promise<void> | void;
@@ -55,7 +55,7 @@
 ];
 
 /** Adds the operators' routes to a listener. */
-export function addOperatorRoutes(listener: HttpListener, structure: OperatorStructure): void {
+export function addOperatorRoutes(listener: HttpListener, structure: OperatorRoutesStructure): void {
   for (const [method, path, handle] of routes) {
     listener[method](path, (request, response) => {
       requireOperator(request, structure.tokenHash);
@@ -65,7 +65,7 @@
 }
 
 async function sendStatus(
-  { status }: OperatorStructure,
+  { status }: OperatorRoutesStructure,
   _request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
@@ -73,7 +73,7 @@
 }
 
 function sendConfiguration(
-  { configuration }: OperatorStructure,
+  { configuration }: OperatorRoutesStructure,
   _request: restify.Request,
   response: http.ServerResponse,
 ): void {
@@ -97,7 +97,7 @@
 }
 
 async function sendTimeline(
-  { timelines }: OperatorStructure,
+  { timelines }: OperatorRoutesStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
@@ -115,7 +115,7 @@
 }
 
 function createPlan(
-  structure: OperatorStructure,
+  structure: OperatorRoutesStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): void {
@@ -128,7 +128,7 @@
 }
 
 async function sendPlan(
-  { planService, configuration }: OperatorStructure,
+  { planService, configuration }: OperatorRoutesStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
@@ -136,12 +136,12 @@
   const outcome = configuration.getOutcome(planId);
   const plan = await planService.requirePlan(planId);
   if (plan.err && outcome === undefined) throw toOperatorError(plan.val);
-  const known = plan.ok ? { plan: plan.val, text: intent.renderPlan(plan.val) } : {};
-  sendJson(response, okStatus, { ...known, outcome });
+  const planFields = plan.ok ? { plan: plan.val, text: intent.renderPlan(plan.val) } : {};
+  sendJson(response, okStatus, { ...planFields, outcome });
 }
 
 async function confirmPlan(
-  { planService }: OperatorStructure,
+  { planService }: OperatorRoutesStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
@@ -151,7 +151,7 @@
 }
 
 function setLogLevel(
-  { logs }: OperatorStructure,
+  { logs }: OperatorRoutesStructure,
   request: restify.Request,
   response: http.ServerResponse,
 ): void {
@@ -168,7 +168,7 @@
 }
 
 async function sendMetrics(
-  { metrics }: OperatorStructure,
+  { metrics }: OperatorRoutesStructure,
   _request: restify.Request,
   response: http.ServerResponse,
 ): Promise<void> {
--- a/packages/entry/src/logs/createLogs.ts
+++ b/packages/entry/src/logs/createLogs.ts
@@ -7,10 +7,10 @@
 
 /** Log of one component. */
 export interface ComponentLog {
-  info(sentence: string): void;
-  warn(sentence: string): void;
-  error(sentence: string): void;
-  debug(sentence: string): void;
+  info(message: string): void;
+  warn(message: string): void;
+  error(message: string): void;
+  debug(message: string): void;
 }
 
 /** Logs of one instance. */
@@ -52,14 +52,13 @@
 }
 
 function createComponentLog(logger: winston.Logger, component: LogComponent): ComponentLog {
-  const write = (level: string) => (sentence: string) =>
-    void logger.log({ level, message: sentence, part: component });
+  const write = (level: string) => (message: string) => void logger.log({ level, message, part: component });
   return { info: write("info"), warn: write("warn"), error: write("error"), debug: write("debug") };
 }
 
 function createJsonFormat(instance: string): winston.Logform.Format {
-  const named = winston.format((entry) => ({ ...entry, instance }));
-  return winston.format.combine(winston.format.timestamp(), named(), winston.format.json());
+  const withInstance = winston.format((entry) => ({ ...entry, instance }));
+  return winston.format.combine(winston.format.timestamp(), withInstance(), winston.format.json());
 }
 
 function createTextFormat(instance: string): winston.Logform.Format {
--- a/packages/entry/src/metrics/InstanceMetrics.ts
+++ b/packages/entry/src/metrics/InstanceMetrics.ts
@@ -1,4 +1,4 @@
-/** Metrics of one instance. Labels have few values: there are none for the ids of requests or client accounts. */
+/** Metrics of one instance. Labels have few values each; ids of requests and names of client accounts are never labels. */
 import type { Membership } from "@shedtiller/membership";
 import type { PipelineContext } from "@shedtiller/pipeline";
 import * as prom from "prom-client";
--- a/packages/entry/src/operators/PlanService.ts
+++ b/packages/entry/src/operators/PlanService.ts
@@ -12,7 +12,7 @@
 
 const maxPlans = 1_000;
 const planTopic = "plan";
-/** A busy or remote instance may take seconds to reply. An operator waits as long for a confirmation. */
+/** A busy or remote instance may take seconds to reply. The timeout of a confirmation is the same. */
 const requestTimeoutMs = 5_000;
 const confirmTimeoutMs = 5_000;
 const inForceTimeoutMs = 5_000;
@@ -70,12 +70,12 @@
     );
   }
 
-  /** Stores a plan; beyond 1 000 plans the oldest is dropped. */
+  /** Stores a plan. The oldest plan is dropped if there are more than 1000. */
   addPlan(plan: Plan): void {
     this._plans.set(plan.planId, plan);
   }
 
-  /** Returns a plan of this instance or of another one. */
+  /** Returns a plan, which is requested from all other instances if this instance does not have it. */
   async requirePlan(planId: string): Promise<results.Result<Plan, PlanError>> {
     const own = this._plans.get(planId);
     if (own !== undefined) return results.Ok(own);
@@ -109,11 +109,12 @@
     });
   }
 
-  /** Returns whether an instance is linked. One that is linked and doesn't answer may be slow rather than gone. */
+  /** Returns whether an instance is linked. A linked instance that doesn't answer may be slow rather than gone. */
   private _isLinked(name: string): boolean {
     return this._structure.membership.getLinked().some((member) => member.name === name);
   }
 
+  /** Waits until an offset is in force at all linked instances, or for 5 s. Returns the names of the instances without it. */
   private async _waitUntilInForce(offset: number): Promise<string[]> {
     const endMs = utils.monotonicMs() + inForceTimeoutMs;
     for (;;) {
@@ -122,8 +123,8 @@
         .filter((instance) => instance.offset < offset)
         .map((instance) => instance.name);
       const missing = [...behind, ...unreached.map((instance) => instance.name)];
-      const isWaitedFor = behind.length > 0 || unreached.some(({ name }) => this._isLinked(name));
-      if (!isWaitedFor || utils.monotonicMs() >= endMs) return missing;
+      const isPending = behind.length > 0 || unreached.some(({ name }) => this._isLinked(name));
+      if (!isPending || utils.monotonicMs() >= endMs) return missing;
       await utils.sleep(inForcePollMs);
     }
   }
--- a/packages/entry/src/operators/Planner.ts
+++ b/packages/entry/src/operators/Planner.ts
@@ -1,4 +1,4 @@
-/** Planning: from an intent to its changes, the placement of layers and the capacity that results. */
+/** Planning: derives the changes, the placement of layers and the resulting capacity from an intent. */
 import { utils } from "@shedtiller/common";
 import * as intent from "@shedtiller/intent";
 import * as placement from "@shedtiller/placement";
@@ -35,16 +35,16 @@
       loadMs: 0,
       warnings: [],
     };
-    const taken = this._getTakenEngines(submitted);
-    for (const object of submitted.objects) this._addObject(draft, object, taken);
+    const reserved = this._getReservedEngines(submitted);
+    for (const object of submitted.objects) this._addObject(draft, object, reserved);
     for (const key of submitted.removals) this._addRemoval(draft, key);
-    this._addAccounts(draft);
+    this._addAffectedAccounts(draft);
     return draft;
   }
 
-  private _addObject(draft: intent.Plan, object: intent.ConfigurationObject, taken: Set<string>): void {
+  private _addObject(draft: intent.Plan, object: intent.ConfigurationObject, reserved: Set<string>): void {
     const key = intent.getObjectKey(object);
-    const value = object.kind === "pipeline" ? this._place(draft, object, taken) : object;
+    const value = object.kind === "pipeline" ? this._placePipeline(draft, object, reserved) : object;
     if (object.kind === "account") this._checkAccount(draft, object);
     draft.changes.push({ key, baseOffset: this._configuration.getBaseOffset(key), value });
   }
@@ -63,48 +63,48 @@
   }
 
   private _checkAccount(draft: intent.Plan, account: intent.AccountObject): void {
-    const isStated = draft.changes.some((change) => change.key === `class/${account.priorityClass}`);
-    if (isStated || this._configuration.getObject("class", account.priorityClass) !== undefined) return;
+    const isInPlan = draft.changes.some((change) => change.key === `class/${account.priorityClass}`);
+    if (isInPlan || this._configuration.getObject("class", account.priorityClass) !== undefined) return;
     draft.warnings.push(
       `The class ${account.priorityClass} of the account ${account.name} does not exist (yet).`,
     );
   }
 
   /** Returns the engines that have loaded, or are to load, layers of pipelines that the intent leaves unchanged. */
-  private _getTakenEngines(submitted: intent.Intent): Set<string> {
+  private _getReservedEngines(submitted: intent.Intent): Set<string> {
     const submittedKeys = new Set([...submitted.objects.map(intent.getObjectKey), ...submitted.removals]);
-    const taken = new Set<string>();
+    const reserved = new Set<string>();
     for (const pipeline of this._configuration.getObjects("pipeline")) {
       if (submittedKeys.has(intent.getObjectKey(pipeline))) continue;
-      for (const name of Object.keys(pipeline.placement ?? {})) taken.add(name);
-      for (const report of this._getReports()) if (report.model === pipeline.name) taken.add(report.name);
+      for (const name of Object.keys(pipeline.placement ?? {})) reserved.add(name);
+      for (const report of this._getReports()) if (report.model === pipeline.name) reserved.add(report.name);
     }
-    return taken;
+    return reserved;
   }
 
   /** Assigns layers to engines, using no more engines than the requested capacity needs. */
-  private _place(
+  private _placePipeline(
     draft: intent.Plan,
     pipeline: intent.PipelineObject,
-    taken: Set<string>,
+    reserved: Set<string>,
   ): intent.PipelineObject {
-    const free = this._getReports().filter((report) => !taken.has(report.name));
+    const free = this._getReports().filter((report) => !reserved.has(report.name));
     const chosen = chooseEngines(free, pipeline);
     const engines = chosen.map((report) => this._toPlacementEngine(report));
     const ranges = placement.planPlacement(engines, pipeline.layerCount);
-    for (const name of ranges.keys()) taken.add(name);
+    for (const name of ranges.keys()) reserved.add(name);
     for (const report of free) {
       const range = ranges.get(report.name);
-      const isHeld = report.model === pipeline.name && report.layers !== undefined;
-      if (range === undefined && !isHeld) continue;
+      const hasLoadedLayers = report.model === pipeline.name && report.layers !== undefined;
+      if (range === undefined && !hasLoadedLayers) continue;
       const after =
         range === undefined ? unchangedText : describeRange(pipeline.name, pipeline.version, range);
       this._addPlacementLine(draft, report, range, after);
     }
     this._addCapacity(draft, pipeline, engines, ranges);
-    const decided: Record<string, [number, number]> = {};
-    for (const [name, [first, end]] of ranges) decided[name] = [first, end];
-    return { ...pipeline, placement: decided };
+    const assigned: Record<string, [number, number]> = {};
+    for (const [name, [first, end]] of ranges) assigned[name] = [first, end];
+    return { ...pipeline, placement: assigned };
   }
 
   private _addPlacementLine(
@@ -175,15 +175,15 @@
   ): void {
     const engineEntries = this._directory.getEntries().filter((entry) => entry.role === "engine");
     for (const zone of new Set(engineEntries.map((entry) => entry.availabilityZone))) {
-      const own = engines.filter((engine) => engine.availabilityZone === zone);
-      if (placement.getThroughput(own, ranges, pipeline.layerCount) > 0) continue;
+      const zoneEngines = engines.filter((engine) => engine.availabilityZone === zone);
+      if (placement.getThroughput(zoneEngines, ranges, pipeline.layerCount) > 0) continue;
       draft.warnings.push(
         `The availability zone ${zone} can't serve ${pipeline.name} by itself when it is cut off.`,
       );
     }
   }
 
-  private _addAccounts(draft: intent.Plan): void {
+  private _addAffectedAccounts(draft: intent.Plan): void {
     const affected = new Set<string>();
     for (const { value, key } of draft.changes) {
       if (value?.kind === "account") affected.add(value.name);
@@ -218,29 +218,30 @@
   }
 }
 
-/** Returns slots ÷ step time of one layer. An engine that has loaded no layers reports the step time of one layer. */
+/** Returns slots ÷ step time of one layer. An engine without loaded layers reports the step time of a single layer. */
 export function getLayersPerSecond(report: EngineReport): number {
   const loadedCount = report.layers === undefined ? 1 : report.layers[1] - report.layers[0];
   return (report.slots * loadedCount * utils.msPerSecond) / report.stepMs;
 }
 
 /**
- * Chooses engines for a pipeline: all free ones if it requests no certain capacity; otherwise first those that serve the
- * model already, then the others, each from the fastest on, until the capacity is exceeded by 15 % and all layers fit.
+ * Chooses engines for a pipeline. Without a requested capacity, all free engines are chosen. Otherwise engines are added
+ * until they exceed the requested capacity by 15 % and have memory for all layers: first the engines that serve the model
+ * already, then the others, fastest first in each group.
  */
 function chooseEngines(free: readonly EngineReport[], pipeline: intent.PipelineObject): EngineReport[] {
   if (pipeline.tokensPerSecond <= 0) return [...free];
-  const spare = 1.15;
-  const wanted = pipeline.tokensPerSecond * pipeline.layerCount * spare;
-  const holding = (report: EngineReport): number => (report.model === pipeline.name ? 0 : 1);
+  const capacityMargin = 1.15;
+  const requiredRate = pipeline.tokensPerSecond * pipeline.layerCount * capacityMargin;
+  const getServingOrder = (report: EngineReport): number => (report.model === pipeline.name ? 0 : 1);
   const sorted = [...free].sort(
-    (a, b) => holding(a) - holding(b) || getLayersPerSecond(b) - getLayersPerSecond(a),
+    (a, b) => getServingOrder(a) - getServingOrder(b) || getLayersPerSecond(b) - getLayersPerSecond(a),
   );
   const chosen: EngineReport[] = [];
   let rate = 0;
   let memory = 0;
   for (const report of sorted) {
-    if (rate >= wanted && memory >= pipeline.layerCount) break;
+    if (rate >= requiredRate && memory >= pipeline.layerCount) break;
     chosen.push(report);
     rate += getLayersPerSecond(report);
     memory += report.memoryLayers;
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -6,7 +6,7 @@
 
 const statusTopic = "status";
 const initialTimeoutMs = 1_000;
-/** The timeout grows up to this, since a busy instance answers late without being gone. */
+/** Upper limit of the adaptive timeout. A busy instance may answer late although it is alive. */
 const maxTimeoutMs = 8_000;
 
 /** Status of one instance. */
@@ -15,25 +15,25 @@
   availabilityZone: zod.string(),
   /** Offset of the configuration in force at the instance. */
   offset: zod.number().int(),
-  /** Wall time since when that offset is in force. */
+  /** Wall time since which that offset has been in force. */
   offsetSinceMs: zod.number(),
-  /** Time since the log service last answered; absent if it never did. */
+  /** Time since the log service last answered; absent if it has never answered. */
   logAgeMs: zod.number().optional(),
   isReady: zod.boolean(),
   isDraining: zod.boolean(),
   activeRequests: zod.number().int(),
-  /** Wall time since when no other zone is reached. */
+  /** Wall time since which no other zone has been reachable; absent if one is reachable or none is listed. */
   cutOffSinceMs: zod.number().optional(),
   unknownRecords: zod.number().int(),
 });
 
 export type InstanceStatus = zod.infer<typeof instanceStatusSchema>;
 
-/** Status of all instances as one instance sees it. */
+/** Status of all instances, as gathered by one of them. */
 export interface FleetStatus {
   readonly askedInstance: string;
   readonly instances: readonly InstanceStatus[];
-  /** Listed instances that did not answer, with the wall time since when they have not been reached. */
+  /** Listed instances that did not answer, with the wall time since which they have been unreachable. */
   readonly unreached: readonly { name: string; availabilityZone: string; sinceMs: number | undefined }[];
 }
 
--- a/packages/entry/src/operators/TimelineGatherer.ts
+++ b/packages/entry/src/operators/TimelineGatherer.ts
@@ -1,4 +1,4 @@
-/** Time line of all instances, gathered by the instance that receives the operator's request. */
+/** Timeline of all instances, gathered by the instance that receives the operator's request. */
 import type { Membership } from "@shedtiller/membership";
 import { mergeEvents, timelineEventSchema, type Timeline, type TimelineEvent } from "@shedtiller/timeline";
 import * as zod from "zod";
@@ -13,7 +13,7 @@
 /** Selects events by request and by time. */
 export type TimelineFilter = zod.infer<typeof filterSchema>;
 
-/** Merged events of all instances that answered, and the names of those that did not. */
+/** Merged events of all instances that answered, and the names of the instances that did not answer. */
 export interface FleetTimeline {
   readonly events: readonly TimelineEvent[];
   readonly gaps: readonly string[];
--- a/packages/entry/src/orders/OrderReconciler.ts
+++ b/packages/entry/src/orders/OrderReconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciliation of the engines with the placement in force, by one instance per zone, which holds the zone's lease. */
+/** Reconciliation of the engines with the placement in force, by the one instance per zone that holds the zone's lease. */
 import { utils } from "@shedtiller/common";
 import type { ConfigurationProjection, PipelineObject } from "@shedtiller/intent";
 import { sendOrder, type LeaseHolder, type Order } from "@shedtiller/lease";
@@ -13,15 +13,15 @@
 
 const tickMs = 250;
 /**
- * Time after which engines that check orders drop an order. It is shorter than the final part of a lease, in which its
- * holder may no longer act.
+ * Time after which an order expires: engines that check orders reject it then. It is shorter than the final part of a lease,
+ * in which the lease holder may no longer act.
  */
 export const orderValidityMs = 2_000;
 const drainTimeoutMs = 30_000;
-/** An engine counts as loading until it reports, but for no longer than this after its order. */
+/** An engine counts as loading until its first report after an order, but for no longer than this time. */
 const maxLoadMs = 30_000;
 
-/** Layers of a version that an engine is to load, by the configuration in force. */
+/** Layers of a version that an engine is to load according to the configuration in force. */
 export interface DesiredLayers {
   readonly model: string;
   readonly version: string;
@@ -40,15 +40,15 @@
   readonly log: ComponentLog;
 }
 
-/** Reconciler that orders engines of its zone, one at a time, to load the layers of the placement in force. */
+/** Orders the engines of this instance's zone, one at a time, to load the layers of the placement in force. */
 export class OrderReconciler {
   private readonly _drainingSinceMs = new Map<string, number>();
-  /** Monotonic time until which orders of an older lease may arrive. Engines that don't check orders get none before. */
+  /** Monotonic time until which orders of an older lease may arrive. Engines that don't check orders receive no order until then. */
   private _olderOrdersExpireAtMs = 0;
   private _lastToken: number | undefined;
   /** Monotonic time of the last order to each engine. */
   private readonly _orderedAtMs = new Map<string, number>();
-  /** Reason, as last logged, why an engine that is to load other layers has got no order yet. */
+  /** Last logged reason why an engine that is to load other layers has received no order yet, by the engine's name. */
   private readonly _blockers = new Map<string, string>();
 
   constructor(private readonly _structure: OrderReconcilerStructure) {}
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Returns why the chain that an engine is part of must not be broken up yet, by the reports received: it is the only
-   * complete chain, or the last one of a version that some instance still uses.
+   * Returns why an engine's chain must not be reconfigured yet according to the reports received: the chain is the only
+   * complete one, or the last complete one of a version that some instance may still use.
    */
   private _getChainBlocker(entry: EndpointEntry): string | undefined {
     const { directory, versions } = this._structure;
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Requests all instances to start nothing on a version whose last chain is about to be broken up. Returns the reason why
-   * the chain must stay for now, or undefined.
+   * Requests all instances to start no requests on a version whose last chain is about to be reconfigured. Returns why the
+   * chain must not be reconfigured yet, or undefined.
    */
   private async _requestRetirement(entry: EndpointEntry, isGapNeeded: boolean): Promise<string | undefined> {
     const lastChain = this._getLastChain(entry);
@@ -153,7 +153,7 @@
       isGapNeeded,
     );
     if (blocker === undefined || !isGapNeeded) return blocker;
-    // During a gap no new requests can be served, so the streams in flight get the drain timeout and no more.
+    // During a gap no new requests can be served, so streams in flight delay the order by the drain timeout at most.
     this._recordDraining(entry);
     return this._hasDrained(entry) ? undefined : blocker;
   }
@@ -187,16 +187,17 @@
   }
 
   /**
-   * Returns why an engine must not get its order yet, or undefined. It gets it once it has no streams or its drain has
-   * timed out, and only if the model that it serves now keeps a complete chain without it or its version is not in use.
+   * Returns why an engine must not receive its order yet, or undefined. The order is sent once the engine has no streams or
+   * its drain has timed out. Unless a gap is needed, its model must keep a complete chain without the engine, and the engine
+   * must not be part of the last chain of a version in use.
    */
   private _getBlocker(entry: EndpointEntry, isGapNeeded: boolean): string | undefined {
     const { report } = entry;
     if (report === undefined) return "it has not reported";
-    const isChecked = report.checksOrders || utils.monotonicMs() >= this._olderOrdersExpireAtMs;
-    if (!isChecked) return "orders of an older lease may still be in flight";
-    const chainHold = isGapNeeded ? undefined : this._getChainBlocker(entry);
-    if (chainHold !== undefined) return chainHold;
+    const isSafe = report.checksOrders || utils.monotonicMs() >= this._olderOrdersExpireAtMs;
+    if (!isSafe) return "orders of an older lease may still be in flight";
+    const chainBlocker = isGapNeeded ? undefined : this._getChainBlocker(entry);
+    if (chainBlocker !== undefined) return chainBlocker;
     if (report.layers === undefined || report.activeStreams === 0) return undefined;
     this._recordDraining(entry);
     return this._hasDrained(entry) ? undefined : "it has streams in flight";
@@ -211,7 +212,7 @@
     return sinceMs !== undefined && utils.monotonicMs() - sinceMs > drainTimeoutMs;
   }
 
-  /** Logs why engines get no order yet, if the reason has changed. */
+  /** Logs why engines receive no order yet, if the reason has changed. */
   private _logBlockers(entries: readonly EndpointEntry[], blocker: string | undefined): void {
     for (const { name } of entries) {
       if (this._blockers.get(name) === blocker) continue;
@@ -239,7 +240,7 @@
       log.info(
         `Ordered ${entry.name} to load ${desired.model}@${desired.version} [${desired.layers.join(",")}).`,
       );
-    // The engine's next report shows the outcome; until then the engine is neither ordered again nor counted as done.
+    // The engine's next report shows the outcome. Until then the engine receives no further order and does not count as done.
     entry.report = undefined;
   }
 }
--- a/packages/entry/src/orders/VersionRetirement.ts
+++ b/packages/entry/src/orders/VersionRetirement.ts
@@ -1,8 +1,8 @@
 /**
- * Agreement of all instances to start no more requests on a version, made just before its last chain is broken up. The
- * periodic reports on versions in use are not enough for that: an instance that no longer sees the new version starts
- * requests on the old chain at once, and no engine could continue those. Its reply to this request binds it for longer
- * than the order takes.
+ * Agreement of all instances to start no more requests on a version, made just before the version's last chain is
+ * reconfigured. The periodic reports on versions in use are not sufficient: an instance for which the new version no longer
+ * has a complete chain starts requests on the old chain at once, and no engine could continue those. An instance that agrees
+ * keeps the version closed for longer than the order takes.
  */
 import { utils } from "@shedtiller/common";
 import type { PipelineObject } from "@shedtiller/intent";
@@ -11,11 +11,12 @@
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
 
 const retireTopic = "retire-version";
-/** An order is sent at most this long after the first reply; `VersionsInUse` keeps the version closed for longer. */
+/** The order is sent at most this long after the first reply; `VersionsInUse` keeps the version closed for longer. */
 const answerTimeoutMs = 1_000;
 /**
- * A listed instance that has not replied for this long no longer blocks a rollout: it has died or is partitioned. One that
- * replies that it uses the version blocks it for as long as it does so, since its callers' streams would be cut.
+ * A listed instance that has not replied for this long no longer blocks a rollout, since it has failed or is partitioned. An
+ * instance that replies that it uses the version blocks the rollout without a time limit, since its callers' streams would
+ * be cut.
  */
 const maxUnansweredMs = 30_000;
 
@@ -39,7 +40,7 @@
 
 /** Requests other instances to retire a version, and replies to such requests. */
 export class VersionRetirement {
-  /** Monotonic time since when each instance has not replied. */
+  /** Monotonic time of the first request without a reply since the last reply, by the instance's name. */
   private readonly _unansweredSinceMs = new Map<string, number>();
   private readonly _nowMs: () => number;
 
@@ -49,9 +50,9 @@
   }
 
   /**
-   * Returns why the last chain of a version must not be broken up yet; undefined once every instance has agreed to start
-   * nothing on it.
-   * @param isGap - Whether no version has a complete chain without it.
+   * Returns why the last chain of a version must not be reconfigured yet; undefined once every instance has agreed to start
+   * no requests on the version, or has not replied for 30 s.
+   * @param isGap - Whether no version has a complete chain without the engines in question.
    */
   async getBlocker(pipeline: PipelineObject, version: string, isGap: boolean): Promise<string | undefined> {
     if (!this._structure.versions.tryClose(pipeline, version, isGap))
--- a/packages/entry/src/orders/servedVersions.ts
+++ b/packages/entry/src/orders/servedVersions.ts
@@ -1,4 +1,4 @@
-/** Which versions of a pipeline have a complete chain, and which one new requests get. */
+/** Versions of a pipeline that have a complete chain, and the version that serves new requests. */
 import type { PipelineObject } from "@shedtiller/intent";
 import { getBoundariesThatReach, type EndpointDirectory, type EndpointEntry } from "@shedtiller/routing";
 
@@ -17,7 +17,8 @@
 }
 
 /**
- * Returns the version to serve: the one in force once it has a complete chain, until then another one that has.
+ * Returns the version that serves new requests: the version in force if it has a complete chain, otherwise another version
+ * that has one. If no version has one, returns the version in force.
  * @param isOpen - Whether requests may start on a version.
  */
 export function getServedVersion(
@@ -26,6 +27,6 @@
   isOpen: (version: string) => boolean = () => true,
 ): string {
   const versions = [pipeline.version, ...directory.getVersions(pipeline.name)];
-  const whole = getCompleteVersions(directory, pipeline).filter(isOpen);
-  return versions.find((version) => whole.includes(version)) ?? pipeline.version;
+  const complete = getCompleteVersions(directory, pipeline).filter(isOpen);
+  return versions.find((version) => complete.includes(version)) ?? pipeline.version;
 }
--- a/packages/entry/src/secrets.ts
+++ b/packages/entry/src/secrets.ts
@@ -15,7 +15,7 @@
   readonly operatorTokenHash: AccountKey;
 }
 
-/** Reads the secrets that the settings name. */
+/** Reads each secret from the file that the settings name, or from the environment if they name none. */
 export function loadSecrets(
   settings: InstanceSettings,
   environment: NodeJS.ProcessEnv,
--- a/packages/entry/src/tests/feeds/VersionsInUseTests.ts
+++ b/packages/entry/src/tests/feeds/VersionsInUseTests.ts
@@ -1,4 +1,4 @@
-/** Versions in use, by the requests in flight at this instance and the reports of the others. */
+/** Versions in use according to the requests in flight at this instance and the reports of the others. */
 import { EndpointDirectory, type EngineReport } from "@shedtiller/routing";
 import test from "ava";
 import { VersionsInUse } from "../../feeds/VersionsInUse.js";
@@ -88,20 +88,20 @@
   t.deepEqual(uses.getZone(["e2", "e3"]), []);
 });
 
-test("a closed version is no longer served, even if the new one has no complete chain again", async (t) => {
+test("a closed version is not served even while the new version has no complete chain", async (t) => {
   const directory = createDirectory(["1", "2"]);
   const uses = new VersionsInUse(directory, () => [pipeline]);
   t.true(uses.tryClose(pipeline, "1", false));
   directory.setReport({ ...createReport("g2", "2"), state: "loading" }, true);
-  let isBegun = false;
-  const begun = uses.acquire(pipeline, noDeadline).then((entry) => {
-    isBegun = true;
+  let hasStarted = false;
+  const started = uses.acquire(pipeline, noDeadline).then((entry) => {
+    hasStarted = true;
     return entry;
   });
   await Promise.resolve();
-  t.false(isBegun);
+  t.false(hasStarted);
   directory.setReport(createReport("g2", "2"), true);
-  t.is((await begun).version, "2");
+  t.is((await started).version, "2");
 });
 
 test("a version that is served or has a request in flight can't be closed", (t) => {
@@ -114,13 +114,13 @@
   t.true(uses.tryClose(pipeline, "1", false));
 });
 
-test("a version is closed for a gap even though it is the one that is served", (t) => {
+test("the served version can be closed if the rollout needs a gap without a complete chain", (t) => {
   t.true(createUses(["1"]).tryClose(pipeline, "1", true));
 });
 
 test("a request whose caller has disconnected does not wait for a version", async (t) => {
   const uses = createUses(["1"]);
   t.true(uses.tryClose(pipeline, "1", true));
-  const gone = AbortSignal.abort();
-  t.is((await uses.acquire(pipeline, { deadlineMs: Number.POSITIVE_INFINITY, signal: gone })).version, "2");
+  const signal = AbortSignal.abort();
+  t.is((await uses.acquire(pipeline, { deadlineMs: Number.POSITIVE_INFINITY, signal })).version, "2");
 });
--- a/packages/entry/src/tests/orders/VersionRetirementTests.ts
+++ b/packages/entry/src/tests/orders/VersionRetirementTests.ts
@@ -1,4 +1,4 @@
-/** The last chain of a version may be broken up only once all other instances agree or have been unresponsive for 30 s. */
+/** The last chain of a version may be reconfigured only once all other instances agree or have been unresponsive for 30 s. */
 import { errors, results } from "@shedtiller/common";
 import type { Member, RequestHandler } from "@shedtiller/membership";
 import test from "ava";
@@ -9,7 +9,7 @@
 
 type Reply = { isFree: boolean } | "nothing" | "unreached";
 
-/** One instance that sends orders, and peers that reply as `answers` says at the time of the request. */
+/** An instance that sends orders, and peers whose replies to the next request are set in `answers`. */
 class Fleet {
   nowMs = 0;
   isOwnFree = true;
@@ -41,7 +41,7 @@
   }
 }
 
-test("a version is free once every other instance has replied that it is", async (t) => {
+test("a version is free once every other instance has replied that the version is not in use", async (t) => {
   const fleet = new Fleet(
     new Map<string, Reply>([
       ["e2", { isFree: true }],
@@ -53,13 +53,13 @@
   t.is(await fleet.getBlocker(), undefined);
 });
 
-test("a version that is used at this instance is in use without any request to others", async (t) => {
+test("use of the version at this instance blocks its retirement without requests to other instances", async (t) => {
   const fleet = new Fleet(new Map());
   fleet.isOwnFree = false;
   t.is(await fleet.getBlocker(), "version 1 is in use here");
 });
 
-test("an instance that does not reply blocks for 30 s, one that uses the version for as long as it uses it", async (t) => {
+test("an instance that does not reply blocks retirement for 30 s; use of the version blocks it without a time limit", async (t) => {
   const fleet = new Fleet(
     new Map<string, Reply>([
       ["e2", "unreached"],
@@ -76,7 +76,7 @@
   t.is(await fleet.getBlocker(), "version 1: e3 uses it");
 });
 
-test("the time without a reply counts from the last reply", async (t) => {
+test("a reply resets the time for which an instance has not replied", async (t) => {
   const fleet = new Fleet(new Map<string, Reply>([["e2", "unreached"]]));
   await fleet.getBlocker();
   fleet.nowMs = 20_000;
@@ -87,7 +87,7 @@
   t.is(await fleet.getBlocker(), "version 1: e2 has not answered");
 });
 
-test("a request is answered by what is in use, and an invalid one by nothing", async (t) => {
+test("a retirement request is answered with whether the version is free, an invalid one is not answered", async (t) => {
   const fleet = new Fleet(new Map());
   const from = { name: "e1", availabilityZone: "a" };
   const request = async (body: unknown): Promise<unknown> => fleet.handler?.(body, from);
