--- a/packages/cli/bin/shedtiller.js
+++ b/packages/cli/bin/shedtiller.js
@@ -1,4 +1,4 @@
 #!/usr/bin/env node
-// A dependency of restify still reads process.binding; the warning says nothing to a user.
+// Hides the deprecation warning about process.binding, which a dependency of restify causes and users can't resolve.
 process.noDeprecation = true;
 await import("../dist/main.js");
--- a/packages/cli/src/commands/CommandContext.ts
+++ b/packages/cli/src/commands/CommandContext.ts
@@ -6,14 +6,14 @@
 export const exitCodes = {
   ok: 0,
   /** The command ran with a negative result: a trace did not hold, a plan was rejected, a file has faults. */
-  no: 1,
+  negativeResult: 1,
   /** The command could not run: invalid arguments, unreadable input, no instance reached. */
-  unusable: 2,
+  error: 2,
 } as const;
 
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
 
-/** Options that every command has. */
+/** Options that several commands have in common. */
 export interface CommonOptions {
   readonly json?: boolean;
   /** IP address and port of any instance's operator listener. */
@@ -34,7 +34,7 @@
   process.stderr.write(`${text}\n`);
 }
 
-/** An instance answered with an error. */
+/** An instance answered a call of the operators' interface with an error. */
 export class OperatorError extends errors.ShedtillerError {
   readonly code = "operator_error";
 
@@ -53,15 +53,15 @@
   readonly body: unknown;
 }
 
-type Answer = results.Result<OperatorAnswer, errors.ShedtillerError>;
+type OperatorResult = results.Result<OperatorAnswer, errors.ShedtillerError>;
 
-/** Calls the operators' interface of one instance. Responses with a status below 300 or of 409 are results, others errors. */
+/** Calls the operators' interface of one instance. Responses with a status below 300 or of 409 are results, all others are errors. */
 export async function callOperator(
   options: CommonOptions,
   method: "GET" | "POST" | "PUT",
   path: string,
   json?: unknown,
-): Promise<Answer> {
+): Promise<OperatorResult> {
   const address = options.operator ?? process.env["SHEDTILLER_OPERATOR_ADDRESS"] ?? defaultOperatorAddress;
   const token = process.env[tokenVariable];
   if (token === undefined || token === "") {
@@ -78,7 +78,7 @@
       throwHttpErrors: false,
       timeout: { request: requestTimeoutMs },
     });
-    return readAnswer(address, response.statusCode, response.body);
+    return parseAnswer(address, response.statusCode, response.body);
   } catch (error) {
     return results.Err(new errors.NotReachedError(address, error));
   }
@@ -87,7 +87,7 @@
 const conflictStatus = 409;
 const firstErrorStatus = 300;
 
-function readAnswer(address: string, status: number, text: string): Answer {
+function parseAnswer(address: string, status: number, text: string): OperatorResult {
   let body: unknown;
   try {
     body = JSON.parse(text);
@@ -100,7 +100,7 @@
 }
 
 /** Prints an error that kept the command from running, and returns its exit code. */
-export function failUnusable(error: errors.ShedtillerError): ExitCode {
+export function failWithError(error: errors.ShedtillerError): ExitCode {
   printError(error.message);
-  return exitCodes.unusable;
+  return exitCodes.error;
 }
--- a/packages/cli/src/commands/check.ts
+++ b/packages/cli/src/commands/check.ts
@@ -15,11 +15,11 @@
   readonly daemon?: string;
 }
 
-/** Section that only a gateway's settings have, since only gateways read the platform's store. */
+/** Matches the section that only a gateway's settings have, since only gateways read the platform's store. */
 const gatewaySectionPattern = /^\s*\[store\]\s*$/m;
-/** Reason of a fault about a name rather than a value. */
+/** Matches the reason of a fault in the name of a section or key, rather than in a value. */
 const unknownNamePattern = /^is not a known name/;
-/** Placeholder that the platform replaces by a value at each start of a process. */
+/** Matches a placeholder that the platform replaces by a value at each start of a process. */
 const placeholderPattern = /\{\{.*\}\}/;
 
 const loaders: Readonly<Record<Daemon, (file: string) => results.Result<unknown, SettingsError>>> = {
@@ -33,7 +33,7 @@
   const daemon = options.daemon ?? (gatewaySectionPattern.test(text) ? "gateway" : "entry");
   if (!isDaemon(daemon)) {
     printError(`Unknown daemon ${daemon}; expected ${daemons.join(" or ")}.`);
-    return exitCodes.unusable;
+    return exitCodes.error;
   }
   const loaded = loaders[daemon](file);
   const faults = loaded.ok ? [] : loaded.val.faults.filter((fault) => !isPlaceholderFault(fault, text, file));
@@ -41,7 +41,7 @@
     print(JSON.stringify({ file, daemon, faults: faults.map(({ place, reason }) => ({ place, reason })) }));
   } else if (faults.length === 0) print(`${file} is valid (${daemon}).`);
   else printError(faults.map((fault) => fault.message).join("\n"));
-  return faults.length === 0 ? exitCodes.ok : exitCodes.no;
+  return faults.length === 0 ? exitCodes.ok : exitCodes.negativeResult;
 }
 
 function isDaemon(name: string): name is Daemon {
@@ -57,7 +57,7 @@
   }
 }
 
-/** Returns whether a fault is only that a value is a template's placeholder. Names are never placeholders. */
+/** Returns whether a fault is caused only by a placeholder for a value in a template. Names are never placeholders. */
 function isPlaceholderFault(fault: errors.InvalidInputError, text: string, file: string): boolean {
   if (unknownNamePattern.test(fault.reason)) return false;
   const place = fault.place.slice(file.length);
--- a/packages/cli/src/commands/plans.ts
+++ b/packages/cli/src/commands/plans.ts
@@ -6,7 +6,7 @@
 import {
   callOperator,
   exitCodes,
-  failUnusable,
+  failWithError,
   print,
   type CommonOptions,
   type ExitCode,
@@ -34,9 +34,9 @@
 /** Submits an intent and prints the resulting plan. */
 export async function runPlan(file: string, options: CommonOptions): Promise<ExitCode> {
   const intent = readIntent(file);
-  if (intent.err) return failUnusable(intent.val);
+  if (intent.err) return failWithError(intent.val);
   const answer = await callOperator(options, "POST", "/v1/plans", intent.val);
-  if (answer.err) return failUnusable(answer.val);
+  if (answer.err) return failWithError(answer.val);
   const planned = plannedSchema.parse(answer.val.body);
   print(options.json === true ? JSON.stringify(answer.val.body) : planned.text);
   return exitCodes.ok;
@@ -45,17 +45,17 @@
 /** Confirms a plan and prints its outcome. */
 export async function runConfirm(planId: string, options: CommonOptions): Promise<ExitCode> {
   const answer = await callOperator(options, "POST", `/v1/plans/${encodeURIComponent(planId)}/confirm`);
-  if (answer.err) return failUnusable(answer.val);
+  if (answer.err) return failWithError(answer.val);
   const { outcome, isInForce, missing } = confirmedSchema.parse(answer.val.body);
   if (options.json === true) print(JSON.stringify(answer.val.body));
   else print(describeConfirmation(outcome, isInForce, missing));
-  return outcome.isAccepted ? exitCodes.ok : exitCodes.no;
+  return outcome.isAccepted ? exitCodes.ok : exitCodes.negativeResult;
 }
 
 /** Prints a plan and its outcome. */
 export async function runShow(planId: string, options: CommonOptions): Promise<ExitCode> {
   const answer = await callOperator(options, "GET", `/v1/plans/${encodeURIComponent(planId)}`);
-  if (answer.err) return failUnusable(answer.val);
+  if (answer.err) return failWithError(answer.val);
   const { text, outcome } = shownSchema.parse(answer.val.body);
   if (options.json === true) print(JSON.stringify(answer.val.body));
   else {
--- a/packages/cli/src/commands/readIniIntent.ts
+++ b/packages/cli/src/commands/readIniIntent.ts
@@ -1,4 +1,4 @@
-/** Intents in INI form: `[intent] operator = …`, then one section per object, named kind.name. */
+/** Parsing of intents in INI form: a section `[intent]` with the operator, and a section `[kind.name]` for each object. */
 import { errors, results } from "@shedtiller/common";
 import { readIni } from "@shedtiller/settings";
 
@@ -27,11 +27,11 @@
       Object.assign(intent, converted.val);
       continue;
     }
-    const cut = section.indexOf(".");
-    const kind = section.slice(0, cut);
+    const separator = section.indexOf(".");
+    const kind = section.slice(0, separator);
     if (!kinds.has(kind))
       return results.Err(new errors.InvalidInputError(`${file}: [${section}]`, "expected kind.name"));
-    objects.push({ kind, name: section.slice(cut + 1), ...converted.val });
+    objects.push({ kind, name: section.slice(separator + 1), ...converted.val });
   }
   return results.Ok({ ...intent, objects });
 }
@@ -44,9 +44,7 @@
   for (const [field, text] of Object.entries(fields)) {
     const value = convert(field, text);
     if (value === undefined)
-      return results.Err(
-        new errors.InvalidInputError(`${place} ${field}`, "does not have the expected form"),
-      );
+      return results.Err(new errors.InvalidInputError(`${place} ${field}`, "has a value of the wrong type"));
     converted[field] = value;
   }
   return results.Ok(converted);
--- a/packages/cli/src/commands/replay.ts
+++ b/packages/cli/src/commands/replay.ts
@@ -2,19 +2,19 @@
 import type { TraceVerdict } from "@shedtiller/standins";
 import {
   exitCodes,
-  failUnusable,
+  failWithError,
   print,
   printError,
   type CommonOptions,
   type ExitCode,
 } from "./CommandContext.js";
 
-/** Replays a trace and prints the outcomes and the expectations that failed. */
+/** Replays a trace and prints the outcomes and the failed expectations. */
 export async function runReplay(file: string, options: CommonOptions): Promise<ExitCode> {
   // The stand-ins are imported here, so that the other commands start without loading them.
   const { checkTrace, readTrace, runTrace } = await import("@shedtiller/standins");
   const trace = readTrace(file);
-  if (trace.err) return failUnusable(trace.val);
+  if (trace.err) return failWithError(trace.val);
   if (process.stderr.isTTY)
     printError(`Replaying ${trace.val.requests.length + trace.val.calls.length} requests …`);
   const record = await runTrace(trace.val);
@@ -22,7 +22,7 @@
   await record.fleet.close();
   if (options.json === true) print(JSON.stringify(verdict));
   else printVerdict(file, verdict);
-  return verdict.held ? exitCodes.ok : exitCodes.no;
+  return verdict.held ? exitCodes.ok : exitCodes.negativeResult;
 }
 
 function printVerdict(file: string, verdict: TraceVerdict): void {
--- a/packages/cli/src/commands/status.ts
+++ b/packages/cli/src/commands/status.ts
@@ -4,7 +4,7 @@
 import {
   callOperator,
   exitCodes,
-  failUnusable,
+  failWithError,
   print,
   type CommonOptions,
   type ExitCode,
@@ -21,18 +21,18 @@
 type Status = zod.infer<typeof statusSchema>;
 const msPerSecond = 1000;
 
-/** Prints the status of all instances; the result is negative if an instance was not reached. */
+/** Prints the status of all instances; returns exit code 1 if an instance was not reached. */
 export async function runStatus(options: CommonOptions): Promise<ExitCode> {
   const answer = await callOperator(options, "GET", "/v1/status");
-  if (answer.err) return failUnusable(answer.val);
+  if (answer.err) return failWithError(answer.val);
   const status = statusSchema.parse(answer.val.body);
   if (options.json === true) print(JSON.stringify(answer.val.body));
   else printStatus(status);
-  return status.unreached.length === 0 ? exitCodes.ok : exitCodes.no;
+  return status.unreached.length === 0 ? exitCodes.ok : exitCodes.negativeResult;
 }
 
 function printStatus(status: Status): void {
-  print(`As ${status.askedInstance} sees it:`);
+  print(`Status as gathered by ${status.askedInstance}:`);
   for (const instance of status.instances) print(`  ${describeInstance(instance)}`);
   for (const { name, availabilityZone, sinceMs } of status.unreached) {
     const since = sinceMs === undefined ? "" : ` since ${new Date(sinceMs).toISOString()}`;
--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -10,7 +10,7 @@
 import {
   callOperator,
   exitCodes,
-  failUnusable,
+  failWithError,
   print,
   printError,
   type CommonOptions,
@@ -22,9 +22,9 @@
 
 /** Options of the command. */
 export interface TimelineOptions extends CommonOptions {
-  /** Only events of this request. */
+  /** Prints only events of this request. */
   readonly request?: string;
-  /** Only events of the last so many seconds. */
+  /** Prints only events of this last number of seconds. */
   readonly since?: number;
   /** Prints new events as they arrive, until interrupted. */
   readonly follow?: boolean;
@@ -32,14 +32,14 @@
   readonly trace?: boolean;
 }
 
-/** Prints events once or continuously; the result is negative if an instance was not reached. */
+/** Prints events once or continuously; returns exit code 1 if an instance was not reached. */
 export async function runTimeline(options: TimelineOptions): Promise<ExitCode> {
   let sinceMs = options.since === undefined ? 0 : utils.wallMs() - options.since * utils.msPerSecond;
   let startMs: number | undefined;
   const seen = new Set<string>();
   for (;;) {
     const answer = await callOperator(options, "GET", getPath(options, sinceMs));
-    if (answer.err) return failUnusable(answer.val);
+    if (answer.err) return failWithError(answer.val);
     const { events, gaps } = timelineSchema.parse(answer.val.body);
     const fresh = events.filter((event) => !seen.has(getEventId(event)));
     for (const event of fresh) seen.add(getEventId(event));
@@ -47,7 +47,7 @@
     printEvents(fresh, startMs ?? 0, options);
     if (gaps.length > 0)
       printError(`Events are missing from instances that were not reached: ${gaps.join(", ")}.`);
-    if (options.follow !== true) return gaps.length === 0 ? exitCodes.ok : exitCodes.no;
+    if (options.follow !== true) return gaps.length === 0 ? exitCodes.ok : exitCodes.negativeResult;
     const lastMs = events[events.length - 1]?.stamp.wallMs;
     // Events of other instances may arrive late; the next request overlaps by 1 s to include them.
     if (lastMs !== undefined) sinceMs = lastMs - utils.msPerSecond;
--- a/packages/cli/src/explain/explainRequest.ts
+++ b/packages/cli/src/explain/explainRequest.ts
@@ -1,7 +1,7 @@
 /** Selection of the log lines that explain a request: its own, and those of events that may have caused its outcome. */
 import { getWallMs, type LogLine } from "./logLine.js";
 
-/** Time before a request in which an event counts as a possible cause: suspicions, drains and stops last for seconds. */
+/** Time before a request in which an event counts as a possible cause, since suspicions, drains and stops last for seconds. */
 const causeWindowMs = 8_000;
 
 /** Messages about events that affect all requests of an instance. */
@@ -31,7 +31,7 @@
   const toMs = Math.max(...own.map(getWallMs));
   const instances = new Set(own.map((line) => line.instance));
   const endpoints = new Set(own.flatMap(getEndpoints));
-  const isAboutRoom = own.some((line) => capacityReasons.includes(line["reason"] ?? line["outcome"]));
+  const lackedCapacity = own.some((line) => capacityReasons.includes(line["reason"] ?? line["outcome"]));
   const digests = new Set(
     own.flatMap((line) => (typeof line["digest"] === "string" ? [line["digest"]] : [])),
   );
@@ -43,13 +43,13 @@
     if (wallMs < fromMs || wallMs > toMs) return false;
     if (getEndpoints(line).some((endpoint) => endpoints.has(endpoint))) return true;
     if (!instances.has(line.instance)) return false;
-    return matches(line, instanceMessages) || (isAboutRoom && matches(line, capacityMessages));
+    return matches(line, instanceMessages) || (lackedCapacity && matches(line, capacityMessages));
   };
-  const explaining = lines.filter((line) => line.requestId === requestId || isCause(line));
-  return explaining.sort((a, b) => getWallMs(a) - getWallMs(b));
+  const explanation = lines.filter((line) => line.requestId === requestId || isCause(line));
+  return explanation.sort((a, b) => getWallMs(a) - getWallMs(b));
 }
 
-/** Returns the start of a request by one of its lines: the line that ends the request has its duration. */
+/** Returns the start time of a request according to one of its lines; only the line that ends the request has its duration. */
 function getStartMs(line: LogLine): number {
   const { tookMs } = line;
   return getWallMs(line) - (typeof tookMs === "number" ? tookMs : 0);
@@ -70,8 +70,8 @@
 
 /** Formats a line as text: time, instance, message and fields. */
 export function formatExplained({ timestamp, instance, message, level: _level, ...fields }: LogLine): string {
-  const inputs = Object.entries(fields).map(([name, value]) => `${name}=${formatValue(value)}`);
-  return `${timestamp}  ${instance}  ${message}  ${inputs.join(" ")}`.trimEnd();
+  const fieldTexts = Object.entries(fields).map(([name, value]) => `${name}=${formatValue(value)}`);
+  return `${timestamp}  ${instance}  ${message}  ${fieldTexts.join(" ")}`.trimEnd();
 }
 
 function formatValue(value: unknown): string {
--- a/packages/cli/src/explain/logLine.ts
+++ b/packages/cli/src/explain/logLine.ts
@@ -10,6 +10,8 @@
   endpointId: zod.string().optional(),
   address: zod.string().optional(),
 });
+
+/** A line of an instance's structured log. */
 export type LogLine = zod.infer<typeof logLineSchema>;
 
 /** Parses a line. A prefix before the JSON object, such as a time or a host, is skipped. */
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,2 +1,2 @@
-/** The package exports nothing, since its interface is the commands. */
+/** The package exports nothing, since its interface consists of commands. */
 export {};
--- a/packages/cli/src/losses/classifyEnd.ts
+++ b/packages/cli/src/losses/classifyEnd.ts
@@ -47,7 +47,7 @@
 const successPattern = /^status 2\d\d$/;
 const statusPattern = /^status \d+$/;
 
-/** Returns how a request ended by the line that ends it; undefined for other lines. */
+/** Returns how a request ended, by the log line of its end; undefined for other lines. */
 export function classifyEnd(line: LogLine): EndKind | undefined {
   if (line.message === "request-refused") return endsByRefusal[String(line["reason"])] ?? "refused: other";
   if (line.message !== "request-ended") return undefined;
@@ -58,7 +58,7 @@
   return endsByRefusal[outcome] ?? endsByFailure[outcome] ?? "refused: other";
 }
 
-/** Returns how a complete stream was late, by the first reason that applies, or that it was in time. */
+/** Returns whether a completed stream was in time, or the first reason that applies why it was late. */
 function classifyStream(line: LogLine): EndKind {
   const attempts = Number(line["attempts"] ?? 1);
   if (line["isFirstEventLate"] === true) {
--- a/packages/cli/src/losses/countLosses.ts
+++ b/packages/cli/src/losses/countLosses.ts
@@ -3,7 +3,7 @@
 import { getWallMs, type LogLine } from "../explain/logLine.js";
 import { endKinds, classifyEnd, type EndKind } from "./classifyEnd.js";
 
-/** Number of requests of one route that arrived in the same span of time and ended in the same way. */
+/** Number of requests of one route that arrived in the same time span and ended in the same way. */
 export interface LossRow {
   /** Seconds from the first line of the logs to the start of the span. */
   readonly fromS: number;
@@ -14,7 +14,10 @@
 
 /** Counts the ended requests in `lines`, by the spans of `spanS` seconds in which they arrived. */
 export function countLosses(lines: readonly LogLine[], spanS: number): LossRow[] {
-  const firstMs = lines.reduce((least, line) => Math.min(least, getWallMs(line)), Number.POSITIVE_INFINITY);
+  const firstMs = lines.reduce(
+    (earliestMs, line) => Math.min(earliestMs, getWallMs(line)),
+    Number.POSITIVE_INFINITY,
+  );
   const counts = new Map<string, LossRow>();
   for (const line of lines) {
     const end = classifyEnd(line);
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -79,7 +79,7 @@
   if (program.options["help"] === true) return exitCodes.ok;
   if (program.matchedCommand === undefined) {
     printError(`${program.args[0] ?? "Nothing"} is not a command; see shedtiller --help.`);
-    return exitCodes.unusable;
+    return exitCodes.error;
   }
   return (await program.runMatchedCommand()) as ExitCode;
 }
@@ -88,5 +88,5 @@
   process.exitCode = await main();
 } catch (error) {
   printError(errors.describeError(error));
-  process.exitCode = exitCodes.unusable;
+  process.exitCode = exitCodes.error;
 }
--- a/packages/cli/src/tests/checkTests.ts
+++ b/packages/cli/src/tests/checkTests.ts
@@ -7,17 +7,17 @@
 
 const command = path.resolve("packages/cli/bin/shedtiller.js");
 
-interface Ended {
+interface CommandResult {
   readonly status: number | null;
   readonly output: string;
 }
 
-function run(...args: string[]): Ended {
+function run(...args: string[]): CommandResult {
   const { status, stdout, stderr } = spawnSync(process.execPath, [command, ...args], { encoding: "utf8" });
   return { status, output: stdout + stderr };
 }
 
-function write(t: ExecutionContext, text: string): string {
+function writeSettings(t: ExecutionContext, text: string): string {
   const folder = fs.mkdtempSync(path.join(os.tmpdir(), "shedtiller-check-"));
   t.teardown(() => fs.rmSync(folder, { recursive: true }));
   const file = path.join(folder, "settings.ini");
@@ -28,29 +28,29 @@
 const template = fs.readFileSync("platform/settings.ini", "utf8");
 
 test("a gateway's template has no faults, although its values are placeholders", (t) => {
-  const ended = run("check", "platform/settings.ini");
-  t.is(ended.status, 0, ended.output);
-  t.regex(ended.output, /\(gateway\)/);
+  const result = run("check", "platform/settings.ini");
+  t.is(result.status, 0, result.output);
+  t.regex(result.output, /\(gateway\)/);
 });
 
 test("an entry's settings are checked by the entry's schema", (t) => {
-  const ended = run("check", "examples/lakeshore-east-1.ini");
-  t.is(ended.status, 0, ended.output);
-  t.regex(ended.output, /\(entry\)/);
+  const result = run("check", "examples/lakeshore-east-1.ini");
+  t.is(result.status, 0, result.output);
+  t.regex(result.output, /\(entry\)/);
 });
 
 test("a misspelt name in a gateway's settings is reported with its line, its field and the nearest name", (t) => {
-  const file = write(t, template.replace("budgetSlack", "budgetSlck"));
-  const ended = run("check", file);
-  t.is(ended.status, 1);
-  t.regex(ended.output, /settings\.ini:\d+: \[retries\] budgetSlck.*did you mean budgetSlack/);
+  const file = writeSettings(t, template.replace("budgetSlack", "budgetSlck"));
+  const result = run("check", file);
+  t.is(result.status, 1);
+  t.regex(result.output, /settings\.ini:\d+: \[retries\] budgetSlck.*did you mean budgetSlack/);
 });
 
 test("an invalid value is a fault in a template as well", (t) => {
-  const file = write(t, template.replace("{{bounds.budget-window-s}}", "soon"));
-  const ended = run("check", "--json", file);
-  t.is(ended.status, 1);
-  const { daemon, faults } = JSON.parse(ended.output) as { daemon: string; faults: { place: string }[] };
+  const file = writeSettings(t, template.replace("{{bounds.budget-window-s}}", "soon"));
+  const result = run("check", "--json", file);
+  t.is(result.status, 1);
+  const { daemon, faults } = JSON.parse(result.output) as { daemon: string; faults: { place: string }[] };
   t.is(daemon, "gateway");
   t.is(faults.length, 1);
   t.regex(faults[0]?.place ?? "", /\[retries\] budgetWindowS$/);
--- a/packages/cli/src/tests/examplesTests.ts
+++ b/packages/cli/src/tests/examplesTests.ts
@@ -38,7 +38,8 @@
   readonly stderr: string;
 }
 
-async function fail(...args: string[]): Promise<Failure> {
+/** Runs the command line without an operator token, and returns its exit code and error output. */
+async function runToFailure(...args: string[]): Promise<Failure> {
   return run(process.execPath, [shedtiller, ...args], {
     env: { ...process.env, SHEDTILLER_OPERATOR_TOKEN: "" },
   }).then(
@@ -55,7 +56,7 @@
     [["dance"], /dance is not a command/],
   ];
   for (const [args, message] of cases) {
-    const failure = await fail(...args);
+    const failure = await runToFailure(...args);
     t.is(failure.code, 2);
     t.regex(failure.stderr, message);
   }
@@ -64,7 +65,7 @@
 test("check exits with 1 and lists every fault with its line", async (t) => {
   const file = `${root}packages/cli/dist/faulty.ini`;
   fs.writeFileSync(file, "[instance]\nnme = e1\navailabilityZone = z\n");
-  const failure = await fail("check", file);
+  const failure = await runToFailure("check", file);
   t.is(failure.code, 1);
   t.regex(failure.stderr, /faulty\.ini:2: \[instance\] nme: .*did you mean name/);
   t.regex(failure.stderr, /callerAddress/);
@@ -72,7 +73,7 @@
 
 test("key creates a key of which only the hash is stored", async (t) => {
   const { stdout } = await run(process.execPath, [shedtiller, "key", "--json"]);
-  const made = JSON.parse(stdout) as { key: string; hash: string };
-  t.regex(made.key, /^sk-/);
-  t.false(made.hash.includes(made.key.split("-")[2] ?? ""));
+  const created = JSON.parse(stdout) as { key: string; hash: string };
+  t.regex(created.key, /^sk-/);
+  t.false(created.hash.includes(created.key.split("-")[2] ?? ""));
 });
--- a/packages/cli/src/tests/explainTests.ts
+++ b/packages/cli/src/tests/explainTests.ts
@@ -12,26 +12,26 @@
 const shedtiller = url.fileURLToPath(new URL("../../bin/shedtiller.js", import.meta.url));
 const run = util.promisify(childProcess.execFile);
 
-function create(second: number, instance: string, message: string, fields: object = {}): LogLine {
+function createLine(second: number, instance: string, message: string, fields: object = {}): LogLine {
   const timestamp = new Date(1_700_000_000_000 + second * 1_000).toISOString();
   return { level: "info", message, instance, timestamp, ...fields };
 }
 
 const chain = ["10.0.0.1:80=0-40", "10.0.0.2:80=40-80"];
 const lines = [
-  create(0, "a", "instance-started"),
-  create(20, "b", "endpoint-suspected", { endpointId: "e2", address: "10.0.0.2:80" }),
-  create(21, "a", "stream-run-failed", { requestId: "r1", cause: "stream broken off", chain }),
-  create(20.5, "a", "endpoint-gone", { endpointId: "e2", address: "10.0.0.2:80" }),
-  create(20.6, "a", "endpoint-gone", { endpointId: "e9", address: "10.0.0.9:80" }),
-  create(21, "a", "request-ended", { requestId: "r2", outcome: "completed", chain }),
-  create(22, "a", "request-ended", { requestId: "r1", outcome: "outcome-unknown", tookMs: 3_000, chain }),
-  create(19, "a", "configuration-in-force", { version: 4 }),
-  create(19, "b", "configuration-in-force", { version: 4 }),
-  create(30, "a", "endpoint-added", { endpointId: "e3", address: "10.0.0.2:80" }),
+  createLine(0, "a", "instance-started"),
+  createLine(20, "b", "endpoint-suspected", { endpointId: "e2", address: "10.0.0.2:80" }),
+  createLine(21, "a", "stream-run-failed", { requestId: "r1", cause: "stream broken off", chain }),
+  createLine(20.5, "a", "endpoint-gone", { endpointId: "e2", address: "10.0.0.2:80" }),
+  createLine(20.6, "a", "endpoint-gone", { endpointId: "e9", address: "10.0.0.9:80" }),
+  createLine(21, "a", "request-ended", { requestId: "r2", outcome: "completed", chain }),
+  createLine(22, "a", "request-ended", { requestId: "r1", outcome: "outcome-unknown", tookMs: 3_000, chain }),
+  createLine(19, "a", "configuration-in-force", { version: 4 }),
+  createLine(19, "b", "configuration-in-force", { version: 4 }),
+  createLine(30, "a", "endpoint-added", { endpointId: "e3", address: "10.0.0.2:80" }),
 ];
 
-test("a cut request has its own lines, those of its engines at all instances, and its instance's configuration", (t) => {
+test("an interrupted request is explained by its own lines, its engines' lines at all instances, and its instance's configuration", (t) => {
   const found = explainRequest("r1", lines).map((line) => `${line.instance} ${line.message}`);
   t.deepEqual(found, [
     "a configuration-in-force",
@@ -42,20 +42,20 @@
   ]);
 });
 
-test("a request that lacked capacity has the lines of endpoints that were lost before it as well", (t) => {
-  const refused = create(23, "a", "stream-refused", { requestId: "r3", reason: "no-room" });
+test("a request that lacked capacity is also explained by endpoints that were lost before the request", (t) => {
+  const refused = createLine(23, "a", "stream-refused", { requestId: "r3", reason: "no-room" });
   const found = explainRequest("r3", [...lines, refused]).map((line) => line.message);
   t.deepEqual(found, ["configuration-in-force", "endpoint-gone", "endpoint-gone", "stream-refused"]);
 });
 
-test("a quarantined request has the crashes of equal requests, minutes before and at other instances", (t) => {
+test("a quarantined request is explained by crashes of equal requests, even minutes earlier and at other instances", (t) => {
   const crashLines = [
-    create(1, "a", "crash-counted", { digest: "d1", endpointId: "e1", weight: 1 }),
-    create(2, "b", "crash-counted", { digest: "d1", endpointId: "e2", weight: 1 }),
-    create(2, "b", "crash-counted", { digest: "d2", endpointId: "e2", weight: 1 }),
-    create(3, "b", "request-held", { digest: "d1" }),
-    create(200, "a", "request-held-back", { requestId: "r5", digest: "d1" }),
-    create(201, "b", "request-released", { digest: "d1" }),
+    createLine(1, "a", "crash-counted", { digest: "d1", endpointId: "e1", weight: 1 }),
+    createLine(2, "b", "crash-counted", { digest: "d1", endpointId: "e2", weight: 1 }),
+    createLine(2, "b", "crash-counted", { digest: "d2", endpointId: "e2", weight: 1 }),
+    createLine(3, "b", "request-held", { digest: "d1" }),
+    createLine(200, "a", "request-held-back", { requestId: "r5", digest: "d1" }),
+    createLine(201, "b", "request-released", { digest: "d1" }),
   ];
   t.deepEqual(
     explainRequest("r5", crashLines).map((line) => line.message),
@@ -63,10 +63,14 @@
   );
 });
 
-test("a request refused for a stale configuration has the loss of the store", (t) => {
+test("a request refused for a stale configuration is explained by the loss of the configuration store", (t) => {
   const staleLines = [
-    create(2, "a", "configuration-store-lost", { cause: "no answer" }),
-    create(7, "a", "request-refused", { requestId: "r4", reason: "stale-configuration", proofAgeMs: 4_700 }),
+    createLine(2, "a", "configuration-store-lost", { cause: "no answer" }),
+    createLine(7, "a", "request-refused", {
+      requestId: "r4",
+      reason: "stale-configuration",
+      proofAgeMs: 4_700,
+    }),
   ];
   t.deepEqual(
     explainRequest("r4", staleLines).map((line) => line.message),
@@ -74,7 +78,7 @@
   );
 });
 
-test("a line may have a time and a host before its object; lines without an object are errors with their place", (t) => {
+test("a log line may have a prefix before its JSON object; a line without an object is an error that names the line", (t) => {
   const good = parseLogLine(`12.5 front-1 ${JSON.stringify(lines[0])}`, "x.log:1");
   t.is(good.ok ? good.val.message : "", "instance-started");
   const bad = parseLogLine("no object", "x.log:2");
--- a/packages/cli/src/tests/lossesTests.ts
+++ b/packages/cli/src/tests/lossesTests.ts
@@ -4,16 +4,16 @@
 import { countLosses, formatLosses } from "../losses/countLosses.js";
 import { classifyEnd } from "../losses/classifyEnd.js";
 
-function create(second: number, fields: object, message = "request-ended"): LogLine {
+function createLine(second: number, fields: object, message = "request-ended"): LogLine {
   const timestamp = new Date(1_700_000_000_000 + second * 1_000).toISOString();
   return { level: "info", message, instance: "a", timestamp, ...fields };
 }
 
 const inTime = { outcome: "completed", attempts: 1, isFirstEventLate: false, isPauseLate: false };
 
-test("each line that ends a request is classified", (t) => {
+test("each line that ends a request is classified by its outcome or reason", (t) => {
   const classify = (fields: object, message?: string): string | undefined =>
-    classifyEnd(create(0, fields, message));
+    classifyEnd(createLine(0, fields, message));
   t.is(classify(inTime), "in time");
   t.is(classify({ outcome: "status 200" }), "in time");
   t.is(
@@ -37,12 +37,12 @@
   t.is(classify({}, "endpoint-gone"), undefined);
 });
 
-test("requests count in the span in which they arrived", (t) => {
+test("requests count in the time span in which they arrived", (t) => {
   const lines = [
-    create(0, {}, "instance-started"),
-    create(3, { ...inTime, route: "r", tookMs: 2_500 }),
-    create(3, { ...inTime, route: "r", tookMs: 500 }),
-    create(3.5, { outcome: "no-room", route: "r", tookMs: 0 }),
+    createLine(0, {}, "instance-started"),
+    createLine(3, { ...inTime, route: "r", tookMs: 2_500 }),
+    createLine(3, { ...inTime, route: "r", tookMs: 500 }),
+    createLine(3.5, { outcome: "no-room", route: "r", tookMs: 0 }),
   ];
   t.deepEqual(formatLosses(countLosses(lines, 2)), [
     "     0 s  in time 1",
