--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -238,7 +238,7 @@
     limits: c.get(admission.AccountLimits),
     demands: c.get(PipelineDemands),
     versions: c.get(VersionsInUse),
-    onCpu: (duty, tookMs) => metrics.controlSeconds.inc({ duty }, tookMs / utils.msPerSecond),
+    recordDutyTime: (duty, tookMs) => metrics.controlSeconds.inc({ duty }, tookMs / utils.msPerSecond),
   });
 }
 
--- a/packages/entry/src/feeds/ZoneStateExchange.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -57,7 +57,8 @@
   readonly limits: AccountLimits;
   readonly demands: PipelineDemands;
   readonly versions: VersionsInUse;
-  readonly onCpu: (duty: string, tookMs: number) => void;
+  /** Records the time for which a control duty occupied the event loop. */
+  readonly recordDutyTime: (duty: string, tookMs: number) => void;
 }
 
 /** Sends and receives engine reports, zone digests, demands and the versions in use. */
@@ -183,7 +184,7 @@
     for (const entry of this._getOwnedEngines()) this._addReport(body, entry);
     const zone = membership.self.availabilityZone;
     membership.notifyAll(reportsTopic, body, (member) => member.availabilityZone === zone);
-    this._structure.onCpu("reports", utils.monotonicMs() - startMs);
+    this._structure.recordDutyTime("reports", utils.monotonicMs() - startMs);
   }
 
   /** Returns whether to send the accounts' demands in this round. They are large, and have a traffic budget of their own. */
@@ -225,7 +226,7 @@
     if (reports.data.accounts !== undefined) this._structure.limits.setDemands(from, reports.data.accounts);
     this._structure.demands.setOther(from, reports.data.pipelines, 1);
     this._structure.versions.setOther(from, reports.data.versions);
-    this._structure.onCpu("reports", utils.monotonicMs() - startMs);
+    this._structure.recordDutyTime("reports", utils.monotonicMs() - startMs);
   }
 
   private _applyReports(reports: Reports): void {
@@ -334,7 +335,7 @@
     this._structure.limits.setDemands(getZoneSource(availabilityZone), accounts ?? [], instanceCount);
     this._structure.demands.setOther(getZoneSource(availabilityZone), pipelines, instanceCount);
     this._structure.versions.setOther(getZoneSource(availabilityZone), digest.data.versions);
-    this._structure.onCpu("digests", utils.monotonicMs() - startMs);
+    this._structure.recordDutyTime("digests", utils.monotonicMs() - startMs);
   }
 }
 
--- a/packages/entry/src/operators/StatusGatherer.ts
+++ b/packages/entry/src/operators/StatusGatherer.ts
@@ -37,8 +37,8 @@
   readonly unreached: readonly { name: string; availabilityZone: string; sinceMs: number | undefined }[];
 }
 
-/** Sources of an instance's own status. */
-export interface StatusSources {
+/** Dependencies of {@link StatusGatherer}: the sources of an instance's own status. */
+export interface StatusGathererStructure {
   readonly membership: Membership;
   readonly configuration: ConfigurationProjection;
   readonly getLogAgeMs: () => number | undefined;
@@ -52,24 +52,24 @@
   private _offsetSinceMs = utils.wallMs();
   private readonly _timeouts = new utils.AdaptiveTimeout(initialTimeoutMs, maxTimeoutMs);
 
-  constructor(private readonly _sources: StatusSources) {
-    _sources.membership.onRequest(statusTopic, () => this.getOwn());
-    _sources.configuration.onChanged(() => {
+  constructor(private readonly _structure: StatusGathererStructure) {
+    _structure.membership.onRequest(statusTopic, () => this.getOwn());
+    _structure.configuration.onChanged(() => {
       this._offsetSinceMs = utils.wallMs();
     });
   }
 
   /** Returns this instance's status. */
   getOwn(): InstanceStatus {
-    const { membership, configuration } = this._sources;
+    const { membership, configuration } = this._structure;
     return {
       ...membership.self,
       offset: configuration.offset,
       offsetSinceMs: this._offsetSinceMs,
-      logAgeMs: this._sources.getLogAgeMs(),
-      isReady: this._sources.isReady(),
-      isDraining: this._sources.isDraining(),
-      activeRequests: this._sources.getActiveRequests(),
+      logAgeMs: this._structure.getLogAgeMs(),
+      isReady: this._structure.isReady(),
+      isDraining: this._structure.isDraining(),
+      activeRequests: this._structure.getActiveRequests(),
       cutOffSinceMs: membership.getCutOffSinceMs(),
       unknownRecords: configuration.unknownRecords.length,
     };
@@ -77,7 +77,7 @@
 
   /** Requests the status of all instances. */
   async gather(): Promise<FleetStatus> {
-    const { membership } = this._sources;
+    const { membership } = this._structure;
     const members = membership.getMembers();
     const answers = await Promise.all(members.map((member) => this._requestStatus(member)));
     const unreached = members
@@ -91,7 +91,7 @@
   private async _requestStatus(member: Member): Promise<InstanceStatus | undefined> {
     const { name } = member;
     const requestedAtMs = utils.monotonicMs();
-    const reply = await this._sources.membership.request(
+    const reply = await this._structure.membership.request(
       name,
       statusTopic,
       null,
--- a/packages/settings/src/checkSettings.ts
+++ b/packages/settings/src/checkSettings.ts
@@ -65,15 +65,15 @@
   file: string,
 ): results.Result<InstanceSettings, SettingsError> {
   const faults: errors.InvalidInputError[] = [];
-  const add = (section: string, key: string, reason: string): void => {
+  const addFault = (section: string, key: string, reason: string): void => {
     faults.push(new errors.InvalidInputError(getPlace([section, key], document, file), reason));
   };
   if (settings.claims.horizonMs + maxClockSkewMs >= settings.platform.logRetentionMs) {
-    add("claims", "horizonMs", `must be more than ${maxClockSkewMs} ms below [platform] logRetentionMs`);
+    addFault("claims", "horizonMs", `must be more than ${maxClockSkewMs} ms below [platform] logRetentionMs`);
   }
   const { tlsCertificateFile, tlsKeyFile } = settings.security;
   if ((tlsCertificateFile === undefined) !== (tlsKeyFile === undefined)) {
-    add("security", "tlsCertificateFile", "must be set together with tlsKeyFile");
+    addFault("security", "tlsCertificateFile", "must be set together with tlsKeyFile");
   }
   return faults.length === 0 ? results.Ok(settings) : results.Err(new SettingsError(faults));
 }
