--- a/packages/cli/src/commands/timeline.ts
+++ b/packages/cli/src/commands/timeline.ts
@@ -24,7 +24,7 @@
 export interface TimelineOptions extends CommonOptions {
   /** Prints only events of this request. */
   readonly request?: string;
-  /** Prints only events of this last number of seconds. */
+  /** Prints only events of the last `since` seconds. */
   readonly since?: number;
   /** Prints new events as they arrive, until interrupted. */
   readonly follow?: boolean;
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -38,7 +38,7 @@
 program
   .command("timeline", "Show the events of all instances, merged")
   .option("--request <id>", "Only events of this request")
-  .option("--since <seconds>", "Only events of the last so many seconds")
+  .option("--since <seconds>", "Only events of the last <seconds> seconds")
   .option("--follow", "Keep printing events as they arrive")
   .option("--trace", "Print Trace Event JSON for a trace viewer")
   .option("--json", "Print JSON lines")
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -261,12 +261,12 @@
   container
     .bind(claims.ClaimBatcher)
     .toDynamicValue((c) => {
-      const members = c.get(membership.Membership);
+      const peers = c.get(membership.Membership);
       const structure: claims.ClaimBatcherStructure = {
         log: c.get(logservice.LogService),
         holder: name,
         appendsPerSecond: settings.platform.appendsPerSecond,
-        countAppenders: () => members.getMembers().length + 1,
+        countAppenders: () => peers.getMembers().length + 1,
       };
       return new claims.ClaimBatcher(structure, c.get<AbortController>(serviceIdentifiers.shutdown).signal);
     })
--- a/packages/entry/src/http/AnswerWriter.ts
+++ b/packages/entry/src/http/AnswerWriter.ts
@@ -22,7 +22,7 @@
 export class AnswerWriter {
   private _text = "";
   private _tokens = 0;
-  private _isBegun = false;
+  private _isHeadWritten = false;
   private readonly _createdS = Math.floor(Date.now() / msPerSecond);
   /** Start of every stream event. It is rendered once, since it is the same in all events. */
   private readonly _prefix: string;
@@ -46,7 +46,7 @@
       this._text += text;
       return;
     }
-    this._begin();
+    this._writeHead();
     const quoted = JSON.stringify(text);
     const delta = this._structure.format === "chat" ? `"delta":{"content":${quoted}}` : `"text":${quoted}`;
     this._structure.response.write(`${this._prefix}${delta},"finish_reason":null}]}\n\n`);
@@ -60,7 +60,7 @@
     const { response, isStream } = this._structure;
     const reason = isEnd ? "stop" : "length";
     if (!isStream) return sendJson(response, okStatus, this._createJsonBody(reason));
-    this._begin();
+    this._writeHead();
     const delta = this._structure.format === "chat" ? `"delta":{}` : `"text":""`;
     response.write(`${this._prefix}${delta},"finish_reason":"${reason}"}]}\n\n`);
     response.end("data: [DONE]\n\n");
@@ -71,9 +71,9 @@
     this._structure.response.end(`data: ${JSON.stringify(toErrorBody(error))}\n\n`);
   }
 
-  private _begin(): void {
-    if (this._isBegun) return;
-    this._isBegun = true;
+  private _writeHead(): void {
+    if (this._isHeadWritten) return;
+    this._isHeadWritten = true;
     const { response, format } = this._structure;
     response.writeHead(okStatus, {
       "content-type": "text/event-stream",
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -63,7 +63,8 @@
   readonly promptTokens: readonly number[];
   readonly maxTokens: number;
   readonly deadlineMs: number;
-  readonly key: string | undefined;
+  /** Key under which the request runs at most once; undefined if the request is repeatable or has no key. */
+  readonly idempotencyKey: string | undefined;
   readonly isStream: boolean;
   readonly format: CompletionFormat;
   readonly signal: AbortSignal;
@@ -91,8 +92,8 @@
     const { inFlight, metrics } = this._structure;
     const controller = new AbortController();
     const completion = this._parse(request, format, controller.signal);
-    // A request with an idempotency key continues after its caller disconnects, so that a retry finds the answer.
-    if (completion.key === undefined) callerRequest.abortOnDisconnect(response, controller);
+    // A request that runs at most once continues after its caller disconnects, so that a retry finds the answer.
+    if (completion.idempotencyKey === undefined) callerRequest.abortOnDisconnect(response, controller);
     response.setHeader(requestIdHeader, completion.requestId);
     const removeRequest = inFlight.add(completion.requestId, controller);
     try {
@@ -127,7 +128,7 @@
       promptTokens: this._structure.tokenizer.encode(prompt),
       maxTokens: getMaxTokens(body),
       deadlineMs: callerRequest.getDeadlineMs(request, this._structure.settings.limits.requestTimeoutMs),
-      key: isRepeatable ? undefined : key,
+      idempotencyKey: isRepeatable ? undefined : key,
       isStream: body.stream,
       format,
       signal,
@@ -166,9 +167,9 @@
       promptTokens: promptTokens.length,
     });
     const outcome =
-      completion.key === undefined
+      completion.idempotencyKey === undefined
         ? await this._run(completion, writer)
-        : await this._runOnce(completion, completion.key, writer);
+        : await this._runAtMostOnce(completion, completion.idempotencyKey, writer);
     const { timeline, metrics } = this._structure;
     if (outcome.ok) {
       writer.finish(outcome.val.isEnd);
@@ -184,7 +185,7 @@
     return error.ran === "no" ? "refused" : "unknown";
   }
 
-  private async _runOnce(
+  private async _runAtMostOnce(
     completion: Completion,
     key: string,
     writer: AnswerWriter,
@@ -242,7 +243,7 @@
     // The version in force may have changed while the request waited for admission.
     const pipeline =
       this._structure.configuration.getObject("pipeline", completion.pipeline.name) ?? completion.pipeline;
-    const versions = await this._acquireVersion(pipeline, completion);
+    const requestVersion = await this._acquireVersion(pipeline, completion);
     const recordToken = this._createTokenTimer(completion.rank, arrivedAtMs);
     const run = new PipelineRun(
       context,
@@ -255,8 +256,8 @@
           body: Buffer.from(completion.promptTokens.join(",")),
         }),
         model: pipeline.name,
-        version: versions.initialVersion,
-        versions,
+        version: requestVersion.initialVersion,
+        versions: requestVersion,
         layerCount: pipeline.layerCount,
         promptTokens: completion.promptTokens,
         maxTokens: completion.maxTokens,
@@ -273,7 +274,7 @@
         writer.addToken(tokenizer.decode(token));
       });
     } finally {
-      versions.release();
+      requestVersion.release();
       queue.release();
       account.release(tokenCount === 0 ? 0 : completion.promptTokens.length + tokenCount);
     }
