--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -38,7 +38,7 @@
 program
   .command("timeline", "Show the events of all instances, merged")
   .option("--request <id>", "Only events of this request")
-  .option("--since <seconds>", "Only events of the last so many seconds")
+  .option("--since <seconds>", "Only events of the last <seconds> seconds")
   .option("--follow", "Keep printing events as they arrive")
   .option("--trace", "Print Trace Event JSON for a trace viewer")
   .option("--json", "Print JSON lines")
@@ -79,7 +79,7 @@
   if (program.options["help"] === true) return exitCodes.ok;
   if (program.matchedCommand === undefined) {
     printError(`${program.args[0] ?? "Nothing"} is not a command; see shedtiller --help.`);
-    return exitCodes.unusable;
+    return exitCodes.error;
   }
   return (await program.runMatchedCommand()) as ExitCode;
 }
@@ -88,5 +88,5 @@
   process.exitCode = await main();
 } catch (error) {
   printError(errors.describeError(error));
-  process.exitCode = exitCodes.unusable;
+  process.exitCode = exitCodes.error;
 }
--- a/packages/entry/src/feeds/ZoneStateExchange.ts
+++ b/packages/entry/src/feeds/ZoneStateExchange.ts
@@ -38,14 +38,16 @@
 /** Control traffic that one instance may send per second, by kind of message. */
 const reportBytesPerSecond = 1_200;
 const digestBytesPerSecond = 800;
+/** Estimated size of an account's demand in a message. */
 const demandBytes = 25;
 const demandBytesPerSecond = 600;
+/** Estimated size of an engine's load in a message. */
 const loadBytes = 14;
 /** Size of a full report, divided by the rounds between two full reports. */
 const amortizedFixedBytes = 26;
 const digestTimeoutMs = 1_000;
 const roundsPerFullReport = 10;
-/** Each instance polls an engine itself once its report is older than this many rounds. */
+/** An instance polls an engine itself once the engine's last report is older than this many rounds. */
 const maxReportAgeRounds = 5;
 
 /** Dependencies of {@link ZoneStateExchange}. */
@@ -55,7 +57,8 @@
   readonly limits: AccountLimits;
   readonly demands: PipelineDemands;
   readonly versions: VersionsInUse;
-  readonly onCpu: (duty: string, tookMs: number) => void;
+  /** Records the time for which a control duty occupied the event loop. */
+  readonly recordDutyTime: (duty: string, tookMs: number) => void;
 }
 
 /** Sends and receives engine reports, zone digests, demands and the versions in use. */
@@ -79,7 +82,7 @@
     directory.onDraining((entry) => membership.notifyAll(drainingTopic, entry.name));
   }
 
-  /** Runs both exchanges until `signal` aborts. */
+  /** Exchanges reports within the zone and digests with other zones until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await Promise.all([this._runReports(signal), this._runDigests(signal)]);
   }
@@ -181,10 +184,10 @@
     for (const entry of this._getOwnedEngines()) this._addReport(body, entry);
     const zone = membership.self.availabilityZone;
     membership.notifyAll(reportsTopic, body, (member) => member.availabilityZone === zone);
-    this._structure.onCpu("reports", utils.monotonicMs() - startMs);
+    this._structure.recordDutyTime("reports", utils.monotonicMs() - startMs);
   }
 
-  /** Returns whether to send the demands in this round. They are large, and have a traffic budget of their own. */
+  /** Returns whether to send the accounts' demands in this round. They are large, and have a traffic budget of their own. */
   private _areDemandsDue(demandCount: number): boolean {
     const { membership } = this._structure;
     const intervalMs = getBudgetIntervalMs({
@@ -223,7 +226,7 @@
     if (reports.data.accounts !== undefined) this._structure.limits.setDemands(from, reports.data.accounts);
     this._structure.demands.setOther(from, reports.data.pipelines, 1);
     this._structure.versions.setOther(from, reports.data.versions);
-    this._structure.onCpu("reports", utils.monotonicMs() - startMs);
+    this._structure.recordDutyTime("reports", utils.monotonicMs() - startMs);
   }
 
   private _applyReports(reports: Reports): void {
@@ -274,8 +277,8 @@
     const digest = await membership.request(contact.name, digestTopic, known, digestTimeoutMs);
     if (digest.err) return;
     this._handleDigest(digest.val);
-    const own = membership.self.availabilityZone;
-    membership.notifyAll(digestTopic, digest.val, (member) => member.availabilityZone === own);
+    const ownZone = membership.self.availabilityZone;
+    membership.notifyAll(digestTopic, digest.val, (member) => member.availabilityZone === ownZone);
   }
 
   /**
@@ -332,7 +335,7 @@
     this._structure.limits.setDemands(getZoneSource(availabilityZone), accounts ?? [], instanceCount);
     this._structure.demands.setOther(getZoneSource(availabilityZone), pipelines, instanceCount);
     this._structure.versions.setOther(getZoneSource(availabilityZone), digest.data.versions);
-    this._structure.onCpu("digests", utils.monotonicMs() - startMs);
+    this._structure.recordDutyTime("digests", utils.monotonicMs() - startMs);
   }
 }
 
