--- a/packages/routing/src/EndpointBackoff.ts
+++ b/packages/routing/src/EndpointBackoff.ts
@@ -2,7 +2,7 @@
 
 /** Statuses with which an endpoint rejects a request temporarily (RFC 9110, section 15.6.4; RFC 6585, section 4). */
 export const backoffStatuses: readonly number[] = [429, 503];
-/** Maximum back-off: an endpoint that is unavailable for longer stops or restarts, and a longer time is more likely a mistake. */
+/** Maximum back-off: an endpoint that is unavailable for longer stops or restarts, so a longer requested time is probably a mistake. */
 export const maxBackoffMs = 600_000;
 /** How long after the back-off an endpoint in slow start gets no requests that cannot be retried. */
 const unprovenMs = 5_000;
@@ -22,7 +22,7 @@
     return this._untilMs;
   }
 
-  /** Returns whether the slow start is not over yet. If it takes too long for lack of requests, any request may be sent. */
+  /** Returns whether the slow start is still in progress; after `unprovenMs` a slow start that lacks requests no longer counts. */
   isUnproven(nowMs: number): boolean {
     return !this._slowStart.isOver && nowMs < this._untilMs + unprovenMs;
   }
@@ -40,7 +40,7 @@
     return isNew;
   }
 
-  /** Returns the time until the back-off ends; 0 where there is none. */
+  /** Returns the time until the back-off ends, or 0 if there is none. */
   getLeftMs(nowMs: number): number {
     return Math.max(0, this._untilMs - nowMs);
   }
@@ -62,7 +62,7 @@
     this._slowStart.noteAnswered(sentAtMs);
   }
 
-  /** Returns the duration of the last back-off, once after its end. */
+  /** Returns the duration of the last back-off at the first call after its end; otherwise returns undefined. */
   takeEndedMs(nowMs: number): number | undefined {
     if (this._isEndReported || this.getLeftMs(nowMs) > 0) return undefined;
     this._isEndReported = true;
--- a/packages/routing/src/EndpointDirectory.ts
+++ b/packages/routing/src/EndpointDirectory.ts
@@ -33,7 +33,7 @@
 }
 
 /**
- * Tracks the endpoints by the platform's list, their reports and direct contacts, and returns those that may get new work. Direct
+ * Tracks the endpoints by the platform's list, their reports and direct contacts, and returns the endpoints that may get new work. Direct
  * observations of this instance take precedence.
  */
 export class EndpointDirectory {
--- a/packages/routing/src/EngineReport.ts
+++ b/packages/routing/src/EngineReport.ts
@@ -4,7 +4,7 @@
   .tuple([zod.number().int().nonnegative(), zod.number().int().positive()])
   .refine(([first, end]) => first < end, "the first layer must come before the end");
 
-/** A layer range: the first layer, and the one after the last. */
+/** A layer range: the index of the first layer, and the index after the last layer. */
 export type LayerRange = zod.infer<typeof layerRangeSchema>;
 
 export const engineReportSchema = zod.object({
@@ -29,7 +29,7 @@
   state: zod.enum(["live", "loading", "leaving"]),
 });
 
-/** The state that a model engine reports about itself. Reports lag behind the actual state. */
+/** The state that a model engine reports about itself, which may be older than its actual state. */
 export type EngineReport = zod.infer<typeof engineReportSchema>;
 
 /** Returns whether two ranges are the same. */
--- a/packages/routing/src/OutlierEjection.ts
+++ b/packages/routing/src/OutlierEjection.ts
@@ -36,7 +36,7 @@
     return (this._states.get(name)?.ejectedUntilMs ?? 0) > this._nowMs();
   }
 
-  /** Leaves out ejected endpoints, unless more than half of them would be left out. */
+  /** Returns the items without those of ejected endpoints, or all items if more than half of them would be removed. */
   withoutEjected<T>(items: T[], getName: (item: T) => string): T[] {
     if (this._states.size === 0) return items;
     const remaining = items.filter((item) => !this.isEjected(getName(item)));
--- a/packages/routing/src/RetryBudget.ts
+++ b/packages/routing/src/RetryBudget.ts
@@ -2,8 +2,8 @@
 const defaultReserve = 10;
 
 /**
- * Limits retries to a share of the live traffic, so that retries don't amplify a fault. Each request adds a fraction of a retry, and each
- * retry takes one. The reserve allows an instance with little traffic to retry at all.
+ * Token bucket that limits retries to a share of the requests, so that retries don't amplify a fault. Each request adds a fraction of a
+ * token, and each retry takes one token. The reserve allows an instance with few requests to retry at all.
  */
 export class RetryBudget {
   private _balance: number;
--- a/packages/routing/src/SlowStart.ts
+++ b/packages/routing/src/SlowStart.ts
@@ -4,8 +4,8 @@
 const answerTimeoutMs = 1_000;
 
 /**
- * Limits the concurrent requests to an endpoint that is used again: one at first, and twice as many after each answer. One per endpoint and
- * reason for which the endpoint was avoided.
+ * Limits the concurrent requests to an endpoint that is used again: one at first, and twice as many after each answer. An endpoint has a
+ * separate slow start for each reason for which it can be avoided, such as a back-off or an open circuit.
  */
 export class SlowStart {
   private _allowed = Number.POSITIVE_INFINITY;
--- a/packages/routing/src/WindowedCount.ts
+++ b/packages/routing/src/WindowedCount.ts
@@ -2,8 +2,8 @@
 const slicesPerWindow = 20;
 
 /**
- * Counts events over a sliding window, in slices, so that memory does not grow with the number of events. An event is never counted for
- * less than the window, so that a bound on the count holds for every window.
+ * Counts events over a sliding window, in slices, so that memory does not grow with the number of events. Every event is counted for at
+ * least the whole window, so that a bound on the count holds for every window.
  */
 export class WindowedCount {
   private readonly _slices = new Float64Array(slicesPerWindow + 1);
--- a/packages/routing/src/choosers/ChainChooser.ts
+++ b/packages/routing/src/choosers/ChainChooser.ts
@@ -5,21 +5,21 @@
   readonly layerCount: number;
   /** Availability zone of the choosing instance. */
   readonly availabilityZone: string;
-  /** Number of instances that choose among the same engines, including this one; 1 where that is not known. */
+  /** Number of instances that choose among the same engines, including this one; 1 if the number is unknown. */
   readonly instanceCount?: number;
   /** Names of endpoints that must not be chosen, for a retry. */
   readonly excluded?: ReadonlySet<string>;
 }
 
 /**
- * Chooses a chain of engines that covers all layers of a model, stage by stage; subclasses differ in how they choose among the engines that
- * can come next.
+ * Chooses a chain of engines that covers all layers of a model, stage by stage. Subclasses differ in how they choose among the engines that
+ * can be the next stage.
  */
 export abstract class ChainChooser {
   /** Name of the variant, for the benchmark and the metrics. */
   abstract readonly name: string;
 
-  /** Returns a chain from the first layer to the last, or undefined where the candidates don't cover the layers. */
+  /** Returns a chain from the first layer to the last, or undefined if the candidates don't cover the layers. */
   choose(candidates: readonly EngineCandidate[], options: ChoiceOptions): EngineCandidate[] | undefined {
     const usable = candidates.filter((candidate) => options.excluded?.has(candidate.entry.name) !== true);
     const reachesEnd = getBoundariesThatReach(usable, options.layerCount);
@@ -35,7 +35,7 @@
     return chain;
   }
 
-  /** Chooses one of the engines that can come next. There is always at least one. */
+  /** Chooses one of the engines that can be the next stage; `fitting` contains at least one engine. */
   protected abstract pickStage(fitting: readonly EngineCandidate[], options: ChoiceOptions): EngineCandidate;
 }
 
--- a/packages/routing/src/choosers/ExpectedTimeChooser.ts
+++ b/packages/routing/src/choosers/ExpectedTimeChooser.ts
@@ -2,15 +2,16 @@
 import type { EngineCandidate } from "../EndpointDirectory.js";
 import { ChainChooser, type ChoiceOptions } from "./ChainChooser.js";
 
+/** Time added for an engine in another availability zone. */
 const crossZoneMs = 1.5;
-/** Weight of the load of an engine that is not full, which slightly favours the less loaded engine. */
+/** Weight of an engine's load in the expected time, which slightly favours the less loaded one of two engines that are not full. */
 const fillWeight = 0.5;
 /** Relative spread of the random factor that keeps instances with the same reports from making the same choice. */
 const spread = 0.1;
 
 /**
- * Chooses the chain with the least expected time per token over all stages, as the shortest path over layer boundaries. The length of an
- * engine is its expected time for one step.
+ * Chooses the chain with the least expected time per token over all stages, as the shortest path over layer boundaries. Each engine is an
+ * edge whose length is the engine's expected time for one step.
  */
 export class ExpectedTimeChooser extends ChainChooser {
   readonly name = "expected-time";
@@ -29,7 +30,7 @@
     const best = new Map<number, Path>([[0, { timeMs: 0, last: undefined, before: undefined }]]);
     for (const candidate of usable) this._extend(best, candidate, options);
     const path = best.get(options.layerCount);
-    return path === undefined ? undefined : unwind(path);
+    return path === undefined ? undefined : toChain(path);
   }
 
   protected override pickStage(fitting: readonly EngineCandidate[], options: ChoiceOptions): EngineCandidate {
@@ -37,7 +38,7 @@
     return timed.reduce((best, next) => (next.timeMs < best.timeMs ? next : best)).candidate;
   }
 
-  /** Candidates are sorted by their first layer, so that the best path to that layer is already final. */
+  /** Extends the best path to the candidate's first layer, which is final since candidates are processed in order of their first layers. */
   private _extend(best: Map<number, Path>, candidate: EngineCandidate, options: ChoiceOptions): void {
     const before = best.get(candidate.layers[0]);
     if (before === undefined) return;
@@ -79,7 +80,7 @@
   readonly before: Path | undefined;
 }
 
-function unwind(path: Path): EngineCandidate[] {
+function toChain(path: Path): EngineCandidate[] {
   const chain: EngineCandidate[] = [];
   for (let step: Path | undefined = path; step?.last !== undefined; step = step.before)
     chain.unshift(step.last);
--- a/packages/routing/src/choosers/baselines.ts
+++ b/packages/routing/src/choosers/baselines.ts
@@ -1,4 +1,4 @@
-/** Simple variants that serve as baselines in the benchmark. */
+/** Simple chain choosers that serve as baselines in the benchmark. */
 import { utils } from "@shedtiller/common";
 import type { EngineCandidate } from "../EndpointDirectory.js";
 import { ChainChooser, pickFirst } from "./ChainChooser.js";
@@ -8,7 +8,7 @@
   return candidate.report.activeStreams / candidate.report.slots;
 }
 
-/** Chooses at random among the engines that can come next, with equal probability. */
+/** Chooses at random among the engines that can be the next stage, with equal probability. */
 export class RandomChooser extends ChainChooser {
   readonly name = "random";
 
@@ -21,7 +21,7 @@
   }
 }
 
-/** Chooses the engines that can come next in turn. */
+/** Chooses in turn among the engines that can be the next stage. */
 export class RoundRobinChooser extends ChainChooser {
   readonly name = "round-robin";
   private readonly _turns = new Map<number, number>();
--- a/packages/routing/src/tests/routingTests.ts
+++ b/packages/routing/src/tests/routingTests.ts
@@ -11,7 +11,7 @@
 import { OutlierEjection } from "../OutlierEjection.js";
 import { RetryBudget } from "../RetryBudget.js";
 
-function createReport(name: string, layers: LayerRange, structure: Partial<EngineReport> = {}): EngineReport {
+function createReport(name: string, layers: LayerRange, changes: Partial<EngineReport> = {}): EngineReport {
   return {
     name,
     accelerator: "large",
@@ -26,7 +26,7 @@
     checksOrders: true,
     fencingToken: 0,
     state: "live",
-    ...structure,
+    ...changes,
   };
 }
 
@@ -46,7 +46,7 @@
 
 const options = { layerCount: 32, availabilityZone: "z" };
 
-test("every chooser covers the layers in order, and returns undefined where they can't be covered", (t) => {
+test("every chooser covers the layers in order, or returns undefined if they can't be covered", (t) => {
   const reports = [
     createReport("a", [0, 16]),
     createReport("b", [16, 32]),
