--- a/packages/crashes/src/CompletedRequests.ts
+++ b/packages/crashes/src/CompletedRequests.ts
@@ -1,6 +1,6 @@
 import { digestRequest, type RequestIdentity } from "./digestRequest.js";
 
-/** Number of requests kept of each kind; enough to include a request that many callers send. */
+/** Number of stored requests of each kind; enough to include a request that many callers send. */
 const maxPerKind = 48;
 /** Larger bodies would take too much memory, and requests with such bodies are rarely identical. */
 const maxBodyBytes = 8 * 1024;
@@ -12,8 +12,8 @@
 }
 
 /**
- * Keeps recently completed requests of an instance. Their digests are computed only after a crash, to recognise suspects that are identical
- * to a completed request and therefore harmless.
+ * Stores recently completed requests of an instance. Their digests are computed only after a crash, to recognise suspects that are
+ * identical to a completed request and therefore harmless.
  */
 export class CompletedRequests {
   private readonly _byKind = new Map<string, CompletedRequest[]>();
@@ -21,10 +21,10 @@
   /** @param kind - Requests of one kind don't displace those of another. */
   add(kind: string, identity: RequestIdentity, atMs: number): void {
     if (identity.body.length > maxBodyBytes) return;
-    const kept = this._byKind.get(kind) ?? [];
-    this._byKind.set(kind, kept);
-    kept.push({ identity, atMs });
-    if (kept.length > maxPerKind) kept.shift();
+    const requests = this._byKind.get(kind) ?? [];
+    this._byKind.set(kind, requests);
+    requests.push({ identity, atMs });
+    if (requests.length > maxPerKind) requests.shift();
   }
 
   /** Returns when a request with each of the given digests last completed. */
--- a/packages/crashes/src/CrashLedger.ts
+++ b/packages/crashes/src/CrashLedger.ts
@@ -10,30 +10,30 @@
 /** Weight of the crashes against a request at which the request is quarantined. */
 export const quarantineWeight = 3;
 /**
- * From this number of other endpoints that crashed at about the same time without running the request, the crash may have a common cause (a
- * rack, a power supply, a network cut) and counts half. A request that does crash its endpoints is then quarantined after six crashes.
+ * If at least this number of other endpoints crashed at about the same time without running the request, the crash may have a common cause
+ * (a rack, a power supply, a network cut) and counts half. A request that does crash its endpoints is then quarantined after six crashes.
  */
 const coincidentCrashes = 2;
 const coincidenceMs = 250;
 const coincidenceFactor = 0.5;
 
 /**
- * Factor for the crashes of a request that survived its initial phase shortly before: where many callers send identical requests, one of
- * them is in its initial phase at most crashes.
+ * Factor for the crashes of a request that survived its initial phase shortly before: if many callers send identical requests, one of them
+ * is in its initial phase at most crashes.
  */
 const knownHarmlessFactor = 0.25;
 const knownHarmlessMs = 60_000;
 
 /**
- * The first quarantine is short: where a request crashes every engine at once, harmless requests that arrived with it have as much evidence
- * against them, and can only be told apart by trying them one at a time.
+ * The first quarantine is short: if a request crashes every engine at once, there is as much evidence against the harmless requests that
+ * arrived with it, and only a trial of one request at a time can distinguish them.
  */
 const firstQuarantineMs = 2_000;
 /** Duration of a quarantine after a trial that crashed an endpoint again. */
 const laterQuarantineMs = 600_000;
 /** Time after which callers may retry a request that another instance is trying. */
 export const trialElsewhereRetryAfterMs = 5_000;
-/** A trial without a result, for example where the request found no capacity, keeps other instances from trying for this long. */
+/** A trial without a result, for example because the request found no capacity, blocks trials at other instances for this long. */
 const trialTimeoutMs = 3_000;
 /**
  * Interval at which one instance after another may try a request after its quarantine. A caller keeps using the same instance, so that the
@@ -66,15 +66,17 @@
 export type QuarantineListener = (digest: string, quarantine: QuarantineMessage | undefined) => void;
 
 /**
- * Determines which requests crash the endpoints that run them; one per instance. A crash ends all runs of its endpoint, so that one crash
- * says little about one request. Only consecutive crashes during the initial phase of a request count, as long as none of its runs survives
- * the initial phase in between. Uses neither network nor timers: instances merge what they observe into ledgers of their own. All times are
- * of the given monotonic clock.
+ * Determines which requests crash the endpoints that run them. Each instance has one ledger, and merges the reports of its peers into it. A
+ * crash ends all runs of its endpoint, so a single crash is weak evidence against a single request. Only consecutive crashes during the
+ * initial phase of a request count, as long as none of its runs survives the initial phase in between. The ledger uses neither network nor
+ * timers; all times are of the given monotonic clock.
  */
 export class CrashLedger {
   /** Keyed by the life of the crashed endpoint; the oldest come first. */
   private readonly _crashes = new Map<string, Crash>();
+  /** By digest: latest monotonic time at which a run of the request survived its initial phase. */
   private readonly _clearedAtMs = new Map<string, number>();
+  /** Quarantines by digest, including those that have ended without a run that cleared the request. */
   private readonly _quarantines = new Map<string, Quarantine>();
   private readonly _listeners: QuarantineListener[] = [];
 
@@ -111,12 +113,12 @@
     return [...this._quarantines].flatMap(([digest, { sinceMs }]) => (sinceMs <= untilMs ? [digest] : []));
   }
 
-  /** Returns how often a request was quarantined; 0 where it was not, or has been cleared since. */
+  /** Returns how often a request was quarantined since it was last cleared. */
   getQuarantineCount(digest: string): number {
     return this._quarantines.get(digest)?.times ?? 0;
   }
 
-  /** Returns the remaining time of a quarantine; 0 where there is none. */
+  /** Returns the remaining time of a request's quarantine, or 0 if there is none. */
   getQuarantineLeftMs(digest: string): number {
     return Math.max(0, (this._quarantines.get(digest)?.untilMs ?? 0) - this._nowMs());
   }
@@ -126,21 +128,21 @@
     let weight = 0;
     let countedAtMs = Number.NEGATIVE_INFINITY;
     for (const crash of this._crashes.values()) {
-      const own = crash.suspects.get(digest);
-      if (own === undefined) continue;
+      const suspectWeight = crash.suspects.get(digest);
+      if (suspectWeight === undefined) continue;
       const isKnownHarmless = this._isKnownHarmless(digest, crash.atMs);
-      // Where many engines crash at once, a request that many callers send is running at each of them.
+      // If many engines crash at once, a request that many callers send is running at each of them.
       if (isKnownHarmless && Math.abs(crash.atMs - countedAtMs) <= coincidenceMs) continue;
       countedAtMs = crash.atMs;
       weight +=
-        own *
+        suspectWeight *
         (isKnownHarmless ? knownHarmlessFactor : 1) *
         (this._isCoincident(crash, digest) ? coincidenceFactor : 1);
     }
     return weight;
   }
 
-  /** Returns the life of the endpoint that a request crashed last. */
+  /** Returns the life of the endpoint in the latest crash that counts against a request. */
   getNewestCrash(digest: string): string | undefined {
     let newest: string | undefined;
     let newestAtMs = Number.NEGATIVE_INFINITY;
@@ -171,20 +173,20 @@
   }
 
   /**
-   * Returns whether this instance may try a request after its quarantine: its turn has come, and neither this request nor another one is being
-   * tried.
-   * @param rank - Number of instances that come before this one.
+   * Returns whether this instance may start the trial of a request after its quarantine: the instance's turn has come, and no trial of any
+   * request is running.
+   * @param rank - Number of instances that may try the request before this one.
    */
   mayTry(digest: string, rank: number): boolean {
     const quarantine = this._quarantines.get(digest);
     if (quarantine === undefined) return false;
-    // Two requests that are tried at once could again crash an endpoint together.
+    // Two concurrent trials at one endpoint would again leave open which request crashed it.
     if ([...this._quarantines.values()].some((other) => this._isOnTrial(other))) return false;
     return this._nowMs() - quarantine.untilMs >= rank * trialIntervalMs;
   }
 
   /**
-   * Records that a request is being tried after its quarantine.
+   * Records the start of a trial after a quarantine.
    * @returns The trial, if it was new and is to be reported.
    */
   noteTrial({ digest, ageMs }: TrialMessage): TrialMessage | undefined {
@@ -196,7 +198,10 @@
     return { digest, ageMs };
   }
 
-  /** Records that a run of a request survived its initial phase at the given time, which may precede the suspicion. */
+  /**
+   * Records that a run of a request survived its initial phase at the given time, which may precede the suspicion.
+   * @returns The clearing, if it was new.
+   */
   noteHarmless(digest: string, atMs: number): ClearingMessage | undefined {
     if (this._isClearedSince(digest, atMs)) return undefined;
     return this._clear(digest, atMs);
--- a/packages/crashes/src/CrashReportBroadcast.ts
+++ b/packages/crashes/src/CrashReportBroadcast.ts
@@ -14,7 +14,7 @@
   readonly getFullState: () => CrashReportsMessage;
 }
 
-/** Exchanges crash reports with the other instances; one per instance. */
+/** Exchanges crash reports with the other instances. Each instance has one such broadcast. */
 export class CrashReportBroadcast {
   private readonly _broadcast: PeerBroadcast<CrashReportsMessage>;
 
--- a/packages/crashes/src/crashMessages.ts
+++ b/packages/crashes/src/crashMessages.ts
@@ -20,7 +20,7 @@
 });
 export type CrashMessage = zod.infer<typeof crashMessageSchema>;
 
-/** A request of which a run survived its initial phase: it did not cause earlier crashes. */
+/** A request with a run that survived its initial phase, so that earlier crashes no longer count against the request. */
 export const clearingMessageSchema = zod.object({ digest, ageMs: age });
 export type ClearingMessage = zod.infer<typeof clearingMessageSchema>;
 
--- a/packages/crashes/src/probeConnection.ts
+++ b/packages/crashes/src/probeConnection.ts
@@ -1,11 +1,11 @@
 import * as net from "node:net";
 
-/** Result of a connection attempt; `nothing` where no answer came in time or the address could not be reached. */
+/** Result of a connection attempt; `nothing` if no answer came in time or the address could not be reached. */
 export type ProbeResult = "open" | "refused" | "nothing";
 
 /**
- * Checks whether a process listens at an address by connecting and closing at once: an endpoint that crashed refuses connections
- * immediately, one that only closed a connection does not.
+ * Checks whether a process listens at an address by connecting and closing immediately: an endpoint that crashed refuses connections, an
+ * endpoint that merely closed a connection accepts them.
  */
 export function probeConnection(address: string, timeoutMs: number): Promise<ProbeResult> {
   const [host = "", port = ""] = address.split(":");
--- a/packages/crashes/src/tests/CrashLedgerTests.ts
+++ b/packages/crashes/src/tests/CrashLedgerTests.ts
@@ -83,7 +83,7 @@
   t.is(ledger.getStatus("a"), "unknown");
 });
 
-test("a ledger that merges all reports has the same state, and passes on only what was new", (t) => {
+test("a ledger that merges all reports of another one has the same state, and returns only new reports", (t) => {
   const { clock, ledger, crash } = create();
   crash("a");
   crash("a");
--- a/packages/crashes/src/tests/CrashReportBroadcastTests.ts
+++ b/packages/crashes/src/tests/CrashReportBroadcastTests.ts
@@ -1,4 +1,4 @@
-/** Tests that crash reports go to all instances of the own zone and to a few of each other zone, which pass on what is new to them. */
+/** Tests that crash reports go to all instances of the sender's zone and to a few of each other zone, which forward new reports. */
 import test from "ava";
 import type { Member, NoticeHandler, PeerIdentity } from "@shedtiller/membership";
 import { CrashReportBroadcast } from "../CrashReportBroadcast.js";
@@ -60,7 +60,7 @@
   t.deepEqual(recipients, ["a2", "a3", "b1", "b2"]);
 });
 
-test("reports from another zone are passed on in the own zone once; reports from the own zone are not", (t) => {
+test("a report from another zone is forwarded once within the recipient's zone; a report from the same zone is not forwarded", (t) => {
   const { recipients, receive } = create();
   receive(reports, peers[3]);
   receive(reports, peers[4]);
@@ -69,7 +69,7 @@
   t.deepEqual(recipients, ["a2", "a3"]);
 });
 
-test("a new link gets all reports, and no message where there are none", (t) => {
+test("a new link gets all reports, or no message if there are none", (t) => {
   const { ledger, recipients, linked } = create();
   const link = (name: string): void => {
     for (const listener of linked) listener({ name, availabilityZone: name.slice(0, 1) });
