--- a/packages/gateway/src/crashes/CrashDetector.ts
+++ b/packages/gateway/src/crashes/CrashDetector.ts
@@ -16,13 +16,13 @@
 
 /** A run that continues for this long after its first event has survived its initial phase. */
 export const initialPhaseMs = 250;
-/** Weight of the evidence where the endpoint had not shown that the run had begun: the request may merely have waited there. */
+/** Weight of the evidence if the endpoint had not shown that the run had begun: the request may merely have been queued there. */
 const notStartedWeight = 0.5;
 /** Timeout of a probe: an endpoint on a live machine accepts or refuses a connection within milliseconds. */
 const probeTimeoutMs = 300;
 /**
- * How long a crash may remain undecided where the probe got no answer: three heartbeats and a read of the list, in which the endpoint's
- * entry disappears or shows a new start.
+ * Maximum duration of an investigation whose probe got no answer: three heartbeats and a read of the list, within which the entry of a
+ * crashed endpoint disappears or shows a new start.
  */
 const decisionTimeoutMs = 6_000;
 /**
@@ -59,7 +59,7 @@
   readonly broadcast: (reports: CrashReportsMessage) => void;
   /** Returns how many other instances may try a request before this one once its quarantine has ended. */
   readonly getTrialRank: (digest: string) => number;
-  readonly count?: (what: "crash" | "held-back") => void;
+  readonly count?: (event: "crash" | "held-back") => void;
   /** Called for each endpoint that has turned out to have crashed. */
   readonly onCrash?: ((endpoint: Endpoint) => void) | undefined;
   /** Stores a quarantine so that it outlasts a restart of all instances; undefined removes it. */
@@ -75,7 +75,7 @@
   readonly identity: RequestIdentity;
 }
 
-/** A run that completed, until its endpoint has been seen alive afterwards. */
+/** A completed run whose endpoint has not been confirmed as alive since. */
 interface CompletedRun {
   readonly kind: string;
   readonly request: IdentifiedRequest;
@@ -94,13 +94,13 @@
 
 /**
  * Detects requests that crash endpoints, and quarantines them. A run whose connection is lost before the end of its initial phase makes its
- * request a suspect if the endpoint turns out to have crashed. One per instance.
+ * request a suspect if the endpoint turns out to have crashed. Each instance has one detector.
  */
 export class CrashDetector {
   readonly ledger: CrashLedger;
   private readonly _runs = new Set<TrackedRun>();
   private readonly _investigations = new Map<string, Investigation>();
-  /** Lives of endpoints whose crash this instance detected. */
+  /** Lives of endpoints whose crash this instance detected itself. */
   private readonly _detectedHere = new Set<string>();
   private readonly _completedRuns = new Set<CompletedRun>();
   private readonly _completed = new CompletedRequests();
@@ -117,7 +117,7 @@
     });
   }
 
-  /** Whether there is no suspicion and no quarantine, so that requests need not be looked up. */
+  /** Whether there are no suspects, quarantines or investigations, so that requests need not be looked up. */
   get isQuiet(): boolean {
     return this.ledger.isEmpty && this._investigations.size === 0;
   }
@@ -135,16 +135,16 @@
     this._runs.delete(run);
   }
 
-  /** Releases a request on behalf of an operator, here and at all peers. */
+  /** Releases a request on behalf of an operator, at this instance and at all peers. */
   release(digest: string): void {
     const cleared = this.ledger.release(digest);
     if (cleared !== undefined) this._structure.broadcast({ ...noCrashReports, clearings: [cleared] });
   }
 
   /**
-   * Records that an endpoint completed a run. A run that survived its initial phase clears its request at once. A shorter run, for
-   * example one that resumed a stream near its end, may end just before its endpoint crashes, and clears its request only if the endpoint is
-   * still alive after the length of an initial phase.
+   * Records that an endpoint completed a run. A run that survived its initial phase clears its request immediately. A shorter run, for
+   * example one that resumed a stream near its end, may end just before its endpoint crashes. Such a run clears its request only if the
+   * endpoint is still alive after the length of an initial phase.
    */
   noteCompleted(kind: string, request: IdentifiedRequest, run: TrackedRun, endpoint: Endpoint): void {
     const completed: CompletedRun = { kind, request, endpoint, endedAtMs: this._nowMs() };
@@ -184,7 +184,7 @@
 
   /**
    * Checks whether a request is quarantined; called right before each send.
-   * @returns The time after which the request may be sent again, or undefined where it may be sent now.
+   * @returns The time after which the request may be sent again, or undefined if it may be sent now.
    */
   getQuarantineMs(request: { readonly digest: string }): number | undefined {
     if (this.isQuiet) return undefined;
@@ -203,7 +203,7 @@
     return weight > 0 ? "some" : "none";
   }
 
-  /** Waits until the risk of a request can be evaluated: a suspect has at most one run in its initial phase at a time on this instance. */
+  /** Waits until the risk of a request can be evaluated: a suspect has at most one run in its initial phase at a time per instance. */
   async waitForTurn(request: { readonly digest: string }): Promise<void> {
     if (this.isQuiet) return;
     const { digest } = request;
@@ -237,11 +237,12 @@
     return this._isStarting(digest) || (weight >= quarantineWeight && this._isUndecided(digest));
   }
 
-  /** Returns whether it is still undecided if an endpoint that ran the request crashed; that crash may be the decisive one. */
+  /** Returns whether an endpoint that ran the request is under investigation; its crash may be the one that quarantines the request. */
   private _isUndecided(digest: string): boolean {
     return [...this._investigations.values()].some((investigation) => investigation.suspects.has(digest));
   }
 
+  /** Returns whether a run of the request at this instance is in its initial phase, or completed too recently to clear the request. */
   private _isStarting(digest: string): boolean {
     for (const { request } of this._completedRuns) if (request.digest === digest) return true;
     for (const run of this._runs) {
@@ -250,7 +251,7 @@
     return false;
   }
 
-  /** Returns the weight of the evidence against a request, including crashes that are still undecided. */
+  /** Returns the weight of the evidence against a request, including that of endpoints under investigation. */
   private _getWeight(digest: string): number {
     let weight = this.ledger.getWeight(digest);
     for (const investigation of this._investigations.values())
@@ -283,7 +284,7 @@
     void this._pause(decisionTimeoutMs).then(() => this._close(investigation, false));
   }
 
-  /** Decides an investigation: the entry of a crashed endpoint disappears, or shows a new start of the process. */
+  /** Closes an investigation as a crash, since the endpoint's entry disappeared or shows a new start of the process. */
   private _endLife(endpoint: Endpoint): void {
     const investigation = this._investigations.get(endpoint.lifeId);
     if (investigation !== undefined && !endpoint.listed.isDraining) this._close(investigation, true);
@@ -327,8 +328,8 @@
     if (isCrashed) this._structure.onCrash?.(investigation.endpoint);
     if (!isCrashed || investigation.suspects.size === 0) return;
     const { endpoint, lifeId, suspects } = investigation;
-    for (const found of this._detectedHere)
-      if (!this.ledger.hasCrash(found)) this._detectedHere.delete(found);
+    for (const detectedLifeId of this._detectedHere)
+      if (!this.ledger.hasCrash(detectedLifeId)) this._detectedHere.delete(detectedLifeId);
     this._detectedHere.add(lifeId);
     this._clearCompleted([...suspects.keys()]);
     const crash = this.ledger.noteCrash(lifeId, investigation.atMs, suspects);
--- a/packages/gateway/src/crashes/QuarantineReconciler.ts
+++ b/packages/gateway/src/crashes/QuarantineReconciler.ts
@@ -3,7 +3,7 @@
 import { crashRetentionMs, type QuarantineMessage } from "@shedtiller/crashes";
 import type { QuarantineStore, StoredQuarantine } from "./QuarantineStore.js";
 
-/** Interval of the ticks: reads the store soon after a start, and is long enough not to burden a store that is unavailable. */
+/** Interval of the ticks: short enough to read the store soon after a start, and long enough not to burden a store that is unavailable. */
 const tickMs = 500;
 /** A quarantine that is not in the store after this time was removed there; a newer one may not have been written yet. */
 const storedWithinMs = 10_000;
@@ -25,8 +25,8 @@
 
 /**
  * Keeps the quarantines of this instance and the store consistent: retries writes until they succeed, and reads the store after a start.
- * One instance of a zone reads for all and reports the quarantines that were new to its peers, since no instance has received them after a
- * simultaneous start of all. One per instance.
+ * One instance of a zone reads for all of them and reports new quarantines to its peers, since after a simultaneous start of all instances
+ * none has received them from another. Each instance has one reconciler.
  */
 export class QuarantineReconciler {
   /** Pending writes by digest; undefined removes the quarantine from the store. */
--- a/packages/gateway/src/crashes/RequestQuarantine.ts
+++ b/packages/gateway/src/crashes/RequestQuarantine.ts
@@ -29,7 +29,7 @@
 
 /**
  * Connects the parts that quarantine requests which crash endpoints: detection, reports to the peers, and the store in which quarantines
- * outlast a restart of all instances. One per instance.
+ * outlast a restart of all instances. Each instance has one such quarantine.
  */
 export class RequestQuarantine {
   readonly detector: CrashDetector;
--- a/packages/gateway/src/orders/EnginePoll.ts
+++ b/packages/gateway/src/orders/EnginePoll.ts
@@ -8,6 +8,7 @@
 
 /** Interval at which each engine is polled, by one instance for its whole zone. A poll costs about as much as a health check. */
 const pollIntervalMs = 2_000;
+/** Pause while there are no engines to poll. */
 const idleMs = 500;
 const reportTimeoutMs = 500;
 /** Smaller changes of the slowness are not reported. */
@@ -27,7 +28,7 @@
 
 /**
  * Polls the slowness of the engines of a zone in turn while this instance has that role, so that chains avoid engines that slow down
- * without failing; one per instance.
+ * without failing. Each instance has one such poll.
  */
 export class EnginePoll {
   constructor(private readonly _structure: EnginePollStructure) {}
--- a/packages/gateway/src/orders/LayerReconciler.ts
+++ b/packages/gateway/src/orders/LayerReconciler.ts
@@ -42,13 +42,17 @@
 }
 
 /**
- * Keeps complete copies of the models loaded in each zone, by sending the orders that the planner of a zone finds due. Acts only while this
- * instance may send orders; one per instance.
+ * Keeps complete copies of the models loaded in each zone, by sending the orders that the planner of each zone returns. Acts only while
+ * this instance may send orders. Each instance has one reconciler.
  */
 export class LayerReconciler {
+  /** Accepted orders whose layers are not listed yet, by the id of the engine. */
   private readonly _pending = new Map<string, PendingOrder>();
+  /** Monotonic time from which an engine may receive another order, by the id of the engine. */
   private readonly _retryAtMs = new Map<string, number>();
+  /** By the key of a pool, which consists of the engines of one service in one zone. */
   private readonly _planners = new Map<string, ZonePlanner>();
+  /** Monotonic time at which the last engine was added, by the key of its pool. */
   private readonly _addedAtMs = new Map<string, number>();
   private readonly _lostEngines: LostEngineDetector;
 
@@ -168,7 +172,7 @@
   }
 }
 
-/** Returns why an engine can't receive an order now; undefined where it can. */
+/** Returns the reason for which an engine can't receive an order now, or undefined if there is none. */
 function getPostponeReason(
   order: ZoneOrder,
   report: EngineReport,
--- a/packages/gateway/src/orders/LeaderElection.ts
+++ b/packages/gateway/src/orders/LeaderElection.ts
@@ -1,7 +1,7 @@
 import type { results } from "@shedtiller/common";
 import type { StoreError } from "../discovery/ChangeFeed.js";
 
-/** Elects the instance that may send orders, as the platform's store decides; a leader stays leader while it keeps campaigning. */
+/** Elects the instance that may send orders, through the platform's store; a leader remains leader as long as it renews its leadership. */
 export abstract class LeaderElection {
   /**
    * Campaigns for leadership, or renews it.
--- a/packages/gateway/src/orders/Leadership.ts
+++ b/packages/gateway/src/orders/Leadership.ts
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Campaigns, or withdraws where this instance is no longer a candidate: the store may elect any member of the group, and one that does
-   * not campaign would hold the leadership unused for a whole term.
+   * Campaigns, or withdraws if this instance is no longer a candidate: the store may elect any member of the group, and a member that does
+   * not campaign would occupy the leadership for a whole term without using it.
    */
   async campaignIfDue(): Promise<void> {
     if (this.isLeader() || this._options.mayCampaign?.() !== false) await this.campaign();
--- a/packages/gateway/src/orders/LifeCheckedOrders.ts
+++ b/packages/gateway/src/orders/LifeCheckedOrders.ts
@@ -11,8 +11,8 @@
 } from "./EngineOrders.js";
 
 /**
- * Wraps the platform's orders for engines whose processes may restart under the same id: rejects a report of an earlier life, and passes a
- * newer life to the endpoint table before the report is used; one per instance.
+ * Wraps the platform's orders for engines whose processes may restart under the same id: rejects a report of an earlier life, and records a
+ * newer life in the endpoint table before the report is used. Each instance has one such wrapper.
  */
 export class LifeCheckedOrders extends EngineOrders {
   /** @param _broadcastRestart - Called once for each restart that is first detected by a report. */
--- a/packages/gateway/src/orders/LostEngineDetector.ts
+++ b/packages/gateway/src/orders/LostEngineDetector.ts
@@ -21,8 +21,8 @@
 }
 
 /**
- * Detects engines that are lost although the list still contains them: entries expire only after several missed heartbeats, and a zone with
- * broken chains can't wait for that. Probes engines while this instance sends orders; one per instance.
+ * Detects engines that are lost although the list still contains them: entries expire only after several missed heartbeats, which is too
+ * late for a zone with broken chains. Probes engines while this instance sends orders. Each instance has one detector.
  */
 export class LostEngineDetector {
   private readonly _probes = new Map<string, Probe>();
--- a/packages/gateway/src/orders/ZonePlanner.ts
+++ b/packages/gateway/src/orders/ZonePlanner.ts
@@ -21,7 +21,7 @@
  * capacity.
  */
 const minUrgentGain = Math.log(1.5);
-/** A zone is rearranged once its engines have kept their layers for this long, since a lost engine often returns. */
+/** A zone is rearranged once the layers of its engines have been unchanged for this long, since a lost engine often returns. */
 const stableMs = 2_000;
 /**
  * A zone that can't be repaired is rearranged after this time. A lost engine is often back earlier (after 3 to 5 s in the recorded
@@ -30,11 +30,11 @@
 const rearrangeAfterMs = 4_000;
 /** Number of typical requests that have to fit at each engine while engines of a serving zone change their layers. */
 const changeOverRequests = 40;
-/** A repair that leaves capacity for fewer typical requests is not worth its loads. */
+/** Minimum capacity in typical requests that a repair must leave; for less capacity the loading of layers is not worthwhile. */
 const minRepairRequests = 16;
 /**
- * An engine that more requests pass through does not drop its layers to close a gap, since the order would wait for the longest of these
- * requests.
+ * Maximum number of requests that pass through an engine that drops its layers to close a gap, since the order waits for the longest of
+ * these requests.
  */
 const maxPassingRequests = 2;
 /** A search for a better arrangement yields to the event loop after this time. */
@@ -43,13 +43,15 @@
 type Spans = readonly placement.BalancedSpan[];
 
 /**
- * Plans the next orders for the engines of one zone: initial arrangement, repairs, and rebalancing. Remembers states that led to no order,
- * and since when the engines have kept their layers.
+ * Plans the next orders for the engines of one zone: initial arrangement, repairs, and rebalancing. Stores the last state that led to no
+ * order, and since when the engines' layers have been unchanged.
  */
 export class ZonePlanner {
+  /** The last state of the zone that led to no order, in its text form. */
   private _settledState = "";
-  /** Engines that could drop their layers in a plan of the settled state. Each of them causes at most one further search. */
-  private readonly _tried = new Set<string>();
+  /** Names of engines that could drop their layers at a search of the settled state; each of them causes at most one further search. */
+  private readonly _triedRelocatable = new Set<string>();
+  /** The engines' layers at the last plan, in their text form. */
   private _lastSpans = "";
   private _stableSinceMs = 0;
   /** Monotonic time since which the zone has had layers that no engine has loaded or is ordered to load. */
@@ -77,17 +79,18 @@
     return orders;
   }
 
-  /** Returns whether the zone is broken and an engine may drop its layers now that was in use at every earlier search of this state. */
+  /** Returns whether the zone is broken, and an engine that was in use at all earlier searches of this state may drop its layers now. */
   private _hasNewlyRelocatable(engines: readonly ZoneEngine[]): boolean {
     return (
-      this._brokenSinceMs !== undefined && getRelocatable(engines).some((name) => !this._tried.has(name))
+      this._brokenSinceMs !== undefined &&
+      getRelocatable(engines).some((name) => !this._triedRelocatable.has(name))
     );
   }
 
   private _settle(state: string, engines: readonly ZoneEngine[]): void {
-    if (state !== this._settledState) this._tried.clear();
+    if (state !== this._settledState) this._triedRelocatable.clear();
     this._settledState = state;
-    for (const name of getRelocatable(engines)) this._tried.add(name);
+    for (const name of getRelocatable(engines)) this._triedRelocatable.add(name);
   }
 
   /** Records the engines' layers, and returns whether they have been unchanged for long enough. */
@@ -100,7 +103,8 @@
   }
 
   /**
-   * Records whether the zone is broken, and returns whether it has been so for long enough to assume that the lost engine will not return.
+   * Records whether the zone is broken, and returns whether it has been broken for long enough to assume that the lost engine will not
+   * return.
    */
   private _noteBroken(engines: readonly ZoneEngine[], model: placement.CopyModel): boolean {
     const nowMs = this._nowMs();
@@ -110,7 +114,7 @@
     return this._brokenSinceMs !== undefined && nowMs - this._brokenSinceMs >= rearrangeAfterMs;
   }
 
-  /** Returns the spans that the engines should load; undefined where they are to be left unchanged. */
+  /** Returns the spans that the engines should load, or undefined if the zone is to be left unchanged. */
   private async _findTarget(
     engines: readonly ZoneEngine[],
     model: placement.CopyModel,
@@ -133,10 +137,11 @@
 }
 
 /**
- * Closes gaps by extending spans, which waits for no request, or else with engines whose layers others have loaded, too. Undefined where
- * neither makes the zone complete.
- * The first attempt uses engines that load no more layers than are missing: the zone serves nothing until the last load is done, and a load
- * takes 0.1 to 0.2 s per layer, so that 26 layers for a gap of eight took 5 s instead of 1.5 s.
+ * Returns spans that close the gaps of a zone: extended spans if possible, since extending a span waits for no request, otherwise new spans
+ * for engines whose layers others have loaded, too. Returns undefined if neither makes the zone complete.
+ *
+ * The first attempt lets engines load no more layers than are missing. The zone serves nothing until the last load is complete, and a load
+ * takes 0.1 to 0.2 s per layer, so loading 26 layers for a gap of eight takes 5 s instead of 1.5 s.
  */
 async function repair(
   engines: readonly ZoneEngine[],
@@ -159,7 +164,7 @@
   return undefined;
 }
 
-/** Returns the names of the engines that so few requests pass through that they may drop their layers. */
+/** Returns the names of the engines with so few passing requests that the engines may drop their layers. */
 function getRelocatable(engines: readonly ZoneEngine[]): string[] {
   return engines.flatMap(({ engine, passingRequests }) =>
     passingRequests <= maxPassingRequests ? [engine.name] : [],
@@ -175,7 +180,7 @@
   return missing;
 }
 
-/** Rearranges a zone from its current layers or from scratch, whichever has the lower cost. */
+/** Returns the spans of a rearranged zone, planned from its current layers or from scratch, whichever has the lower cost. */
 async function rearrange(spans: Spans, model: placement.CopyModel): Promise<Spans> {
   const rebalanced = await search(spans, model);
   const fresh = await search(getFirstPlan(spans, model), model);
@@ -183,8 +188,8 @@
 }
 
 /**
- * Closes gaps with empty engines where the engines that were ordered to close them have to drop layers first: these wait for the requests
- * that pass through, which may take as long as the longest stream. Undefined where no such gap is left.
+ * Returns spans that close gaps with empty engines if the engines that were ordered to close them have to drop layers first. Such an order
+ * waits for all passing requests, which may take as long as the longest stream. Returns undefined if there is no such gap.
  */
 async function closeGapsWithEmptyEngines(
   engines: readonly ZoneEngine[],
@@ -199,7 +204,7 @@
   return (await search(certain, model, { isFillOnly: true }, (running) => running.isComplete)).spans;
 }
 
-/** Gives layers to empty engines, and leaves the others unchanged. */
+/** Returns spans that assign layers to empty engines and leave the others unchanged, or undefined if the gain is too small. */
 async function fill(spans: Spans, model: placement.CopyModel): Promise<Spans | undefined> {
   const filled = await search(spans, model, { isFillOnly: true });
   return filled.cost <= filled.costBefore - minFillGain ? filled.spans : undefined;
--- a/packages/gateway/src/orders/getSlowness.ts
+++ b/packages/gateway/src/orders/getSlowness.ts
@@ -1,6 +1,6 @@
 import type { EngineReport } from "./EngineOrders.js";
 
-/** Reported slowness below this is ordinary variation. */
+/** A reported slowness up to this value is ordinary variation. */
 const slownessFloor = 1.2;
 const nominalSlowness = 1;
 
--- a/packages/gateway/src/orders/planZoneOrders.ts
+++ b/packages/gateway/src/orders/planZoneOrders.ts
@@ -67,7 +67,7 @@
   });
 }
 
-/** Returns the next span for an engine on its way to `targetSpan`; undefined where the engine has that span already, or has to wait. */
+/** Returns the next span for an engine on its way to `targetSpan`, or undefined if the engine already has that span or has to wait. */
 function getNextSpan(
   member: ZoneEngine,
   targetSpan: LayerSpan,
--- a/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -1,4 +1,4 @@
-/** Tests what counts as a crash, and what clears a request. */
+/** Tests the detection of crashes, and the clearing of suspected requests. */
 import test from "ava";
 import { initialPhaseMs, CrashDetector, type TrackedRun } from "../../crashes/CrashDetector.js";
 import {
@@ -75,7 +75,7 @@
   }
 }
 
-test("a closed connection is no crash while the endpoint still accepts connections", async (t) => {
+test("a closed connection does not count as a crash while the endpoint still accepts connections", async (t) => {
   const fixture = new Fixture();
   fixture.probeResult = "open";
   for (const id of ids) await fixture.lose(id);
@@ -83,7 +83,7 @@
   t.deepEqual(fixture.sent, []);
 });
 
-test("an endpoint that refuses connections has crashed: its runs in their initial phase count, and the crash is broadcast", async (t) => {
+test("a refused connection counts as a crash: it counts against the runs in their initial phase, and is broadcast", async (t) => {
   const fixture = new Fixture();
   await fixture.lose("i-1");
   t.is(fixture.detector.ledger.getWeight("a"), 1);
@@ -116,7 +116,7 @@
   t.is(gone.detector.ledger.getStatus("a"), "unknown");
 });
 
-test("without an answer the list decides: a crash if the entry disappears, a network cut if it stays", async (t) => {
+test("if a probe gets no answer, the endpoint counts as crashed only if its entry disappears from the list", async (t) => {
   const fixture = new Fixture();
   fixture.probeResult = "nothing";
   await fixture.lose("i-1");
@@ -128,7 +128,7 @@
   t.is(fixture.detector.ledger.getWeight("a"), 1);
 });
 
-test("an endpoint with a new start of its process has crashed", async (t) => {
+test("a new start of an endpoint's process counts as a crash of the previous one", async (t) => {
   const fixture = new Fixture({ bornAtMs: 1 });
   fixture.probeResult = "open";
   const before = fixture.get("i-1");
@@ -186,7 +186,7 @@
   t.deepEqual(fixture.detector.getAvoidedEndpointIds({ digest: "c" }), []);
 });
 
-test("after the quarantine the instances try the request in turn, one at a time, and each reports its trial", async (t) => {
+test("after a quarantine the instances try the request one after the other, and report each trial", async (t) => {
   const fixture = new Fixture();
   for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
   const leftMs = fixture.detector.getQuarantineMs({ digest: "a" }) ?? 0;
@@ -213,7 +213,7 @@
 const identity = { method: "POST", path: "/a/x", accountName: "farm", body: Buffer.from("{}") };
 const harmlessRequest = { identity, digest: digestRequest(identity) };
 
-test("a request identical to a recently completed one is not quarantined for crashes that it was running at", async (t) => {
+test("a request identical to a recently completed one is not quarantined for crashes of the endpoints that run it", async (t) => {
   const fixture = new Fixture();
   await fixture.clock.run(10_000);
   fixture.complete("i-4", harmlessRequest);
--- a/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
+++ b/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
@@ -47,7 +47,7 @@
 
 const quarantine: QuarantineMessage = { digest: "a", ageMs: 0, leftMs: 20_000, times: 1 };
 
-test("a quarantine outlasts all instances, and is read once, by one instance of a zone", async (t) => {
+test("a quarantine outlasts a restart of all instances, and is read once by a single instance of a zone", async (t) => {
   const store = new MemoryStore();
   create(store).reconciler.persist("a", quarantine);
   const { reconciler, merged } = create(store);
--- a/packages/gateway/src/tests/orders/LeadershipTests.ts
+++ b/packages/gateway/src/tests/orders/LeadershipTests.ts
@@ -1,4 +1,4 @@
-/** Tests that an instance sends orders only within a term that it is certain to have. */
+/** Tests that an instance acts as leader only within a term that the store is certain to have granted. */
 import test from "ava";
 import { errors, results } from "@shedtiller/common";
 import type { StoreError } from "../../discovery/ChangeFeed.js";
--- a/packages/gateway/src/tests/orders/LostEngineDetectorTests.ts
+++ b/packages/gateway/src/tests/orders/LostEngineDetectorTests.ts
@@ -32,7 +32,7 @@
   t.deepEqual(getRemaining(), ["a", "b", "c"]);
 });
 
-test("where most engines of a zone don't answer, the link is at fault and no engine is lost", async (t) => {
+test("if most engines of a zone don't answer, the link is assumed to have failed and no engine counts as lost", async (t) => {
   const { orders, detector, members, getRemaining } = setUp();
   for (const id of ["a", "b"]) orders.silent.add(id);
   await Promise.all(members.map((member) => detector.check(member)));
--- a/packages/gateway/src/tests/orders/ZonePlannerTests.ts
+++ b/packages/gateway/src/tests/orders/ZonePlannerTests.ts
@@ -2,21 +2,21 @@
 import test from "ava";
 import type { ZoneEngine } from "../../orders/planZoneOrders.js";
 import { ZonePlanner } from "../../orders/ZonePlanner.js";
-import * as zoneParts from "./zoneParts.js";
+import * as zoneTestData from "./zoneTestData.js";
 
 function createMember(name: string, start: number, end: number, memoryMb = 200): ZoneEngine {
-  return zoneParts.createMember(name, { start, end }, memoryMb);
+  return zoneTestData.createMember(name, { start, end }, memoryMb);
 }
 
 function setUp() {
   const clock = { nowMs: 10_000 };
   const planner = new ZonePlanner(() => clock.nowMs);
   const plan = async (members: readonly ZoneEngine[]): Promise<string> =>
-    zoneParts.describeOrders(await planner.plan(members, zoneParts.smallModel));
+    zoneTestData.describeOrders(await planner.plan(members, zoneTestData.smallModel));
   return { clock, plan };
 }
 
-test("a zone with empty engines only gets complete copies", async (t) => {
+test("a zone whose engines are all empty gets complete copies", async (t) => {
   const { plan } = setUp();
   const ordered = await plan([createMember("a", 0, 0), createMember("b", 0, 0)]);
   t.is(ordered.split(",").length, 2);
@@ -28,7 +28,7 @@
   t.is(await plan(members), "a=0-3,c=3-6");
 });
 
-test("a gap that no engine can extend over rearranges the zone if the lost engine does not return", async (t) => {
+test("a zone with a gap that no engine can extend over is rearranged if the lost engine does not return", async (t) => {
   const { clock, plan } = setUp();
   // Neither engine has capacity for more layers beside its own, but the second one could load all layers.
   const members = [createMember("a", 0, 4, 42), { ...createMember("b", 0, 4, 120), passingRequests: 9 }];
@@ -62,7 +62,7 @@
   t.regex(await plan([createMember("a", 0, 7), createMember("b", 7, 8)]), /^b=\d-8$/);
 });
 
-test("where neighbours can't extend their spans, an engine whose layers others have loaded, too, closes the gap", async (t) => {
+test("if neighbours can't extend their spans, the gap is closed by an engine whose layers other engines have loaded, too", async (t) => {
   const { plan } = setUp();
   const members = [createMember("a", 0, 3, 45), createMember("b", 5, 8, 45), createMember("c", 5, 8, 60)];
   t.regex(await plan(members), /^c=3-\d$/);
--- a/packages/gateway/src/tests/orders/planZoneOrdersTests.ts
+++ b/packages/gateway/src/tests/orders/planZoneOrdersTests.ts
@@ -2,9 +2,9 @@
 import test from "ava";
 import type { LayerSpan } from "../../discovery/ListedEndpoint.js";
 import { isZoneComplete, planZoneOrders, type ZoneEngine } from "../../orders/planZoneOrders.js";
-import * as zoneParts from "./zoneParts.js";
+import * as zoneTestData from "./zoneTestData.js";
 
-const model = zoneParts.smallModel;
+const model = zoneTestData.smallModel;
 /** Memory for five layers with capacity for a request. */
 const memoryMb = 60;
 
@@ -13,16 +13,16 @@
 }
 
 function createMember(name: string, listed: LayerSpan, changes: Partial<ZoneEngine> = {}): ZoneEngine {
-  return zoneParts.createMember(name, listed, memoryMb, changes);
+  return zoneTestData.createMember(name, listed, memoryMb, changes);
 }
 
-test("a boundary shifts by a load on one side before the other side drops its layers", (t) => {
+test("a boundary between two engines shifts by a load at one of them before the other drops its layers", (t) => {
   const target = [span(0, 5), span(5, 8)];
   const before = [createMember("a", span(0, 4)), createMember("b", span(4, 8))];
-  t.is(zoneParts.describeOrders(planZoneOrders(before, target, model)), "a=0-5");
+  t.is(zoneTestData.describeOrders(planZoneOrders(before, target, model)), "a=0-5");
   const loading = [createMember("a", span(0, 4), { ordered: span(0, 5), isFree: false }), before[1]];
   t.is(
-    zoneParts.describeOrders(
+    zoneTestData.describeOrders(
       planZoneOrders(
         loading.flatMap((member) => member ?? []),
         target,
@@ -32,7 +32,7 @@
     "",
   );
   const loaded = [createMember("a", span(0, 5)), createMember("b", span(4, 8))];
-  t.is(zoneParts.describeOrders(planZoneOrders(loaded, target, model)), "b=5-8");
+  t.is(zoneTestData.describeOrders(planZoneOrders(loaded, target, model)), "b=5-8");
 });
 
 test("no layers are dropped while any engine of the zone is still loading", (t) => {
@@ -41,7 +41,7 @@
     createMember("b", span(4, 8)),
     createMember("c", span(0, 0), { ordered: span(0, 3), isFree: false }),
   ];
-  t.is(zoneParts.describeOrders(planZoneOrders(members, [span(0, 5), span(5, 8), span(0, 3)], model)), "");
+  t.is(zoneTestData.describeOrders(planZoneOrders(members, [span(0, 5), span(5, 8), span(0, 3)], model)), "");
 });
 
 test("engines that shift their span have both spans loaded in between", (t) => {
@@ -51,7 +51,7 @@
     createMember("c", span(5, 8)),
   ];
   const target = [span(0, 3), span(3, 6), span(6, 8)];
-  t.is(zoneParts.describeOrders(planZoneOrders(members, target, model)), "a=0-3,b=2-6");
+  t.is(zoneTestData.describeOrders(planZoneOrders(members, target, model)), "a=0-3,b=2-6");
 });
 
 test("in a complete zone an engine without capacity for both spans is left unchanged", (t) => {
@@ -61,16 +61,16 @@
     createMember("c", span(4, 8)),
   ];
   t.true(isZoneComplete(members, model));
-  t.is(zoneParts.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4), span(4, 8)], model)), "");
+  t.is(zoneTestData.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4), span(4, 8)], model)), "");
 });
 
-test("in a broken zone such an engine is ordered directly to its target", (t) => {
+test("in a broken zone an engine without capacity for both spans is ordered directly to its target", (t) => {
   const members = [createMember("a", span(0, 4)), createMember("b", span(0, 4))];
   t.false(isZoneComplete(members, model));
-  t.is(zoneParts.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4)], model)), "a=4-8");
+  t.is(zoneTestData.describeOrders(planZoneOrders(members, [span(4, 8), span(0, 4)], model)), "a=4-8");
 });
 
 test("an engine with a recent order or failure gets no order", (t) => {
   const members = [createMember("a", span(0, 4), { isFree: false })];
-  t.is(zoneParts.describeOrders(planZoneOrders(members, [span(0, 5)], model)), "");
+  t.is(zoneTestData.describeOrders(planZoneOrders(members, [span(0, 5)], model)), "");
 });
