--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -15,7 +15,7 @@
 const maxMisses = 3;
 /** Weight of past releases in the moving average of the time between two released chains. */
 const releaseSmoothing = 16;
-/** Interval before any chain has been released: a stream takes about a second, and an instance has about ten. */
+/** Interval before any chain has been released: a stream takes about a second, and an instance runs about ten streams at a time. */
 const initialReleaseIntervalMs = 100;
 /** Maximum Retry-After time. Callers respect a time of up to one third of their remaining deadline. */
 const longestRetryAfterMs = 4_000;
@@ -25,7 +25,7 @@
 export interface ChainAcquisition {
   readonly service: string;
   readonly demand: ChainDemand;
-  /** 0 is the most urgent. */
+  /** Priority of the request; 0 is the most urgent. */
   readonly priority: number;
   readonly maxWaitMs: number;
   /** Latest monotonic time of a start that meets the target latency; infinite if the stream has begun. */
@@ -46,9 +46,9 @@
  * latency first, then in order of arrival. A request is rejected as soon as its turn is expected after its maximum wait.
  */
 export class ChainAdmission {
-  /** In order of arrival. */
+  /** The waiting requests in order of arrival. */
   private readonly _waiters: Waiter[] = [];
-  /** Set while requests wait. */
+  /** The timer of the polling, which runs while requests wait. */
   private _pollTimer: NodeJS.Timeout | undefined;
   private _lastReleaseAtMs = utils.monotonicMs();
   private _releaseIntervalMs = initialReleaseIntervalMs;
@@ -77,9 +77,9 @@
     const ahead = this._countAhead(acquisition);
     const reservation = ahead === 0 ? this._tryReserve(acquisition) : undefined;
     if (reservation !== undefined) return reservation;
-    // A second engine with the first layers appears only after a load of layers, which takes seconds, so waiting is useless.
+    // A second engine with the first layers appears only after a load of layers, which takes seconds, so the request does not wait.
     if (acquisition.demand.redundantFirstEngine === "required") return undefined;
-    // An immediate rejection leaves the caller time for a retry; a rejection after a useless wait does not.
+    // An immediate rejection leaves the caller time for a retry; a rejection after the maximum wait does not.
     if (this._getWaitMs(acquisition.service, ahead) > acquisition.maxWaitMs) return undefined;
     return this._wait(acquisition);
   }
@@ -130,7 +130,7 @@
     const inOrder = [...this._waiters].sort((a, b) => compareTurns(a.acquisition, b.acquisition, nowMs));
     let misses = 0;
     let ahead = 0;
-    /** By service: the smallest number of tokens that found no capacity; requests of as many or more tokens are not tried. */
+    /** By service: the smallest number of tokens that found no capacity; requests with as many or more tokens are skipped. */
     const missedTokens = new Map<string, number>();
     /** By service: the wait that rate limits and back-offs impose even on the first request. */
     const minWaitsMs = new Map<string, number>();
--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -20,8 +20,8 @@
  * capacity in several zones, and a zone whose capacity is fragmented by such chains sends more requests to other zones. Without a reserve
  * (the trunk reservation of telephone networks) a short overload becomes a lasting one.
  *
- * Measured in a recorded scenario with three zones: the deployment earned 0.64 of the possible value with the reserve and 0.54 without.
- * Without it, 150 to 195 of 220 streams ran across zones for twenty seconds, at 25 to 28 ms per token instead of 13 to 18.
+ * In a recorded scenario with three zones, the deployment earns 0.64 of the possible value with the reserve and 0.54 without. Without the
+ * reserve, 150 to 195 of 220 streams run across zones for twenty seconds, at 25 to 28 ms per token instead of 13 to 18.
  */
 const crossZoneCapacityShare = 0.5;
 
@@ -92,7 +92,7 @@
     completeZones: ReadonlySet<string>,
   ): ChainCandidate[] {
     const nowMs = this._nowMs();
-    if (endpoint.isSuspect(nowMs) || nowMs < endpoint.refusedUntilMs) return [];
+    if (endpoint.isSuspect(nowMs) || nowMs < endpoint.avoidedUntilMs) return [];
     if (endpoint.circuitBreaker.isOpen(nowMs)) return [];
     // A moved stream keeps its first engine, whose back-off applies to new requests only.
     if (endpoint.backoff.getLeftMs(nowMs) > 0 && endpoint.id !== demand.firstEndpointId) return [];
--- a/packages/gateway/src/chains/ChainReservation.ts
+++ b/packages/gateway/src/chains/ChainReservation.ts
@@ -6,7 +6,7 @@
 
 /** The load reserved at one engine. */
 interface ReservedLoad {
-  /** The object instead of its id, since an endpoint that leaves the list and returns is another object with its own load. */
+  /** References the endpoint itself rather than its id: an endpoint that leaves the list and returns is a new object with its own load. */
   readonly endpoint: Endpoint;
   readonly tokenLayers: number;
 }
--- a/packages/gateway/src/chains/engineModel.ts
+++ b/packages/gateway/src/chains/engineModel.ts
@@ -22,10 +22,10 @@
 /**
  * Returns the number of requests in flight up to which the prefill of prompts does not queue at an engine. A pass prefills a bounded
  * number of prompt tokens, and a stream takes as many passes at each engine of its chain as its answer needs. A chain of equal engines
- * has as many stages as the loaded layers of one engine go into the model.
+ * has `layerCount / loadedLayers` stages.
  *
- * Measured over 12,000 streams of a fleet of 195 instances: 2 % of the first events take more than 600 ms at up to 1.0 times this number,
- * 17 % at 1.4 times and 45 % at 1.7 times.
+ * Of 12,000 streams of a fleet of 195 instances, 2 % have their first event after more than 600 ms at up to 1.0 times this number, 17 % at
+ * 1.4 times and 45 % at 1.7 times.
  */
 export function getUnqueuedRequests(endpoint: Endpoint, profile: EngineProfile): number {
   const loadedLayers = Math.max(1, countLoadedLayers(endpoint));
--- a/packages/gateway/src/chains/findCheapestChain.ts
+++ b/packages/gateway/src/chains/findCheapestChain.ts
@@ -29,14 +29,14 @@
 
 /**
  * Cost of each change of zones within a chain. The activations of a prompt (50 MB on the current deployments) occupy the shared link
- * between the zones for 15 ms, and a saturated link slows every chain across it. Measured in a recorded scenario with three zones and
- * losses of engines: with this cost 45 GB were transferred between the zones instead of 233, and the deployment earned 0.67 of the
- * possible value instead of 0.39.
+ * between the zones for 15 ms, and a saturated link slows every chain across it. In a recorded scenario with three zones and losses of
+ * engines, this cost reduces the transfer between the zones from 233 to 45 GB, and the deployment earns 0.67 of the possible value
+ * instead of 0.39.
  */
 const zoneChangeMs = 20_000;
 /** Cost of a chain that begins in another zone, to which only the text of the request and its answer is transferred. */
 const otherZoneMs = 200;
-/** Maximum number of stages. The wire format allows 32, but longer chains than this lose more time to hops than they gain. */
+/** Maximum number of stages. The wire format allows 32, but a chain of more than 24 stages loses more time to hops than it gains. */
 const maxStages = 24;
 
 /** An engine with a range of its loaded layers, its cost and its free capacity. */
--- a/packages/gateway/src/discovery/CircuitBreaker.ts
+++ b/packages/gateway/src/discovery/CircuitBreaker.ts
@@ -4,7 +4,7 @@
 const firstOpenMs = 50;
 /** Open time after a second consecutive failure; doubled after each further one. */
 const secondOpenMs = 500;
-/** Maximum open time: endpoints that fail this way work again after a few seconds, and are tried at this interval. */
+/** Maximum open time, and thus the interval of probe requests: endpoints that fail this way work again after a few seconds. */
 const maxOpenMs = 4_000;
 /** How long after the open time an endpoint that has not answered since its last failure gets no requests that cannot be retried. */
 const unprovenMs = 5_000;
@@ -12,8 +12,7 @@
 /**
  * Circuit breaker for one endpoint, based on the requests of this instance. Distinguishes an endpoint that fails every request right away
  * (by a reset, a rejection or an internal failure) from one that failed once. An endpoint that fails right away always has the least load
- * and therefore attracts all requests: under overload one of 190 engines received 3,751 requests within 6.6 s, and 3,100 streams ended with
- * them.
+ * and therefore attracts all requests: under overload one of 190 engines received 3,751 requests within 6.6 s, which aborted 3,100 streams.
  */
 export class CircuitBreaker {
   private _failures = 0;
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -15,7 +15,7 @@
 
 /**
  * How long an observed capacity limit applies. The free capacity of an engine changes with its layers, which takes seconds; after this time
- * the full capacity is tried again.
+ * the full capacity is assumed again.
  */
 const observedCapacityMs = 2_000;
 
@@ -30,8 +30,8 @@
 const noLoad: EndpointLoad = { requests: 0, tokenLayers: 0 };
 
 /**
- * One endpoint as this instance sees it: its listed state, the load that this instance puts on it, the last loads that peers reported, and
- * the permits, back-off and failures that restrict sending to it.
+ * One endpoint from the perspective of this instance: its listed state, the load that this instance puts on the endpoint, the last loads
+ * that peers reported, and the permits, back-off and failures that restrict sending to the endpoint.
  */
 export class Endpoint {
   /** Monotonic time until which the endpoint gets no new work unless no other endpoint is available. */
@@ -39,13 +39,15 @@
   /** Monotonic time of the evidence that led to the suspicion. */
   suspectedAtMs = 0;
   /**
-   * Monotonic time until which this instance sends no new requests to the endpoint, because it has just rejected one for lack of capacity.
+   * Monotonic time until which this instance sends no new requests to the endpoint. Set after the endpoint rejected a moved stream, or was
+   * reported as faulty or without the listed layers.
    */
-  refusedUntilMs = 0;
-  /** Stops requests to the endpoint after requests of this instance failed right away. */
+  avoidedUntilMs = 0;
+  /** Stops requests to the endpoint after requests of this instance failed. */
   readonly circuitBreaker = new CircuitBreaker();
-  /** Consecutive suspicions without a heartbeat between them. */
+  /** Number of consecutive suspicions without a heartbeat between them. */
   suspicions = 0;
+  /** The load at which the endpoint last rejected a request for lack of capacity. */
   private _observedCapacity: { readonly tokenLayers: number; readonly untilMs: number } | undefined;
   /** Factor by which the endpoint is slower than its accelerator kind, as it reports itself; 1 is nominal. */
   slowness = 1;
--- a/packages/gateway/src/discovery/EndpointLimits.ts
+++ b/packages/gateway/src/discovery/EndpointLimits.ts
@@ -22,7 +22,7 @@
 
 export type LimitListener = (endpoint: Endpoint) => void;
 
-/** Keeps the request rate limits that endpoints state with their answers, and decides which of several statements applies. */
+/** Tracks the request rate limits that endpoints state with their answers, and decides which of several statements applies. */
 export class EndpointLimits {
   private readonly _nowMs: () => number;
   private readonly _listeners: LimitListener[] = [];
--- a/packages/gateway/src/discovery/EndpointStatements.ts
+++ b/packages/gateway/src/discovery/EndpointStatements.ts
@@ -19,7 +19,7 @@
   readonly limits: Pick<EndpointLimits, "noteAnswer" | "noteReport">;
   readonly log: DecisionLog;
   /** Counts answers with a statement about their endpoint. */
-  readonly count?: ((what: StatementKind, service: string) => void) | undefined;
+  readonly count?: ((kind: StatementKind, service: string) => void) | undefined;
   /** Monotonic clock, replaced in tests. */
   readonly nowMs?: (() => number) | undefined;
 }
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Stops new work for a draining endpoint and notifies the listeners, which inform the peers: the endpoint states its draining only in
-   * answers, so that each instance would otherwise have to send it a request first.
+   * Stops new work for a draining endpoint and notifies the listeners, which inform the peers. The endpoint states its draining only in
+   * answers, so without this message each instance would first have to send it a request.
    */
   private _noteDraining(endpoint: Endpoint): void {
     this._count("leaving", endpoint);
@@ -102,7 +102,7 @@
     for (const listener of this._drainingListeners) listener(endpoint.lifeId);
   }
 
-  /** Logs each unknown header once, so that a header that no code reads is noticed as soon as an endpoint sends it. */
+  /** Logs each unknown header once, so that operators notice a header that no code reads as soon as an endpoint sends it. */
   private _noteUnknownHeader(endpoint: Endpoint, name: string): void {
     this._count("unknown-header", endpoint);
     if (this._loggedNames.has(name) || this._loggedNames.size >= maxLoggedNames) return;
@@ -110,8 +110,8 @@
     this._structure.log.warn("endpoint-header-unknown", { ...describe(endpoint), name });
   }
 
-  private _count(what: StatementKind, endpoint: Endpoint): void {
-    this._structure.count?.(what, endpoint.listed.service);
+  private _count(kind: StatementKind, endpoint: Endpoint): void {
+    this._structure.count?.(kind, endpoint.listed.service);
   }
 }
 
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -4,8 +4,8 @@
 import type { LayerSpan, ListedEndpoint } from "./ListedEndpoint.js";
 
 /**
- * Grace period for entries that are missing after the store has recovered: live endpoints may be absent until their next heartbeat. The
- * platform states about 2 s; an endpoint that is missing for longer is gone.
+ * Grace period for entries that are missing after the store has recovered: live endpoints may be absent until their next heartbeat, for
+ * about 2 s according to the platform. An endpoint that is missing for longer is gone.
  */
 const recoveryGraceMs = 2_000;
 /**
@@ -45,7 +45,7 @@
 export class EndpointTable {
   private readonly _endpoints = new Map<string, Endpoint>();
   private readonly _listeners: EndpointListener[] = [];
-  /** Endpoints that are missing from the list, and the monotonic time at which they are dropped unless they reappear. */
+  /** By the id of an endpoint that is missing from the list: monotonic time at which the endpoint is dropped unless it reappears. */
   private readonly _missing = new Map<string, number>();
   /** The latest known start of each endpoint id in Unix milliseconds; the least recently updated id comes first. */
   private readonly _newestStarts = new Map<string, number>();
@@ -173,7 +173,7 @@
     const endpoint = this._endpoints.get(id);
     const nowMs = this._nowMs();
     if (endpoint === undefined || endpoint.isSuspect(nowMs)) return false;
-    // Heartbeats that change nothing are not reported by the list, so that a time without suspicions has to count as well.
+    // The list does not report heartbeats that change nothing, so a long time without suspicions resets the count as well.
     if (nowMs - endpoint.suspectedAtMs > suspicionMemoryMs) endpoint.suspicions = 0;
     endpoint.suspectedAtMs = nowMs;
     endpoint.suspectUntilMs = nowMs + Math.min(maxSuspicionMs, suspicionMs * 2 ** endpoint.suspicions);
@@ -192,10 +192,10 @@
   }
 
   /**
-   * Assumes that the peers put the same load on endpoints as this instance, until one of them reports its load. After a simultaneous start
-   * of all instances none has received the loads of the others for the first second, and all choose the same cheapest chains. With callers twice
-   * as fast as usual, engines rejected 5 % of the requests without this assumption and less than 1 % with it, at 5 % more time per token
-   * (see the test of many choosers).
+   * Assumes that the peers put the same load on endpoints as this instance, until one of them reports its load. For the first second after
+   * a simultaneous start of all instances, none has received the loads of the others, and all choose the same cheapest chains. If callers
+   * send requests twice as fast as usual, engines reject 5 % of the requests without this assumption and less than 1 % with it, at 5 % more
+   * time per token (see `ManyChoosersTests`).
    */
   assumePeers(count: number): void {
     if (this._mayAssumePeers) this._assumedPeers.count = count;
@@ -213,7 +213,7 @@
     for (const endpoint of this._endpoints.values()) endpoint.setPeerLoad(peer, loads.get(endpoint.lifeId));
   }
 
-  /** Removes the loads of peers that can no longer be reached. */
+  /** Removes the loads of all peers that are not in `peers`, since they can no longer be reached. */
   keepPeerLoads(peers: ReadonlySet<string>): void {
     for (const endpoint of this._endpoints.values()) endpoint.keepPeerLoads(peers);
   }
@@ -234,8 +234,8 @@
   }
 
   /**
-   * Compares a reported start with the newest known one. An endpoint that reports its start does so in every report, so that a report
-   * without a start is not about the current life.
+   * Compares a reported start with the newest known one. An endpoint that reports its start does so in every report, so a report without
+   * a start does not concern the current life.
    */
   private _compareLives(id: string, bornAtMs: number | undefined): LifeOrder {
     const newest = this._newestStarts.get(id);
--- a/packages/gateway/src/discovery/EndpointWatch.ts
+++ b/packages/gateway/src/discovery/EndpointWatch.ts
@@ -5,18 +5,18 @@
 import type { ListedEndpoint } from "./ListedEndpoint.js";
 
 /**
- * Long-poll timeout. A long poll shows only that the list was complete when the request was sent, so that the list may be up to twice this
- * old. A draining endpoint has to be known within 2 s, also after the reader of a zone has lost the store.
+ * Long-poll timeout. A long poll proves only that the list was complete when the request was sent, so the list may be up to twice this
+ * old. All instances have to be notified of a draining endpoint within 2 s, even if the reader of a zone loses its connection to the store.
  */
 const longPollMs = 400;
 const retryMs = 250;
 /**
- * While entries change, this pause determines how often a zone reads the list and how often its instances are notified. It is as long as a
- * long poll, so that it does not increase the age of the list.
+ * While entries change, this pause determines how often a zone reads the list and how often its instances are notified. The pause is as
+ * long as a long poll, so that it does not increase the age of the list.
  */
 const gatherMs = 400;
 
-/** Follows the list of endpoints in the store and applies its changes to the endpoint table; one per instance. */
+/** Follows the list of endpoints in the store and applies its changes to the endpoint table. Each instance has one such watch. */
 export class EndpointWatch {
   readonly follower: FeedFollower<ListedEndpoint>;
 
@@ -55,7 +55,7 @@
 
   /**
    * Applies a list that was complete at `freshAtMs` according to a peer, if that is newer than the known list.
-   * @param list - Undefined where the list is the one that this instance had when it sent the request.
+   * @param list - Undefined if the peer's list is the one that this instance already had when it sent its request.
    */
   applyPeerList(list: readonly ListedEndpoint[] | undefined, nextOffset: number, freshAtMs: number): void {
     if (list === undefined) {
--- a/packages/gateway/src/discovery/FailureDetector.ts
+++ b/packages/gateway/src/discovery/FailureDetector.ts
@@ -8,8 +8,8 @@
 /** Timeout of report requests: engines answer them at once, and links take a few milliseconds. */
 const reportTimeoutMs = 150;
 /**
- * How long no requests go to an engine that another engine reported but that still answers. Such an engine lacks capacity or cannot be
- * reached by its neighbour.
+ * Time for which this instance sends no new requests to an engine that another engine reported as faulty, but that still answers. Such an
+ * engine lacks capacity or cannot be reached by its neighbour.
  */
 const reportedBackoffMs = 600;
 
@@ -22,7 +22,7 @@
   readonly orders: EngineOrders;
   readonly log: DecisionLog;
   readonly broadcastSuspicion: (endpointId: string) => void;
-  /** Reports to the peers which layers an engine has loaded, where the list says otherwise. */
+  /** Reports to the peers which layers an engine has loaded, if the list contains others. */
   readonly broadcastLayers: (endpointId: string, layers: readonly LayerSpan[]) => void;
   /** Counts a suspicion by its cause. */
   readonly count: (cause: string) => void;
@@ -56,29 +56,30 @@
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
     if (report.err) return broadcastSuspicion(endpointId);
     endpoints.clear(endpointId);
-    endpoint.refusedUntilMs = this._nowMs() + reportedBackoffMs;
+    endpoint.avoidedUntilMs = this._nowMs() + reportedBackoffMs;
     log.info("endpoint-answers", { endpointId, address: endpoint.listed.address, reason });
   }
 
   /**
    * Records that an engine rejected a request because it has not loaded the layers that the list states; resolves once its layers have been
    * queried.
+   *
    * A restarted engine stays in the list with its previous layers for up to 2 s, and attracts requests because it appears to be the
-   * fastest. When five of 36 engines in three zones restarted and were merely treated as full, only 6 % of the requests of two seconds were
-   * served in time.
+   * fastest. When five of 36 engines in three zones restarted and were merely treated as full, only 6 % of the requests were served in time
+   * for two seconds.
    */
   async noteLayersMissing(endpointId: string): Promise<void> {
     const { endpoints, orders, log, broadcastLayers } = this._structure;
     const endpoint = endpoints.get(endpointId);
     if (endpoint === undefined || this._queried.has(endpoint)) return;
     this._queried.add(endpoint);
-    endpoint.refusedUntilMs = this._nowMs() + layersBackoffMs;
+    endpoint.avoidedUntilMs = this._nowMs() + layersBackoffMs;
     const { address } = endpoint.listed;
     const report = await orders.getReport(endpoint.orderTarget, reportTimeoutMs);
     this._queried.delete(endpoint);
     if (report.err) return this.noteUnresponsive(endpointId, `holds other layers: ${report.val.code}`);
     if (!endpoints.setLayers(endpoint, report.val.layers)) return;
-    endpoint.refusedUntilMs = 0;
+    endpoint.avoidedUntilMs = 0;
     broadcastLayers(endpointId, report.val.layers);
     log.info("endpoint-holds-other-layers", { endpointId, address });
   }
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -2,7 +2,7 @@
 import type { Change, ChangeFeed, FeedPage, StoreError } from "./ChangeFeed.js";
 
 /**
- * The store counts as unavailable once the set has not been known to be current for this long; a follower that gets its pages from a peer
+ * The store counts as unavailable if the set has not been confirmed as current for this long; a follower that gets its pages from a peer
  * detects an outage this way.
  */
 const unavailableAfterMs = 4_000;
@@ -107,7 +107,7 @@
 
   /**
    * Sets whether this follower reads the store continuously.
-   * @param isFallbackReader - Whether it does so only until a peer sends pages again; the pause after failed reads then doubles.
+   * @param isFallbackReader - Whether the follower reads only until a peer sends pages again; the pause after failed reads then doubles.
    */
   setReader(isReader: boolean, isFallbackReader = false): void {
     this._isFallbackReader = isFallbackReader;
@@ -137,7 +137,7 @@
   }
 
   /**
-   * Advances to an offset whose preceding changes were obtained from another source. The set does not become fresher by that, since newer
+   * Advances to an offset whose preceding changes were obtained from another source. The freshness of the set is unchanged, since newer
    * changes may exist.
    */
   advanceTo(nextOffset: number): void {
@@ -173,7 +173,7 @@
 
   private _getPauseMs(error: StoreError | undefined, offsetBefore: number | undefined): number {
     if (error !== undefined) return this._getRetryMs();
-    // A store that does not have changes yet that a peer has received is read again, with a pause between reads.
+    // The store may not return changes yet that a peer has already received; it is then read again after a pause.
     const isWaiting = this._offset === offsetBefore && this._behindSinceMs === undefined;
     return isWaiting ? 0 : (this._options.gatherMs ?? gatherIntervalMs);
   }
@@ -186,7 +186,7 @@
     return error;
   }
 
-  /** Advances to an offset. Nothing is left to catch up on once that reaches the end of the known changes. */
+  /** Advances to an offset. The follower is no longer behind once the offset reaches the end of the known changes. */
   private _advanceTo(nextOffset: number): void {
     this._offset = nextOffset;
     this._knownEndOffset = Math.max(this._knownEndOffset, nextOffset);
--- a/packages/gateway/src/discovery/LocalPermits.ts
+++ b/packages/gateway/src/discovery/LocalPermits.ts
@@ -13,7 +13,7 @@
 }
 
 /**
- * Keeps the permits that this instance may use for one life of an endpoint with a limit, and counts its sends from before the limit became
+ * Stores the permits that this instance may use for one life of an endpoint with a limit, and counts its sends from before the limit became
  * known.
  */
 export class LocalPermits {
@@ -57,7 +57,7 @@
   takeUsage(nowMs: number): PermitUsage {
     this._dropExpired(nowMs);
     // A permit that was reported as used and returned afterwards is deducted from the next usage.
-    const account = {
+    const usage = {
       used: Math.max(0, this._used),
       returned: this._returned,
       charged: this._unlimitedSends.get(nowMs),
@@ -65,7 +65,7 @@
     this._used = Math.min(0, this._used);
     this._returned = 0;
     this._unlimitedSends = new WindowedCount(chargedWindowMs);
-    return account;
+    return usage;
   }
 
   /** Removes all permits, for example when the limit has ended. */
@@ -76,8 +76,8 @@
   }
 
   private _dropExpired(nowMs: number): void {
-    const left = this._expiresAtMs.filter((expiresAtMs) => expiresAtMs > nowMs);
-    this._returned += this._expiresAtMs.length - left.length;
-    this._expiresAtMs = left;
+    const remaining = this._expiresAtMs.filter((expiresAtMs) => expiresAtMs > nowMs);
+    this._returned += this._expiresAtMs.length - remaining.length;
+    this._expiresAtMs = remaining;
   }
 }
--- a/packages/gateway/src/http/EndpointStatement.ts
+++ b/packages/gateway/src/http/EndpointStatement.ts
@@ -1,4 +1,4 @@
-/** What an endpoint states about itself in the headers of its answers. */
+/** The statements of an endpoint about itself in the headers of its answers. */
 
 /** The rate limit that an endpoint states, in requests per second from all instances together. */
 export type StatedLimit =
@@ -7,7 +7,7 @@
   /** An invalid value; `text` is the value as sent. */
   | { readonly kind: "unreadable"; readonly text: string };
 
-/** The time after which an endpoint accepts requests again, as it states. */
+/** The time that an endpoint states after which it accepts requests again. */
 export type StatedRetryAfter =
   | { readonly kind: "none" }
   | { readonly kind: "named"; readonly afterMs: number }
@@ -20,7 +20,7 @@
   readonly retryAfter: StatedRetryAfter;
   /** Whether the endpoint is about to stop and accepts no new requests. */
   readonly isDraining: boolean;
-  /** Names, in lower case, of headers that this version does not interpret; they may state something that it does not support. */
+  /** Names, in lower case, of headers that this version does not interpret; they may contain unsupported statements. */
   readonly unknownHeaderNames: readonly string[];
 }
 
--- a/packages/gateway/src/http/KeepAliveAgent.ts
+++ b/packages/gateway/src/http/KeepAliveAgent.ts
@@ -5,7 +5,7 @@
 
 /** Maximum number of idle connections per address. Endpoints allow hundreds from all clients together. */
 const maxFreeSockets = 16;
-/** Maximum idle time if the server announces none: the shortest idle timeout seen at endpoints is 1 s. */
+/** Maximum idle time if the server announces none: the shortest idle timeout of known endpoints is 1 s. */
 const unannouncedIdleMs = 900;
 /** Maximum idle time whatever the server announces, since an idle connection may have died unnoticed. */
 const maxIdleMs = 8_000;
--- a/packages/gateway/src/http/MessageCodec.ts
+++ b/packages/gateway/src/http/MessageCodec.ts
@@ -49,7 +49,7 @@
   readonly faultyAddress: string | undefined;
   /** Whether the body has a content encoding. */
   readonly isEncoded: boolean;
-  /** What the endpoint states about itself. */
+  /** The endpoint's statements about itself. */
   readonly stated: EndpointStatement;
 }
 
--- a/packages/gateway/src/http/readBody.ts
+++ b/packages/gateway/src/http/readBody.ts
@@ -7,7 +7,7 @@
  * Reads a body to its end; returns an error if the answer is incomplete.
  * @param timeoutMs - Maximum time for the whole body.
  * @param stallMs - Maximum time between two chunks. A body of unknown size needs this limit rather than a short `timeoutMs`: a body that
- *   takes longer than its timeout is never read, however often it is requested, and every try fills the link in vain.
+ *   takes longer than `timeoutMs` fails at each retry as well, and each retry occupies the link for nothing.
  */
 export function readBody(
   answer: HttpAnswer,
--- a/packages/gateway/src/requests/CallerListener.ts
+++ b/packages/gateway/src/requests/CallerListener.ts
@@ -17,7 +17,7 @@
 import { CallerRequest } from "./CallerRequest.js";
 import { sendRefusal } from "./sendRefusal.js";
 
-/** Added to the announced keep-alive timeout, so that the gateway never closes a connection on which a request is on its way. */
+/** Time added to the announced timeouts, so that the gateway never closes a connection on which a request is on its way. */
 const keepAliveMarginMs = 1_500;
 const maxHeaderBytes = 64 * 1024;
 /** Length of the accept queue; the kernel may cap it lower. */
@@ -27,8 +27,8 @@
 
 /**
  * Maximum time that a request waits for the first configuration. When 195 instances start at once, half of them have a configuration
- * 0.9 s after they begin to listen and 90 % after 1.4 s. A rejected caller retries once, most likely at another instance without a
- * configuration, and its request is lost then. Callers abandon a stream that is silent for 2 s.
+ * 0.9 s after they begin to listen and 90 % after 1.4 s. A rejected caller retries once, and the request fails if the retry reaches
+ * another instance without a configuration, which is likely. Callers abandon a stream that is silent for 2 s.
  */
 const maxStartupWaitMs = 1_200;
 /** Share of its deadline that a request may spend on waiting for the configuration; the remainder is left for its execution. */
@@ -50,7 +50,7 @@
   readonly startupTimeoutMs?: number;
 }
 
-/** Accepts the requests of callers and answers or rejects each of them. One per instance. */
+/** Accepts the requests of callers and answers or rejects each of them. Each instance has one such listener. */
 export class CallerListener {
   private readonly _server: http.Server;
   private _inFlight = 0;
--- a/packages/gateway/src/requests/CallerRequest.ts
+++ b/packages/gateway/src/requests/CallerRequest.ts
@@ -70,13 +70,13 @@
     return this._structure.message.rawHeaders;
   }
 
-  /** Digest of the content, equal for equal requests. Computed on first use, since most requests never need it. */
+  /** Digest that is the same for identical requests. Computed on first use, since it is needed only after a crash of an endpoint. */
   get digest(): string {
     this._digest ??= digestRequest(this.identity);
     return this._digest;
   }
 
-  /** Returns the content that decides whether two requests are equal. */
+  /** The properties that make two requests identical to the endpoints. */
   get identity(): RequestIdentity {
     const { method, path, body } = this;
     return { method, path, accountName: this.account?.name, body };
@@ -147,13 +147,13 @@
     this._structure.response.end();
   }
 
-  /** Destroys the connection of a stream, so that the caller cannot take the stream for complete. */
+  /** Destroys the connection of a stream, so that the stream does not look complete to the caller. */
   abortStream(reason: RefusalReason): void {
     this.outcome = reason;
     this._structure.response.destroy();
   }
 
-  /** Writes the status and the endpoint's headers as far as they are meant for callers, followed by `ownHeaders`. */
+  /** Writes the status and those of the endpoint's headers that are forwarded to callers, followed by the gateway's `ownHeaders`. */
   private _writeHead(status: number, headers: readonly string[], ownHeaders: readonly string[]): void {
     const { codec, response, isDraining } = this._structure;
     const connection = isDraining() ? ["Connection", "close"] : [];
--- a/packages/gateway/src/requests/ForwarderSet.ts
+++ b/packages/gateway/src/requests/ForwarderSet.ts
@@ -9,7 +9,7 @@
 import { StallMonitor } from "./StallMonitor.js";
 import { StreamForwarder } from "./StreamForwarder.js";
 
-/** Creates the forwarders and dispatches each request to the one for its kind of route. One per instance. */
+/** Creates the forwarders and dispatches each request by the kind of its route. Each instance has one such set. */
 export class ForwarderSet {
   readonly monitor: StallMonitor;
   private readonly _admission: ChainAdmission;
--- a/packages/gateway/src/requests/PermitForecast.ts
+++ b/packages/gateway/src/requests/PermitForecast.ts
@@ -28,7 +28,7 @@
   readonly random?: (() => number) | undefined;
 }
 
-/** Estimates how long requests wait for permits, and when rejected callers should retry. One per instance. */
+/** Estimates how long requests wait for permits, and when rejected callers should retry. Each instance has one forecast. */
 export class PermitForecast {
   private readonly _nowMs: () => number;
   private readonly _random: () => number;
@@ -142,8 +142,8 @@
 }
 
 /**
- * Returns whether the available endpoints can run a request: any one of them is enough if none of `all` has layers, otherwise they must cover
- * the layers of `all`.
+ * Returns whether the available endpoints can run a request: a single one is enough if none of `all` has layers, otherwise the available
+ * endpoints must cover the layers of `all`.
  */
 function isServable(available: readonly Endpoint[], all: readonly Endpoint[]): boolean {
   const end = Math.max(0, ...all.flatMap(({ listed }) => listed.layers.map((span) => span.end)));
--- a/packages/gateway/src/requests/PermitQueue.ts
+++ b/packages/gateway/src/requests/PermitQueue.ts
@@ -8,10 +8,10 @@
 /** Waiting requests keep their bodies in memory; a request beyond this number is rejected. */
 const maxWaiters = 512;
 
-/** A request for the right to send to an endpoint, and the function that takes it. */
+/** The parameters of the wait for a permit, which is the right to send one request to an endpoint. */
 export interface PermitAcquisition<T> {
   readonly service: string;
-  /** 0 is the most urgent. */
+  /** Priority of the request; 0 is the most urgent. */
   readonly priority: number;
   readonly accountName: string | undefined;
   readonly maxWaitMs: number;
@@ -35,12 +35,12 @@
 
 /**
  * Queues requests by priority, then round robin over the client accounts, then by arrival. Rejects a request as soon as its turn is
- * expected after its maximum wait. One per instance.
+ * expected after its maximum wait. Each instance has one queue.
  */
 export class PermitQueue {
-  /** In queue order. */
+  /** The waiting requests in queue order. */
   private readonly _waiters: Waiter[] = [];
-  /** Set while requests wait. */
+  /** The timer of the polling, which runs while requests wait. */
   private _pollTimer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -55,10 +55,10 @@
     return this._waiters.filter((waiter) => waiter.service === service).length;
   }
 
-  /** Takes a permit when it is the request's turn; returns undefined if that would be too late or the caller has disconnected. */
+  /** Takes a permit when the request's turn comes; returns undefined if the turn would come too late or the caller disconnects. */
   async acquire<T>(acquisition: PermitAcquisition<T>): Promise<T | undefined> {
     const { service, priority, maxWaitMs, tryTake } = acquisition;
-    const turn = this._countOfAccount(acquisition);
+    const turn = this._countWaitingOfAccount(acquisition);
     const ahead = this._waiters.filter(
       (waiter) => waiter.service === service && !isBefore({ priority, turn }, waiter),
     ).length;
@@ -117,7 +117,7 @@
    */
   private _serveWaiters(onlyService?: string): void {
     const nowMs = utils.monotonicMs();
-    /** By service: number of requests seen in this pass that stay in the queue. */
+    /** By service: number of requests, so far in this pass, that stay in the queue. */
     const remaining = new Map<string, number>();
     for (const waiter of [...this._waiters]) {
       const { service } = waiter;
@@ -132,7 +132,7 @@
     }
   }
 
-  private _countOfAccount({ service, accountName }: Pick<Waiter, "service" | "accountName">): number {
+  private _countWaitingOfAccount({ service, accountName }: Pick<Waiter, "service" | "accountName">): number {
     return this._waiters.filter((waiter) => waiter.service === service && waiter.accountName === accountName)
       .length;
   }
--- a/packages/gateway/src/requests/PlainForwarder.ts
+++ b/packages/gateway/src/requests/PlainForwarder.ts
@@ -46,12 +46,12 @@
 
   async run(request: CallerRequest, service: string): Promise<void> {
     const tried = new Set<string>();
-    let last: BufferedAnswer | undefined;
+    let lastAnswer: BufferedAnswer | undefined;
     let hasRun = false;
     for (;;) {
       if (await this.refuseIfQuarantined(request, hasRun)) return;
       if (request.getRemainingMs() < minSendMs) break;
-      const choice = await this._choose(request, service, tried, last === undefined);
+      const choice = await this._choose(request, service, tried, lastAnswer === undefined);
       if (request.signal.aborted) return choice?.permit.release();
       if (choice === undefined) break;
       const { endpoint, permit } = choice;
@@ -71,18 +71,18 @@
       if (outcome.kind === "answer" && !isRetryable(request, outcome.answer.status)) {
         return request.answer(outcome.answer.status, outcome.answer.headers, outcome.answer.body);
       }
-      if (outcome.kind === "answer") last = outcome.answer;
+      if (outcome.kind === "answer") lastAnswer = outcome.answer;
       if (outcome.kind !== "not-run") hasRun = true;
       this._logFailedSend(request, endpoint, outcome);
       const mayRepeat = request.isIdempotent || !hasRun;
-      if (!mayRepeat || (request.attempts > 0 && !this.mayRetry(request, service))) break;
+      if (!mayRepeat || (request.attempts > 0 && !this.tryTakeRetry(request, service))) break;
     }
-    this._end(request, service, last, hasRun);
+    this._end(request, service, lastAnswer, hasRun);
   }
 
   /**
-   * Returns whether the request may still be sent after its wait for a permit: meanwhile its deadline may have come, or an equal request may have
-   * crashed endpoints.
+   * Returns whether the request may still be sent after its wait for a permit. During the wait its deadline may have come too close, or an
+   * identical request may have been quarantined.
    */
   private _mayBeSentNow(request: CallerRequest): boolean {
     const isQuarantined = this.context.crashes.getQuarantineMs(request) !== undefined;
@@ -125,7 +125,7 @@
 
   /**
    * Returns the least loaded endpoint. A request that may have crashed an endpoint goes to one without other such requests if possible,
-   * so that a crash can be attributed to it.
+   * so that a further crash can be attributed to a single request.
    */
   private _pick(request: CallerRequest, service: string, tried: ReadonlySet<string>): Endpoint | undefined {
     const nowMs = utils.monotonicMs();
@@ -140,10 +140,11 @@
   private _end(
     request: CallerRequest,
     service: string,
-    last: BufferedAnswer | undefined,
+    lastAnswer: BufferedAnswer | undefined,
     hasRun: boolean,
   ): void {
-    if (last !== undefined) return request.answer(last.status, last.headers, last.body);
+    if (lastAnswer !== undefined)
+      return request.answer(lastAnswer.status, lastAnswer.headers, lastAnswer.body);
     if (!hasRun && this.context.forecast.isBlocked(service)) return this._refuseBlocked(request, service);
     if (!hasRun && request.attempts === 0) return request.refuse(503, "no-endpoint", noEndpointRetryAfterMs);
     if (!hasRun) return request.refuse(503, "not-run", retryAfterMs);
@@ -230,8 +231,8 @@
 }
 
 /**
- * Returns whether the request was not sent yet and may be sent again whatever its outcome. Only such a request probes an endpoint that may still
- * be failing; its retry does not.
+ * Returns whether the request has not been sent yet and may be sent again whatever its outcome. Only such a request probes an endpoint
+ * that may still be failing; its retry does not.
  */
 function hasRetryLeft(request: CallerRequest): boolean {
   return request.isIdempotent && request.attempts === 0 && request.route.maxAttempts > 1;
--- a/packages/gateway/src/requests/ReadinessListener.ts
+++ b/packages/gateway/src/requests/ReadinessListener.ts
@@ -5,7 +5,7 @@
 const readyStatus = 200;
 const notReadyStatus = 503;
 
-/** Answers readiness probes, computing the state at each probe. One per instance. */
+/** Answers readiness probes, computing the state at each probe. Each instance has one such listener. */
 export class ReadinessListener {
   private readonly _server: http.Server;
 
--- a/packages/gateway/src/requests/RequestDemand.ts
+++ b/packages/gateway/src/requests/RequestDemand.ts
@@ -2,6 +2,7 @@
 import { RateMeter } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
 
+/** Time constant of the exponentially decaying rates. */
 const timeConstantMs = 2_000;
 
 /** Called when permits for a service are granted. */
@@ -9,14 +10,15 @@
 
 interface ServiceDemand {
   readonly arrivals: RateMeter;
-  /** Granted permits; their rate gives the expected wait for one. */
+  /** Rate of granted permits, from which the expected wait for a permit is derived. */
   readonly permits: RateMeter;
 }
 
-/** Measures arrivals and granted permits, and notifies listeners of waiting requests and of permits. One per instance. */
+/** Measures arrivals and granted permits, and notifies listeners of waiting requests and of permits. Each instance has one such meter. */
 export class RequestDemand {
   private readonly _services = new Map<string, ServiceDemand>();
-  private readonly _countWaiting: ((service: string) => number)[] = [];
+  /** For each queue, a function that returns the number of requests of a service that wait there. */
+  private readonly _waitingCounters: ((service: string) => number)[] = [];
   private readonly _listeners: PermitListener[] = [];
   private readonly _waitListeners: (() => void)[] = [];
 
@@ -25,7 +27,7 @@
 
   /** Adds a queue of requests that wait for permits. */
   addQueue(countWaiting: (service: string) => number): void {
-    this._countWaiting.push(countWaiting);
+    this._waitingCounters.push(countWaiting);
   }
 
   /** Calls `listener` when permits for a service are granted. */
@@ -60,7 +62,7 @@
   }
 
   getWaiting(service: string): number {
-    return utils.getSum(this._countWaiting.map((count) => count(service)));
+    return utils.getSum(this._waitingCounters.map((count) => count(service)));
   }
 
   private _get(service: string): ServiceDemand {
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -47,7 +47,10 @@
   readonly broadcastFull: (endpointId: string) => void;
 }
 
-/** Round trips take less than 2 ms, and a lost SYN packet is retransmitted after 1 s only, so a slow connection is not worth a longer wait. */
+/**
+ * Maximum time to establish a connection. Round trips take less than 2 ms, and a lost SYN packet is retransmitted only after 1 s, so a
+ * longer wait rarely helps.
+ */
 const connectTimeoutMs = 400;
 
 /** Lowest status that counts as a failure of the endpoint itself. */
@@ -97,8 +100,9 @@
   }
 
   /**
-   * Rejects the request if it is quarantined; returns whether it did. A quarantined request has crashed several endpoints, and each crash
-   * aborts all requests in flight there. Repeating the request gives the same rejection at once, with a long Retry-After time.
+   * Rejects the request if it is quarantined; returns whether the request was rejected. A quarantined request has crashed several
+   * endpoints, and each crash aborts all requests in flight there. Repeating the request gives the same rejection immediately, with a long
+   * Retry-After time.
    */
   protected async refuseIfQuarantined(request: CallerRequest, hasRun: boolean): Promise<boolean> {
     const { crashes } = this.context;
@@ -117,8 +121,10 @@
     return true;
   }
 
-  /** Takes a retry from the budget of the service if the request has attempts and time left; returns whether it may be sent again. */
-  protected mayRetry(request: CallerRequest, service: string): boolean {
+  /**
+   * Takes a retry from the budget of the service if the request has attempts and time left; returns whether the request may be sent again.
+   */
+  protected tryTakeRetry(request: CallerRequest, service: string): boolean {
     if (request.attempts >= request.route.maxAttempts) return false;
     if (request.getRemainingMs() <= 0 || request.signal.aborted) return false;
     return this.context.budgets.tryTake(service);
--- a/packages/gateway/src/requests/RetryBudgets.ts
+++ b/packages/gateway/src/requests/RetryBudgets.ts
@@ -13,7 +13,10 @@
 
 /** Share of the ratio that is used; the remainder covers requests that are counted in another window than their retries. */
 const ratioShare = 0.9;
-/** Share of its quota of the slack that a process uses per window, so that one restart of all instances in a window keeps the budget. */
+/**
+ * Share of its quota of the slack that a process uses per window, so that the budget holds even if all instances restart once within a
+ * window.
+ */
 const slackShare = 0.5;
 /** Number of instances assumed to share the slack until the real number is known. A number that is too high is safe. */
 const assumedInstances = 100;
@@ -32,8 +35,8 @@
  */
 export class RetryBudgets {
   private readonly _counts = new Map<string, ServiceCounts>();
-  /** Number of instances that share the slack now. */
-  private _sharers = assumedInstances;
+  /** Number of instances among which the slack is divided now. */
+  private _instanceCount = assumedInstances;
   /** A smaller number of instances that takes effect at the monotonic time `fromMs`. */
   private _pendingDecrease: { readonly count: number; readonly fromMs: number } | undefined;
   private _hasRetried = false;
@@ -56,14 +59,14 @@
    * the instances that left may have used their shares of the current window.
    */
   setInstanceCount(count: number): void {
-    const sharers = Math.max(1, count);
-    if (sharers >= this._sharers || !this._hasRetried) {
-      this._sharers = sharers;
+    const instanceCount = Math.max(1, count);
+    if (instanceCount >= this._instanceCount || !this._hasRetried) {
+      this._instanceCount = instanceCount;
       this._pendingDecrease = undefined;
       return;
     }
-    if (this._pendingDecrease?.count !== sharers) {
-      this._pendingDecrease = { count: sharers, fromMs: this._nowMs() + this._options.windowMs };
+    if (this._pendingDecrease?.count !== instanceCount) {
+      this._pendingDecrease = { count: instanceCount, fromMs: this._nowMs() + this._options.windowMs };
     }
   }
 
@@ -77,19 +80,20 @@
     const nowMs = this._nowMs();
     const { requests, retries } = this._get(service);
     const { ratio, slack } = this._options;
-    const allowed = ratio * ratioShare * requests.get(nowMs) + (slack / this._getSharers(nowMs)) * slackShare;
+    const allowed =
+      ratio * ratioShare * requests.get(nowMs) + (slack / this._getInstanceCount(nowMs)) * slackShare;
     if (retries.get(nowMs) + 1 > allowed) return false;
     retries.add(nowMs);
     this._hasRetried = true;
     return true;
   }
 
-  private _getSharers(nowMs: number): number {
+  private _getInstanceCount(nowMs: number): number {
     if (this._pendingDecrease !== undefined && nowMs >= this._pendingDecrease.fromMs) {
-      this._sharers = this._pendingDecrease.count;
+      this._instanceCount = this._pendingDecrease.count;
       this._pendingDecrease = undefined;
     }
-    return this._sharers;
+    return this._instanceCount;
   }
 
   private _get(service: string): ServiceCounts {
--- a/packages/gateway/src/requests/StallMonitor.ts
+++ b/packages/gateway/src/requests/StallMonitor.ts
@@ -28,7 +28,7 @@
 const laterEventSilenceMs = 300;
 /** Minimum time between two queries of an engine. Its report is about 200 ms old, so an earlier query returns nothing new. */
 const reportIntervalMs = 300;
-/** An engine that does not report within this time counts as unresponsive. */
+/** Timeout of a query; an engine that does not report within this time counts as unresponsive. */
 const reportTimeoutMs = 400;
 /** Silence after which a resumable stream continues at another chain; callers abandon a stream that is silent for two seconds. */
 const maxSilenceMs = 1_200;
@@ -39,8 +39,8 @@
 const unknownRequestStatus = 404;
 
 /**
- * Detects stalled streams, queries their first engines for the engine at fault, and moves the streams to other engines. One per instance,
- * for all of its streams.
+ * Detects stalled streams, queries their first engines for the engine at fault, and moves the streams to other engines. Each instance has
+ * one monitor for all of its streams.
  */
 export class StallMonitor {
   private readonly _attempts = new Set<StreamAttempt>();
@@ -89,8 +89,8 @@
   }
 
   /**
-   * Subtracts a suspension of this process from the silence of all streams. Bytes that arrived meanwhile are still unread, so the streams
-   * were not necessarily silent.
+   * Subtracts a suspension of this process from the silence of all streams. The streams were not necessarily silent, since bytes that
+   * arrived during the suspension are still unread.
    */
   noteSuspension(pauseMs: number): void {
     for (const attempt of this._attempts) attempt.lastActivityAtMs += pauseMs;
@@ -99,19 +99,19 @@
   /** Checks all streams once; resolves when the resulting queries and moves are complete. */
   async check(): Promise<void> {
     const nowMs = this._nowMs();
-    const firsts = new Set<string>();
+    const firstEndpointIds = new Set<string>();
     for (const attempt of this._attempts) {
       const silenceMs = nowMs - attempt.lastActivityAtMs;
       if (silenceMs >= maxSilenceMs && attempt.request.isIdempotent) attempt.abort.abort();
       else if (silenceMs >= getAllowedSilenceMs(attempt) && attempt.firstStage !== undefined) {
-        firsts.add(attempt.firstStage.endpointId);
+        firstEndpointIds.add(attempt.firstStage.endpointId);
       }
     }
     const isDue = (id: string): boolean =>
       nowMs - (this._queriedAtMs.get(id) ?? Number.NEGATIVE_INFINITY) >= reportIntervalMs;
-    const due = [...firsts].filter(isDue);
-    for (const id of due) this._queriedAtMs.set(id, nowMs);
-    await Promise.all(due.map((id) => this._queryEngine(id)));
+    const dueIds = [...firstEndpointIds].filter(isDue);
+    for (const id of dueIds) this._queriedAtMs.set(id, nowMs);
+    await Promise.all(dueIds.map((id) => this._queryEngine(id)));
   }
 
   /**
@@ -228,7 +228,7 @@
     const address = error instanceof OrderRefusedError ? error.faultyAddress : undefined;
     const endpoint =
       address === undefined ? undefined : findNamedEndpoint(this._context.endpoints, chain, address);
-    if (endpoint !== undefined) endpoint.refusedUntilMs = this._nowMs() + refusedChangeBackoffMs;
+    if (endpoint !== undefined) endpoint.avoidedUntilMs = this._nowMs() + refusedChangeBackoffMs;
     this._context.log.info("chain-change-refused", {
       requestId: attempt.request.id,
       address,
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -24,18 +24,21 @@
 const maxQueueMs = 1_500;
 const maxErrorBytes = 1024 * 1024;
 const successStatus = 200;
-/** The named engine has not loaded its layers of the chain, or is not the intended engine (RFC 9110, section 15.5.20). */
+/**
+ * Status of a rejection by an engine that has not loaded its layers of the chain, or is not the intended engine (RFC 9110,
+ * section 15.5.20).
+ */
 const misdirectedStatus = 421;
 
-/** Precedes the most urgent priority that a route or an account can have, which is 0. */
+/** Priority of a stream that has begun, ahead of the most urgent priority of a route or an account, which is 0. */
 const resumedPriority = -1;
 /** A rejection after this time results from a stalled chain: engines without capacity reject immediately. */
 const stalledRefusalMs = 1_000;
 
 /**
- * Retry-After of a request that engines rejected while others have capacity. The instances of the zone are notified within 5 ms which engine
- * is full, so the retry chooses another one, and its answer can still arrive within a latency target of 500 ms. With half a second every
- * such answer would be late.
+ * Retry-After of a request that engines rejected while others have capacity. Within 5 ms the instances of the zone are notified of the
+ * full engine, so the retry chooses another one, and its answer can still arrive within a latency target of 500 ms. After a Retry-After
+ * of 500 ms every answer would be late.
  */
 const notRunRetryAfterMs = 50;
 
@@ -44,7 +47,7 @@
 /** Time to the first event before any stream has run: the prefill time at a chain of medium accelerators. */
 const initialFirstEventMs = 100;
 
-/** By crash risk: whether the first engine must be redundant, so that its crash leaves the zone another one with the first layers. */
+/** By crash risk: whether the first engine must be redundant, so that its zone has the first layers at another engine after a crash. */
 const redundancyByRisk = { none: undefined, some: "preferred", high: "required" } as const;
 
 /** Reason for which the gateway rejects a stream. */
@@ -52,8 +55,8 @@
   "no-room" | "held-back" | "no-endpoint" | "limited" | "resting" | "not-run" | "outcome-unknown";
 
 /**
- * Result of one attempt. `again` means that nothing was sent, since the first engine was gone or the request had been quarantined while
- * it waited.
+ * Result of one attempt. `again` means that nothing was sent: while the request waited for capacity, its first engine disappeared or the
+ * request was quarantined.
  */
 type AttemptEnd = "answered" | "again" | "not-run" | "lost" | "caller-left";
 
@@ -97,8 +100,8 @@
       if (end === "answered" || end === "caller-left") return;
       if (end === "lost") hasRun = true;
       const mayRepeat = !hasRun || request.isIdempotent;
-      const isFree = request.attempts === 0;
-      if (mayRepeat && (isFree || this.mayRetry(request, service))) continue;
+      const isUnsent = request.attempts === 0;
+      if (mayRepeat && (isUnsent || this.tryTakeRetry(request, service))) continue;
       this._refuse(request, service, hasRun, hasRun ? "outcome-unknown" : "not-run");
     }
   }
@@ -157,8 +160,8 @@
   }
 
   /**
-   * Returns the addresses that the request avoids if it can: engines that rejected it and, if it may have crashed an engine, those with
-   * other such requests.
+   * Returns the addresses of the engines that the request avoids if possible: those that rejected the request and, for a request that may
+   * have crashed an engine, those that run other such requests.
    */
   private _getAvoidedAddresses(request: CallerRequest, refusedBy: ReadonlySet<string>): ReadonlySet<string> {
     const { crashes, endpoints } = this.context;
@@ -181,7 +184,7 @@
   private async _send(attempt: StreamAttempt): Promise<AttemptEnd> {
     const { request, firstStage } = attempt;
     const first = firstStage === undefined ? undefined : this.context.endpoints.get(firstStage.endpointId);
-    // An equal request may have crashed engines while this one waited for capacity.
+    // An identical request may have crashed engines while this one waited for capacity.
     if (first === undefined || this.context.crashes.getQuarantineMs(request) !== undefined) {
       attempt.reservation.permit?.release();
       return "again";
@@ -261,12 +264,11 @@
   /**
    * Handles the rejection of a request that was not executed.
    *
-   * An engine that rejects immediately lacks memory or is unloading the layers. For a short time it gets no more load than it has now,
-   * neither from this instance nor from its peers, which would all be rejected in turn. With 1.5 times the requests that a zone can
-   * handle, the report to the peers avoids nine in ten rejected sends (3 in 100 sends are rejected instead of 24, see
-   * `ManyChoosersTests`).
+   * An engine that rejects immediately lacks memory or is unloading the layers. For a short time neither this instance nor its peers
+   * put more than the current load on that engine; without the report to the peers, each of them would be rejected as well. At 1.5 times
+   * the requests that a zone can handle, 3 in 100 sends are rejected with the report and 24 in 100 without it (see `ManyChoosersTests`).
    *
-   * A rejection after a long wait names an engine that does not respond.
+   * A rejection after a long wait names an engine that does not respond, so that engine is reported to the failure detector.
    */
   private _handleRefusal(
     attempt: StreamAttempt,
@@ -329,8 +331,8 @@
   }
 
   /**
-   * Returns the Retry-After time of a rejection. It is short for a request that engines rejected while this instance's queue is empty,
-   * since other engines have capacity then.
+   * Returns the Retry-After time of a rejection. The time is short for a request that engines rejected while this instance's queue is
+   * empty, since other engines have capacity then.
    */
   private _getRetryAfterMs(reason: StreamRefusal, service: string): number {
     if (reason === "no-endpoint") return noEndpointRetryAfterMs;
--- a/packages/gateway/src/requests/pickPlainEndpoint.ts
+++ b/packages/gateway/src/requests/pickPlainEndpoint.ts
@@ -17,11 +17,11 @@
   readonly service: string;
   /** Ids of the endpoints that are excluded. */
   readonly tried: ReadonlySet<string>;
-  /** Whether the request can be retried and may therefore probe an endpoint that failed last or has just ended its back-off. */
+  /** Whether the request can be retried, and may therefore probe an endpoint whose last request failed or whose back-off just ended. */
   readonly mayProbe: boolean;
 }
 
-/** Returns the endpoint with the lowest cost among the untried ones with a permit; the first one in the table wins a tie. */
+/** Returns the endpoint with the lowest cost among those that are not excluded and have a permit; the first in the table wins a tie. */
 export function pickPlainEndpoint(
   context: { readonly endpoints: EndpointTable; readonly availabilityZone: string },
   { service, tried, mayProbe }: PlainEndpointQuery,
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -52,11 +52,11 @@
   const suspect = createEngine("a", 0, 4);
   suspect.suspectUntilMs = 2_000;
   const rejecting = createEngine("b", 0, 4);
-  rejecting.refusedUntilMs = 1_100;
+  rejecting.avoidedUntilMs = 1_100;
   t.is(chooser.choose([suspect, rejecting], profile, demand), undefined);
 });
 
-test("a chain in the own zone is preferred to a faster one in another zone", (t) => {
+test("a chain in the instance's own zone is preferred to a faster chain in another zone", (t) => {
   const engines = [
     createEngine("a", 0, 4, { availabilityZone: "west" }),
     createEngine("b", 0, 2, { kind: "slow" }),
--- a/packages/gateway/src/tests/discovery/CircuitBreakerTests.ts
+++ b/packages/gateway/src/tests/discovery/CircuitBreakerTests.ts
@@ -1,5 +1,5 @@
 /**
- * Tests that an endpoint that resets every request is avoided for longer and longer, and that the loss of all connections at once counts as
+ * Tests that an endpoint that resets every request is avoided for increasing times, and that the loss of all connections at once counts as
  * one failure.
  */
 import test from "ava";
--- a/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
@@ -148,7 +148,7 @@
   );
 });
 
-// Guards against an entry that still says ready, or is written again, and thereby undoes the draining that the endpoint itself has stated.
+// Guards against an entry that is still listed as ready, or is written again, and reverts the draining that the endpoint itself has stated.
 test("draining that an endpoint has stated itself outlasts its entries until a restart", (t) => {
   const { table, events, list } = setUp();
   const lifeId = table.get("a")?.lifeId ?? "";
--- a/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
@@ -18,7 +18,7 @@
     endpoints: this.endpoints,
     limits: new EndpointLimits({ log: this._log, nowMs: () => this.nowMs }),
     log: this._log,
-    count: (what) => this.counted.push(what),
+    count: (kind) => this.counted.push(kind),
     nowMs: () => this.nowMs,
   });
 
--- a/packages/gateway/src/tests/discovery/EndpointTableTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointTableTests.ts
@@ -1,4 +1,4 @@
-/** Tests that endpoints that drain or are gone get no new work, and that endpoints stay known while the store briefly loses them. */
+/** Tests that draining or removed endpoints get no new work, and that endpoints stay known while the store briefly lacks their entries. */
 import test from "ava";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
@@ -64,7 +64,7 @@
   t.true(table.get("a")?.isSuspect(clock.nowMs));
 });
 
-test("a suspicion after a long time without any has the initial duration", (t) => {
+test("a suspicion after a long time without suspicions has the initial duration", (t) => {
   const { clock, table } = setUp(["a"]);
   for (let count = 0; count < 4; count++) {
     table.suspect("a");
@@ -76,7 +76,7 @@
   t.false(table.get("a")?.isSuspect(clock.nowMs));
 });
 
-test("a process that has just started assumes its own load for its peers until one reports its load or the assumption ends", (t) => {
+test("a new process assumes that each peer has the same load as itself, until a peer reports its load or the assumption ends", (t) => {
   const createTable = (): EndpointTable => {
     const table = new EndpointTable(() => 0);
     table.setAll(new Map([["e1", createListed("e1")]]));
--- a/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
@@ -34,18 +34,18 @@
   t.deepEqual(sent, ["a"]);
 });
 
-test("an engine that another one reported, but that answers, is avoided only for a moment", async (t) => {
+test("an engine that another engine reported as faulty, but that answers, is avoided only for a short time", async (t) => {
   const { detector, sent, isSuspect, endpoints } = setUp();
   const checked = detector.noteReportedFaulty("a", "stalled chain");
   t.true(isSuspect(), "until it has answered");
   await checked;
   t.false(isSuspect());
   t.is(endpoints.get("a")?.suspicions, 0);
-  t.true((endpoints.get("a")?.refusedUntilMs ?? 0) > nowMs);
+  t.true((endpoints.get("a")?.avoidedUntilMs ?? 0) > nowMs);
   t.deepEqual(sent, []);
 });
 
-test("an engine that another one reported and that does not answer is suspected by all instances", async (t) => {
+test("an engine that another engine reported as faulty, and that does not answer, is suspected by all instances", async (t) => {
   const { detector, sent, isSuspect, orders } = setUp();
   orders.silent.add("a");
   await detector.noteReportedFaulty("a", "stalled chain");
@@ -69,11 +69,11 @@
   t.deepEqual(endpoints.get("a")?.listed.layers, [{ start: 2, end: 4 }]);
 });
 
-test("an engine whose report agrees with the list is avoided for a moment; an engine without a report is suspected", async (t) => {
+test("an engine whose report agrees with the list is avoided for a short time; an engine without a report is suspected", async (t) => {
   const { detector, sent, endpoints, orders, isSuspect } = setUp();
   orders.reports.set("a", { layers: [{ start: 0, end: 4 }] });
   await detector.noteLayersMissing("a");
-  t.true((endpoints.get("a")?.refusedUntilMs ?? 0) > nowMs);
+  t.true((endpoints.get("a")?.avoidedUntilMs ?? 0) > nowMs);
   t.deepEqual(sent, []);
   orders.silent.add("a");
   await detector.noteLayersMissing("a");
--- a/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
+++ b/packages/gateway/src/tests/discovery/FeedFollowerTests.ts
@@ -1,4 +1,4 @@
-/** Tests that a follower resumes at its offset, and takes a new snapshot where the history has a gap. */
+/** Tests that a follower resumes at its offset, and reads a new snapshot if the history has a gap. */
 import test from "ava";
 import { errors, results, utils } from "@shedtiller/common";
 import { ChangeFeed, type FeedPage, type FeedSnapshot, type StoreError } from "../../discovery/ChangeFeed.js";
@@ -137,7 +137,7 @@
   return { feed, follower };
 }
 
-test("a read that ends after a peer's page is applied where it contains more changes", async (t) => {
+test("a read that ends after a peer's page is still applied if it contains further changes", async (t) => {
   const stop = new AbortController();
   const { feed, follower } = await followPeer(stop);
   follower.applyPeerPage({ fromOffset: 11, nextOffset: 12, changes: undefined }, 0);
--- a/packages/gateway/src/tests/http/HttpClientTests.ts
+++ b/packages/gateway/src/tests/http/HttpClientTests.ts
@@ -45,14 +45,14 @@
       socket.pause();
       socket.write("HTTP/1.1 200 OK\r\n\r\npart of the bo");
     });
-    const caller = new HttpClient();
-    const head = await caller.send(createCall(address, isFresh));
+    const client = new HttpClient();
+    const head = await client.send(createCall(address, isFresh));
     if (head.err) return t.fail(head.val.message);
     const body = readBody(head.val, address, maxBytes, generousMs);
     for (const socket of sockets) socket.destroy();
     const read = await body;
     t.true(read.err && read.val instanceof errors.ConnectionLostError);
-    caller.close();
+    client.close();
     server.close();
   });
 
@@ -63,8 +63,8 @@
       sockets.push(socket);
       isConnected.resolve();
     }, true);
-    const caller = new HttpClient();
-    const fetched = caller.fetch(createCall(address, isFresh), maxBytes, generousMs);
+    const client = new HttpClient();
+    const fetched = client.fetch(createCall(address, isFresh), maxBytes, generousMs);
     await isConnected.promise;
     // After two turns of the event loop the request has arrived. It stays unread, since closing with unread data resets the connection.
     await new Promise((resolve) => setImmediate(resolve));
@@ -75,7 +75,7 @@
     }
     const answer = await fetched;
     t.true(answer.err && answer.val instanceof errors.ConnectionLostError);
-    caller.close();
+    client.close();
     server.close();
   });
 
@@ -83,10 +83,10 @@
     const { server, address } = await listen((socket) => {
       socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\n\r\nthe whole body"));
     });
-    const caller = new HttpClient();
-    const answer = await caller.fetch(createCall(address, isFresh), maxBytes, generousMs);
+    const client = new HttpClient();
+    const answer = await client.fetch(createCall(address, isFresh), maxBytes, generousMs);
     t.is(answer.ok ? answer.val.body.toString() : answer.val.code, "the whole body");
-    caller.close();
+    client.close();
     server.close();
   });
 }
@@ -95,30 +95,30 @@
   const { server, address } = await listen((socket) => {
     socket.once("data", () => socket.end("HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort"));
   });
-  const caller = new HttpClient();
-  const answer = await caller.fetch(createCall(address, true), maxBytes, generousMs);
+  const client = new HttpClient();
+  const answer = await client.fetch(createCall(address, true), maxBytes, generousMs);
   t.true(answer.err && answer.val instanceof errors.ConnectionLostError);
-  caller.close();
+  client.close();
   server.close();
 });
 
 test("a refused connection proves that the server received nothing", async (t) => {
   const { server, address } = await listen(() => undefined);
   await new Promise((resolve) => server.close(resolve));
-  const caller = new HttpClient();
-  const answer = await caller.fetch(createCall(address, true), maxBytes, generousMs);
+  const client = new HttpClient();
+  const answer = await client.fetch(createCall(address, true), maxBytes, generousMs);
   t.true(answer.err && answer.val instanceof errors.NotReachedError);
-  caller.close();
+  client.close();
 });
 
 test("a connection that is closed after the server has read the request gives an unknown outcome", async (t) => {
   const { server, address } = await listen((socket) => {
     socket.once("data", () => socket.destroy());
   });
-  const caller = new HttpClient();
-  const answer = await caller.fetch(createCall(address, true), maxBytes, generousMs);
+  const client = new HttpClient();
+  const answer = await client.fetch(createCall(address, true), maxBytes, generousMs);
   t.true(answer.err && answer.val instanceof errors.ConnectionLostError);
-  caller.close();
+  client.close();
   server.close();
 });
 
@@ -131,16 +131,16 @@
     if (connections === 1) socket.once("data", () => socket.write(answer));
     else socket.on("data", () => socket.write(answer));
   });
-  const caller = new HttpClient();
-  t.true((await caller.fetch(createCall(address, false), maxBytes, generousMs)).ok);
-  const silent = await caller.fetch(
+  const client = new HttpClient();
+  t.true((await client.fetch(createCall(address, false), maxBytes, generousMs)).ok);
+  const silent = await client.fetch(
     { ...createCall(address, false), headTimeoutMs: 50 },
     maxBytes,
     generousMs,
   );
   t.true(silent.err && silent.val instanceof errors.DeadlineError);
-  t.true((await caller.fetch(createCall(address, false), maxBytes, generousMs)).ok);
+  t.true((await client.fetch(createCall(address, false), maxBytes, generousMs)).ok);
   t.is(connections, 2);
-  caller.close();
+  client.close();
   server.close();
 });
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -1,4 +1,4 @@
-/** Handling of streams whose chain stalls. */
+/** Moves and aborts of streams whose chains have stalled. */
 import { EventEmitter } from "node:events";
 import type * as http from "node:http";
 import test from "ava";
--- a/packages/gateway/src/tests/requests/crashingRequestTests.ts
+++ b/packages/gateway/src/tests/requests/crashingRequestTests.ts
@@ -3,7 +3,7 @@
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 import { createRoute } from "../testData.js";
 
-const key = { "x-id": "r1", "x-key": "k1" };
+const callerHeaders = { "x-id": "r1", "x-key": "k1" };
 const crashingPath = "/a/crashes";
 const allowedCrashes = 3;
 const trialMs = 3_000;
@@ -28,8 +28,8 @@
     const crashed: string[] = [];
     const handler = createHandler(crashed);
     await fixture.list([handler, handler, handler, handler, handler, handler], {});
-    for (let repeat = 0; repeat < 6; repeat++) await fixture.request("POST", key, crashingPath);
-    const rejected = await fixture.request("POST", key, crashingPath);
+    for (let repeat = 0; repeat < 6; repeat++) await fixture.request("POST", callerHeaders, crashingPath);
+    const rejected = await fixture.request("POST", callerHeaders, crashingPath);
     t.is(crashed.length, allowedCrashes);
     t.is(rejected.status, 503);
     const firstQuarantineMs = Number(rejected.headers["x-retry-after-ms"]);
@@ -37,14 +37,14 @@
     // A trial may be sent to an endpoint that has crashed before; it is repeated after some seconds then.
     for (let trial = 0; trial < 6 && crashed.length === allowedCrashes; trial++) {
       fixture.crashClockMs += firstQuarantineMs + trialMs;
-      await fixture.request("POST", key, crashingPath);
+      await fixture.request("POST", callerHeaders, crashingPath);
     }
     t.is(crashed.length, allowedCrashes + 1, "the trial");
-    const afterTrial = await fixture.request("POST", key, crashingPath);
+    const afterTrial = await fixture.request("POST", callerHeaders, crashingPath);
     t.is(afterTrial.status, 503);
     t.true(Number(afterTrial.headers["x-retry-after-ms"]) > 60_000);
     t.is(crashed.length, allowedCrashes + 1);
-    t.is((await fixture.request("POST", key)).status, 200);
+    t.is((await fixture.request("POST", callerHeaders)).status, 200);
   });
 }
 
@@ -65,8 +65,8 @@
     response.write(": begun\n\n", () => crash());
   };
   await fixture.list([handler, handler, handler], { layers: [{ start: 0, end: 4 }] });
-  for (let repeat = 0; repeat < 3; repeat++) await fixture.request("POST", key, crashingPath);
+  for (let repeat = 0; repeat < 3; repeat++) await fixture.request("POST", callerHeaders, crashingPath);
   t.is(crashed.length, 2);
-  t.is((await fixture.request("POST", key, crashingPath)).status, 503);
-  t.is((await fixture.request("POST", key)).status, 200);
+  t.is((await fixture.request("POST", callerHeaders, crashingPath)).status, 503);
+  t.is((await fixture.request("POST", callerHeaders)).status, 200);
 });
--- a/packages/gateway/src/tests/requests/denialTests.ts
+++ b/packages/gateway/src/tests/requests/denialTests.ts
@@ -9,7 +9,7 @@
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 
 const deadlineMs = 3_000;
-const key = { "x-id": "r1", "x-key": "k1" };
+const callerHeaders = { "x-id": "r1", "x-key": "k1" };
 const route = createRoute({ targets: [{ service: "engines", weight: 1 }] });
 const added = { ...route, name: "added", pathPrefix: "/b/" };
 
@@ -29,7 +29,7 @@
   const fixture = await setUp(t);
   fixture.configure(route);
   fixture.behindMs = 1;
-  const received = fixture.request("POST", key, "/b/x");
+  const received = fixture.request("POST", callerHeaders, "/b/x");
   await fixture.waitForRequest();
   fixture.behindMs = 0;
   fixture.configure(added);
@@ -39,8 +39,8 @@
 test("unknown routes and keys are rejected permanently and immediately while the configuration is current", async (t) => {
   const fixture = await setUp(t);
   fixture.configure(route);
-  t.is((await fixture.request("POST", key, "/b/x")).status, 404);
-  t.is((await fixture.request("POST", { ...key, "x-key": "other" })).status, 401);
+  t.is((await fixture.request("POST", callerHeaders, "/b/x")).status, 404);
+  t.is((await fixture.request("POST", { ...callerHeaders, "x-key": "other" })).status, 401);
 });
 
 test("while the configuration is long out of date, unknown routes and keys get a retryable rejection immediately", async (t) => {
--- a/packages/gateway/src/tests/requests/endpointHandlers.ts
+++ b/packages/gateway/src/tests/requests/endpointHandlers.ts
@@ -5,10 +5,10 @@
 import { createRoute } from "../testData.js";
 import { GatewayFixture, type EndpointHandler } from "./GatewayFixture.js";
 
-/** A time limit of routes that no test reaches. */
+/** Time limit of the test routes; no test reaches it. */
 export const generousMs = 30_000;
 /** Headers of each test request. */
-export const key = { "x-id": "r1", "x-key": "k1" };
+export const callerHeaders = { "x-id": "r1", "x-key": "k1" };
 
 /** Starts a gateway with one route and closes it at the end of the test. */
 export async function setUp(t: ExecutionContext, changes: Partial<Route>): Promise<GatewayFixture> {
@@ -27,11 +27,13 @@
 }
 
 /** Wraps a handler to record the requests that it receives. */
-export function count(handler: EndpointHandler): EndpointHandler & { requests: http.IncomingMessage[] } {
+export function recordRequests(
+  handler: EndpointHandler,
+): EndpointHandler & { requests: http.IncomingMessage[] } {
   const requests: http.IncomingMessage[] = [];
-  const counting: EndpointHandler = (request, response, crash) => {
+  const recording: EndpointHandler = (request, response, crash) => {
     requests.push(request);
     handler(request, response, crash);
   };
-  return Object.assign(counting, { requests });
+  return Object.assign(recording, { requests });
 }
--- a/packages/gateway/src/tests/requests/endpointStatementTests.ts
+++ b/packages/gateway/src/tests/requests/endpointStatementTests.ts
@@ -3,7 +3,7 @@
 import { utils } from "@shedtiller/common";
 import test from "ava";
 import type { Route } from "../../configuration/gatewayConfiguration.js";
-import { answer, count, generousMs, key, setUp } from "./endpointHandlers.js";
+import { answer, recordRequests, generousMs, callerHeaders, setUp } from "./endpointHandlers.js";
 import type { EndpointHandler, GatewayFixture } from "./GatewayFixture.js";
 
 /** Longer than any test takes, so that the speed of a test does not affect its result. */
@@ -19,14 +19,14 @@
 async function sendRequests(fixture: GatewayFixture, method = "POST"): Promise<number[]> {
   const statuses: number[] = [];
   for (let request = 0; request < requestCount; request++)
-    statuses.push((await fixture.request(method, key)).status);
+    statuses.push((await fixture.request(method, callerHeaders)).status);
   return statuses;
 }
 
 // Guards against requests that reach a plain endpoint during the back-off that it requested.
 test("a plain endpoint that requests a back-off gets no requests until its end", async (t) => {
   const fixture = await setUp(t, { kind: "safe" });
-  const backingOff = count(rejectWithBackoff);
+  const backingOff = recordRequests(rejectWithBackoff);
   await fixture.list([backingOff, answer(200)], {});
   t.deepEqual(new Set(await sendRequests(fixture)), new Set([200]));
   t.is(backingOff.requests.length, 1);
@@ -36,15 +36,15 @@
 test("an engine that requests a back-off gets no streams until its end", async (t) => {
   const fixture = await setUp(t, streaming);
   const open: http.ServerResponse[] = [];
-  const backingOff = count((request, response, crash) => {
+  const backingOff = recordRequests((request, response, crash) => {
     if (open.length > 0) return rejectWithBackoff(request, response, crash);
     response.writeHead(200, { "x-id": "r1" }).write("id: 1\ndata: a\n\n");
     open.push(response);
   });
   await fixture.list([backingOff], { layers });
-  const running = fixture.request("POST", key);
+  const running = fixture.request("POST", callerHeaders);
   while (backingOff.requests.length === 0) await utils.yieldToEvents();
-  t.is((await fixture.request("POST", key)).status, 503);
+  t.is((await fixture.request("POST", callerHeaders)).status, 503);
   for (const response of open) response.end();
   t.true((await running).isWhole);
   t.deepEqual(new Set(await sendRequests(fixture)), new Set([503]));
@@ -54,10 +54,10 @@
 // Guards against callers that wait until their deadline, or get a Retry-After time that is too early, while all endpoints back off.
 test("a request is rejected immediately while all endpoints back off beyond its deadline, with a later Retry-After time", async (t) => {
   const fixture = await setUp(t, { kind: "unsafe" });
-  const backingOff = [count(rejectWithBackoff), count(rejectWithBackoff)];
+  const backingOff = [recordRequests(rejectWithBackoff), recordRequests(rejectWithBackoff)];
   await fixture.list(backingOff, {});
   await sendRequests(fixture);
-  const received = await fixture.request("POST", key);
+  const received = await fixture.request("POST", callerHeaders);
   t.is(received.status, 503);
   t.true(Number(received.headers["x-retry-after-ms"]) > generousMs);
   t.deepEqual(
@@ -66,16 +66,16 @@
   );
 });
 
-for (const [what, route, changes] of [
+for (const [endpointName, route, changes] of [
   ["a plain endpoint", { kind: "safe" }, {}],
   ["an engine", streaming, { layers }],
 ] as const) {
   // Guards against requests that reach an endpoint which has announced that it drains, while its entry in the list is still unchanged.
-  test(`${what} that announces draining gets no new requests, even while it is listed as ready`, async (t) => {
+  test(`${endpointName} that announces draining gets no new requests, even while it is listed as ready`, async (t) => {
     const fixture = await setUp(t, route);
-    const draining = count(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
+    const draining = recordRequests(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
     await fixture.list([draining, streamEvents], changes);
-    while (draining.requests.length === 0) await fixture.request("POST", key);
+    while (draining.requests.length === 0) await fixture.request("POST", callerHeaders);
     t.deepEqual(new Set(await sendRequests(fixture)), new Set([200]));
     t.is(draining.requests.length, 1);
   });
@@ -84,15 +84,15 @@
 const endpointCount = 24;
 const failingCount = 8;
 const callerCount = 400;
-const leastServed = 0.99;
+const minServedShare = 0.99;
 
-for (const [what, fail] of [
+for (const [failure, fail] of [
   ["reject requests", answer(503, "", { "x-not-run": "1" })],
   ["reset connections", (_request, response) => void response.destroy()],
   ["fail", answer(500)],
 ] as [string, EndpointHandler][]) {
   // Guards against an endpoint that fails immediately: it always has the fewest requests in flight, and so attracts new ones.
-  test(`if a third of the endpoints ${what} immediately, at most 1 % of the callers are affected`, async (t) => {
+  test(`if a third of the endpoints ${failure} immediately, at most 1 % of the callers are affected`, async (t) => {
     const fixture = await setUp(t, { kind: "safe", maxAttempts: 3 });
     const handlers = Array.from({ length: endpointCount }, (_, index) =>
       index < failingCount ? fail : answer(200),
@@ -100,23 +100,23 @@
     await fixture.list(handlers, {});
     let served = 0;
     for (let caller = 0; caller < callerCount; caller++) {
-      if ((await fixture.request("POST", key)).status === 200) served += 1;
+      if ((await fixture.request("POST", callerHeaders)).status === 200) served += 1;
     }
-    t.true(served >= callerCount * leastServed, `${served} of ${callerCount} were served`);
+    t.true(served >= callerCount * minServedShare, `${served} of ${callerCount} were served`);
   });
 }
 
-for (const [what, route, changes] of [
+for (const [requestKind, route, changes] of [
   ["plain requests", { kind: "safe" }, {}],
   ["streams", streaming, { layers }],
 ] as const) {
   // Guards against requests that wait for a service whose endpoints all drain.
-  test(`${what} are rejected immediately while all endpoints drain`, async (t) => {
+  test(`${requestKind} are rejected immediately while all endpoints drain`, async (t) => {
     const fixture = await setUp(t, route);
-    const draining = count(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
+    const draining = recordRequests(answer(200, "id: 1\ndata: a\n\n", { "x-leaving": "1" }));
     await fixture.list([draining], changes);
-    t.is((await fixture.request("POST", key)).status, 200);
-    const received = await fixture.request("POST", key);
+    t.is((await fixture.request("POST", callerHeaders)).status, 200);
+    const received = await fixture.request("POST", callerHeaders);
     t.is(received.status, 503);
     t.is(received.body, JSON.stringify({ error: "no-endpoint" }));
     t.is(draining.requests.length, 1);
