--- a/packages/crashes/src/tests/digestRequestTests.ts
+++ b/packages/crashes/src/tests/digestRequestTests.ts
@@ -8,7 +8,7 @@
   body: Buffer.from('{"text":"one"}'),
 };
 
-test("requests are identical by method, path with query, account and body alone", (t) => {
+test("requests are identical if and only if method, path with query, account and body are the same", (t) => {
   const digest = digestRequest(request);
   t.is(digestRequest({ ...request, body: Buffer.from('{"text":"one"}') }), digest);
   const others: readonly Partial<RequestIdentity>[] = [
--- a/packages/crashes/src/tests/probeConnectionTests.ts
+++ b/packages/crashes/src/tests/probeConnectionTests.ts
@@ -18,6 +18,6 @@
   t.is(await probeConnection(address, timeoutMs), "refused");
 });
 
-test("an address that can't be reached gives no result", async (t) => {
+test("the probe of an unreachable address reports that there was no answer", async (t) => {
   t.is(await probeConnection("256.0.0.1:80", timeoutMs), "nothing");
 });
--- a/packages/gateway/src/discovery/ChangeFeed.ts
+++ b/packages/gateway/src/discovery/ChangeFeed.ts
@@ -1,6 +1,6 @@
 import { errors, type results } from "@shedtiller/common";
 
-/** One change of a keyed set; `value` is undefined where the key was removed or its new value cannot be parsed. */
+/** One change of a keyed set; `value` is undefined if the key was removed or its new value cannot be parsed. */
 export interface Change<T> {
   readonly key: string;
   readonly value: T | undefined;
@@ -14,14 +14,14 @@
   readonly nextOffset: number;
 }
 
-/** Changes since an offset. Where `isCompacted` is set, some of them are no longer stored and the reader has to take a new snapshot. */
+/** Changes since an offset. If `isCompacted` is set, some of them are no longer stored and the reader has to read a new snapshot. */
 export interface FeedPage<T> {
   readonly changes: readonly Change<T>[];
   readonly nextOffset: number;
   readonly isCompacted: boolean;
 }
 
-/** Errors of calls to the store, which either did not answer or rejected the call. */
+/** Errors of calls to the store: there was no answer, the store rejected the call, or its answer was invalid. */
 export type StoreError =
   | errors.NotReachedError
   | errors.ConnectionLostError
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -125,7 +125,7 @@
     return isLower;
   }
 
-  /** Returns the load at which the endpoint recently rejected a request for lack of capacity; infinite where it has not rejected any. */
+  /** Returns the load at which the endpoint recently rejected a request for lack of capacity; infinite if there was no rejection. */
   getSeenFullTokenLayers(nowMs: number): number {
     const seen = this._observedCapacity;
     return seen === undefined || nowMs >= seen.untilMs ? Number.POSITIVE_INFINITY : seen.tokenLayers;
@@ -137,7 +137,7 @@
     return this.limit?.perSecond === undefined || this.permits.getCount(nowMs) > 0;
   }
 
-  /** Takes the permit to send one request; undefined where none is available now. */
+  /** Takes the permit to send one request; undefined if none is available now. */
   tryTakePermit(nowMs: number): SendPermit | undefined {
     if (!this.hasPermit(nowMs)) return undefined;
     const isLimited = this.limit?.perSecond !== undefined;
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -32,7 +32,7 @@
 /** A heartbeat that arrives at least this long after the evidence shows that the endpoint is alive. */
 const minHeartbeatDelayMs = 1_000;
 
-/** A change of an endpoint; `restarted` replaces `gone` where a new process runs under the same id. */
+/** A change of an endpoint; `restarted` replaces `gone` if a new process runs under the same id. */
 export type EndpointEvent = "added" | "draining" | "gone" | "restarted" | "layers" | "suspected" | "cleared";
 /** How a report on an endpoint relates to the known life of the endpoint's process. */
 export type LifeOrder = "same" | "newer" | "earlier";
--- a/packages/gateway/src/discovery/FeedFollower.ts
+++ b/packages/gateway/src/discovery/FeedFollower.ts
@@ -45,12 +45,12 @@
   /** Offset at which the read began. */
   readonly fromOffset: number;
   readonly nextOffset: number;
-  /** Undefined where the peer reports only that something has changed. */
+  /** Undefined if the peer reports only that changes exist. */
   readonly changes: readonly Change<T>[] | undefined;
 }
 
 /**
- * Follows a change feed, from a snapshot on and with a new snapshot where the history has a gap. Reads the store itself, or applies pages
+ * Follows a change feed from a snapshot on, and from a new snapshot after a gap in the history. Reads the store itself, or applies pages
  * that another instance has read.
  */
 export class FeedFollower<T> {
--- a/packages/gateway/src/discovery/ListedEndpoint.ts
+++ b/packages/gateway/src/discovery/ListedEndpoint.ts
@@ -25,7 +25,7 @@
   modelNames: zod.array(zod.string()),
   /**
    * Start of the process in Unix milliseconds: a restarted endpoint has none of the layers and state of its previous life. Compared only
-   * with other starts under the same id. Undefined where endpoints don't report it.
+   * with other starts under the same id. Undefined if endpoints don't report their start.
    */
   bornAtMs: zod.number().int().optional(),
 });
--- a/packages/gateway/src/discovery/LocalPermits.ts
+++ b/packages/gateway/src/discovery/LocalPermits.ts
@@ -34,7 +34,7 @@
     this._expiresAtMs.sort((a, b) => a - b);
   }
 
-  /** Takes a permit and returns the time at which the permit expires; undefined where there is none. */
+  /** Takes a permit and returns the time at which the permit expires; undefined if there is none. */
   tryTake(nowMs: number): number | undefined {
     this._dropExpired(nowMs);
     const expiresAtMs = this._expiresAtMs.shift();
--- a/packages/gateway/src/discovery/SendPermit.ts
+++ b/packages/gateway/src/discovery/SendPermit.ts
@@ -1,6 +1,6 @@
 /** Receives permits that were not used. */
 export interface PermitSource {
-  /** @param expiresAtMs - Monotonic time at which the permit expires; undefined where the endpoint has no limit. */
+  /** @param expiresAtMs - Monotonic time at which the permit expires; undefined if the endpoint has no limit. */
   releasePermit(expiresAtMs: number | undefined): void;
 }
 
@@ -10,7 +10,7 @@
 export class SendPermit {
   private _isReleased = false;
 
-  /** @param _expiresAtMs - Monotonic time at which the permit expires; undefined where the endpoint has no limit. */
+  /** @param _expiresAtMs - Monotonic time at which the permit expires; undefined if the endpoint has no limit. */
   constructor(
     private readonly _source: PermitSource,
     private readonly _expiresAtMs: number | undefined,
--- a/packages/gateway/src/http/EndpointStatement.ts
+++ b/packages/gateway/src/http/EndpointStatement.ts
@@ -14,7 +14,7 @@
   /** An invalid value; `text` is the value as sent. */
   | { readonly kind: "unreadable"; readonly text: string };
 
-/** The state of an endpoint as its answer's headers give it, independent of the request. */
+/** The state of an endpoint according to the headers of its answer, independent of the request. */
 export interface EndpointStatement {
   readonly limit: StatedLimit;
   readonly retryAfter: StatedRetryAfter;
--- a/packages/gateway/src/http/MessageCodec.ts
+++ b/packages/gateway/src/http/MessageCodec.ts
@@ -33,7 +33,7 @@
   readonly deadlineMs: number;
   /** Id of the intended endpoint; a process with another id rejects the request without executing it. */
   readonly endpointId: string;
-  /** Name of the client account, where requests carry keys. */
+  /** Name of the client account, if requests carry keys. */
   readonly accountName: string | undefined;
   readonly priority: number;
   readonly lastEventId: string | undefined;
--- a/packages/gateway/src/orders/EngineOrders.ts
+++ b/packages/gateway/src/orders/EngineOrders.ts
@@ -6,7 +6,7 @@
 
 /** The state that an engine reports about itself; some hundred milliseconds old. */
 export interface EngineReport {
-  /** Start of the process in Unix milliseconds; undefined where engines don't report it. */
+  /** Start of the process in Unix milliseconds; undefined if engines don't report their start. */
   readonly bornAtMs?: number | undefined;
   /** Number of orders that the process has begun. */
   readonly orderCount: number;
@@ -30,7 +30,7 @@
   constructor(
     readonly address: string,
     readonly status: number,
-    /** Address of the faulty engine, where the rejection names one. */
+    /** Address of the faulty engine, if the rejection names one. */
     readonly faultyAddress: string | undefined,
   ) {
     super(`The engine at ${address} rejected an order with status ${status}.`);
@@ -52,7 +52,7 @@
 export interface OrderTarget {
   readonly id: string;
   readonly address: string;
-  /** Identifies the life of the engine's process that is addressed; omitted where it makes no difference. */
+  /** Identifies the addressed life of the engine's process; omitted if the life makes no difference. */
   readonly lifeId?: string;
 }
 
--- a/packages/gateway/src/orders/Leadership.ts
+++ b/packages/gateway/src/orders/Leadership.ts
@@ -65,7 +65,7 @@
     await this._election.resign();
   }
 
-  /** Campaigns once. The term counts from before the call, since the store may have started it at any time after that. */
+  /** Campaigns once. The term counts from the start of the call, since the store may have granted the term at any time during the call. */
   async campaign(): Promise<void> {
     const startedAtMs = this._nowMs();
     this._isMember = true;
--- a/packages/gateway/src/orders/planZoneOrders.ts
+++ b/packages/gateway/src/orders/planZoneOrders.ts
@@ -4,7 +4,7 @@
 /** An engine of the zone that is planned. */
 export interface ZoneEngine {
   readonly engine: placement.CopyEngine;
-  /** Layers that the engine has loaded according to the list; undefined where it has none. */
+  /** Layers that the engine has loaded according to the list; undefined if it has none. */
   readonly listed: LayerSpan | undefined;
   /** Layers that the engine was ordered to load and that are not listed yet. */
   readonly ordered: LayerSpan | undefined;
--- a/packages/gateway/src/requests/CallerRequest.ts
+++ b/packages/gateway/src/requests/CallerRequest.ts
@@ -70,7 +70,7 @@
     return this._structure.message.rawHeaders;
   }
 
-  /** Digest that is the same for identical requests. Computed on first use, since it is needed only after a crash of an endpoint. */
+  /** Digest that is the same for identical requests. Computed on first use, since most requests do not need it. */
   get digest(): string {
     this._digest ??= digestRequest(this.identity);
     return this._digest;
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -48,12 +48,12 @@
   t.is(describe(chooser.choose([full], profile, demand)), "a=0-4");
 });
 
-test("a suspect engine, and one that just rejected a request, get no new requests", (t) => {
+test("a suspect engine and a temporarily avoided engine get no new requests", (t) => {
   const suspect = createEngine("a", 0, 4);
   suspect.suspectUntilMs = 2_000;
-  const rejecting = createEngine("b", 0, 4);
-  rejecting.avoidedUntilMs = 1_100;
-  t.is(chooser.choose([suspect, rejecting], profile, demand), undefined);
+  const avoided = createEngine("b", 0, 4);
+  avoided.avoidedUntilMs = 1_100;
+  t.is(chooser.choose([suspect, avoided], profile, demand), undefined);
 });
 
 test("a chain in the instance's own zone is preferred to a faster chain in another zone", (t) => {
--- a/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -105,7 +105,7 @@
   t.is(fixture.sent.length, 1);
 });
 
-test("an endpoint that stops as planned makes no request a suspect", async (t) => {
+test("a planned stop of an endpoint makes no request a suspect", async (t) => {
   const draining = new Fixture({ isDraining: true });
   for (const id of ids) await draining.lose(id);
   const gone = new Fixture();
@@ -147,7 +147,7 @@
   t.is(fixture.sent.at(-1)?.clearings.length, 1);
 });
 
-test("an identical request that survived its initial phase here clears a suspect that peers report", async (t) => {
+test("a run that survived its initial phase at this instance clears an identical request that peers report as a suspect", async (t) => {
   const fixture = new Fixture();
   await fixture.clock.run(10_000);
   fixture.detector.begin(
@@ -202,7 +202,7 @@
   t.true((fixture.detector.getQuarantineMs({ digest: "a" }) ?? 0) > leftMs);
 });
 
-test("a request that another instance is trying is not tried here", async (t) => {
+test("an instance does not try a request during its trial at another instance", async (t) => {
   const fixture = new Fixture();
   for (const id of ["i-1", "i-2", "i-3"]) await fixture.lose(id);
   await fixture.clock.run(fixture.clock.nowMs() + (fixture.detector.getQuarantineMs({ digest: "a" }) ?? 0));
--- a/packages/gateway/src/tests/discovery/CircuitBreakerTests.ts
+++ b/packages/gateway/src/tests/discovery/CircuitBreakerTests.ts
@@ -53,7 +53,7 @@
   t.is(sendAll(200), 1, "failed again");
 });
 
-test("a request that can't be retried is sent only after an answer, or after a while without requests", (t) => {
+test("after a failure a request that can't be retried is sent only after an answer, or after several seconds", (t) => {
   const breaker = new CircuitBreaker();
   t.false(breaker.isUnproven(0));
   breaker.noteFailed(0, 1);
--- a/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
@@ -27,7 +27,7 @@
   return { endpoints, orders, sent, detector, isSuspect };
 }
 
-test("an endpoint that did not answer is suspected here and by the peers", (t) => {
+test("an endpoint that did not answer is suspected by this instance and its peers", (t) => {
   const { detector, sent, isSuspect } = setUp();
   detector.noteUnresponsive("a", "not reached");
   t.true(isSuspect());
--- a/packages/gateway/src/tests/orders/zoneTestData.ts
+++ b/packages/gateway/src/tests/orders/zoneTestData.ts
@@ -15,7 +15,7 @@
   hopMs: 0.25,
 };
 
-/** Creates an engine with a listed span, or without layers where the span is empty. */
+/** Creates an engine with a listed span, or without layers if the span is empty. */
 export function createMember(
   name: string,
   { start, end }: LayerSpan,
--- a/packages/gateway/src/tests/requests/forwardingTests.ts
+++ b/packages/gateway/src/tests/requests/forwardingTests.ts
@@ -63,7 +63,7 @@
   t.false(received.body.includes("of another"));
 });
 
-test("requests without a valid key are rejected, and those with one as well while the configuration may be out of date", async (t) => {
+test("requests without a valid key are rejected, as are those with a valid key while the configuration may be out of date", async (t) => {
   const fixture = await setUp(t, { kind: "safe" });
   const endpoint = recordRequests(answer(200, "whole"));
   await fixture.list([endpoint], {});
@@ -76,7 +76,7 @@
   t.is(endpoint.requests.length, 0);
 });
 
-test("before a planned stop, requests with a deadline after it are rejected", async (t) => {
+test("a request whose deadline lies after the planned stop is rejected", async (t) => {
   const fixture = await setUp(t, { kind: "safe" });
   const endpoint = recordRequests(answer(200, "whole"));
   await fixture.list([endpoint], {});
--- a/packages/routing/src/EndpointDirectory.ts
+++ b/packages/routing/src/EndpointDirectory.ts
@@ -17,7 +17,7 @@
   isUnreachable: boolean;
   report: EngineReport | undefined;
   reportAtMs: number;
-  /** Whether the endpoint is to load other layers soon; new work goes to other endpoints where possible. */
+  /** Whether the endpoint is to load other layers soon; new work goes to other endpoints if possible. */
   isRetiring: boolean;
   /** Streams of this instance that have the endpoint in their chain. */
   ownStreams: number;
--- a/packages/routing/src/RetryBudget.ts
+++ b/packages/routing/src/RetryBudget.ts
@@ -11,7 +11,7 @@
   /**
    * @param share - Retries allowed per request.
    * @param _reserve - Maximum balance.
-   * @param initialBalance - Balance at the start; less than the reserve where a restart must not grant a full one.
+   * @param initialBalance - Balance at the start; less than the reserve if a restart must not grant a full one.
    */
   constructor(
     readonly share = defaultShare,
