--- a/packages/gateway/src/orders/Leadership.ts
+++ b/packages/gateway/src/orders/Leadership.ts
@@ -51,8 +51,8 @@
   }
 
   /**
-   * Campaigns, or withdraws where this instance is no longer a candidate: the store may elect any member of the group, and one that does
-   * not campaign would hold the leadership unused for a whole term.
+   * Campaigns, or withdraws if this instance is no longer a candidate: the store may elect any member of the group, and a member that does
+   * not campaign would occupy the leadership for a whole term without using it.
    */
   async campaignIfDue(): Promise<void> {
     if (this.isLeader() || this._options.mayCampaign?.() !== false) await this.campaign();
@@ -65,7 +65,7 @@
     await this._election.resign();
   }
 
-  /** Campaigns once. The term counts from before the call, since the store may have started it at any time after that. */
+  /** Campaigns once. The term counts from the start of the call, since the store may have granted the term at any time during the call. */
   async campaign(): Promise<void> {
     const startedAtMs = this._nowMs();
     this._isMember = true;
