--- a/packages/gateway/src/GatewayInstance.ts
+++ b/packages/gateway/src/GatewayInstance.ts
@@ -213,7 +213,7 @@
       statements: this._statements,
       demand: this._demand,
       log: this._log,
-      onSize: (size) => this._budgets.setInstanceCount(size),
+      onInstanceCount: (count) => this._budgets.setInstanceCount(count),
     });
   }
 
--- a/packages/gateway/src/peers/ConfigurationExchange.ts
+++ b/packages/gateway/src/peers/ConfigurationExchange.ts
@@ -35,8 +35,11 @@
 const wholeIntervalMs = 300;
 /** Maximum number of requests, one after the other, to peers with a newer version; each peer may be busy sending to another instance. */
 const newerPeersPerRound = 3;
-/** Timeout for an announced whole configuration before it is requested from another peer. It doubles each time that none has arrived. */
-const firstWholeTimeoutMs = 1_000;
+/**
+ * An announced whole configuration that does not arrive within this timeout is requested from another peer. The timeout doubles each time
+ * no configuration has arrived.
+ */
+const initialWholeTimeoutMs = 1_000;
 const maxWholeTimeoutMs = 8_000;
 
 /** The configuration in force at this instance, and how far it lags behind the store. */
@@ -46,7 +49,7 @@
   /** Returns for how long a newer configuration has been known to exist without having come from the store. */
   readonly getBehindMs: () => number;
   /** Returns the store's offset that follows the configuration in force, or undefined before the first read. */
-  readonly getOffset: () => number | undefined;
+  readonly getConfigurationOffset: () => number | undefined;
   /** Records that everything in the store before `nextOffset` is in force. */
   readonly advanceTo: (nextOffset: number) => void;
 }
@@ -67,21 +70,21 @@
  * Gets the configuration from peers when the store does not deliver it. Responses contain only versions, freshness and small deltas. A
  * whole configuration is sent as a notice of its own, from one peer at a time, and is accepted whenever it arrives.
  *
- * A whole configuration that was awaited like a response was lost when it took longer than the timeout, and a repeated request delayed
- * the next one: with 0.45 MB, links of 14 Mbit/s and requests to two peers every 400 ms, instances stayed behind for the whole observation,
- * and were still behind 13 s after the store had recovered.
+ * As part of a response, a whole configuration would be lost whenever its transfer takes longer than the timeout, and repeated requests
+ * would delay each other: with 0.45 MB, links of 14 Mbit/s and requests to two peers every 400 ms, instances did not catch up and were
+ * still behind 13 s after the store had recovered.
  */
 export class ConfigurationExchange {
   /** The newest version that each peer is known to have. */
   private readonly _peerVersions = new Map<string, number>();
   /** Time since which a newer version has been known to be in force at a peer. */
   private _announcedSinceMs = 0;
-  /** Whether a request for a new version is pending. Many peers announce the same version, and one request is enough. */
+  /** Whether a request for a new version is pending. Many peers announce the same version, but a single request is enough. */
   private _isRequestPending = false;
   private readonly _startedAtMs: number;
   /** Time until which a whole configuration is expected from the peer that the last request for it went to. */
   private _wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
-  private _wholeTimeoutMs = firstWholeTimeoutMs;
+  private _wholeTimeoutMs = initialWholeTimeoutMs;
   /** The newest freshness that a peer reported. */
   private _peerFreshness = { version: -1, atMs: Number.NEGATIVE_INFINITY };
   private _wholeSentAtMs = Number.NEGATIVE_INFINITY;
@@ -121,7 +124,7 @@
    */
   async requestIfStale(others: readonly string[]): Promise<void> {
     if (!this.isStale()) {
-      this._wholeTimeoutMs = firstWholeTimeoutMs;
+      this._wholeTimeoutMs = initialWholeTimeoutMs;
       return;
     }
     const newerPeers = utils.sample(this._getNewerPeers(), newerPeersPerRound, this._structure.random);
@@ -135,7 +138,7 @@
   async requestFrom(name: string): Promise<void> {
     const { membership, activeConfiguration, log, nowMs } = this._structure;
     const requestedAtMs = nowMs();
-    const wantsWhole = this._wantsWhole();
+    const wantsWhole = this._isWholeDue();
     if (wantsWhole) this._wholeExpectedUntilMs = requestedAtMs + responseTimeoutMs;
     const request = { version: activeConfiguration.version, wantsWhole };
     const reply = await membership.request(name, peerTopics.configuration, request, responseTimeoutMs);
@@ -166,7 +169,7 @@
     this._peerVersions.set(name, version);
   }
 
-  private _wantsWhole(): boolean {
+  private _isWholeDue(): boolean {
     return !this._isStarting() && this.isStale() && this._structure.nowMs() >= this._wholeExpectedUntilMs;
   }
 
@@ -198,24 +201,29 @@
 
   private _respond(body: unknown, from: PeerIdentity): unknown {
     const request = configurationRequestSchema.safeParse(body);
-    const { activeConfiguration, history, getOffset } = this._structure;
+    const { activeConfiguration, history, getConfigurationOffset } = this._structure;
     const { newest } = history;
     if (!request.success || newest === undefined) return undefined;
     const { version, wantsWhole } = request.data;
     const proofAgeMs = getFiniteAgeMs(activeConfiguration.getFreshnessAgeMs());
-    const response = { version: newest.version, proofAgeMs, nextOffset: getOffset(), isWholeComing: false };
+    const response = {
+      version: newest.version,
+      proofAgeMs,
+      nextOffset: getConfigurationOffset(),
+      isWholeComing: false,
+    };
     if (version >= newest.version) return response;
     const delta = history.getDeltaFrom(version);
     if (delta !== undefined) return { ...response, delta };
     return { ...response, isWholeComing: wantsWhole && this._sendWhole(from, newest) };
   }
 
-  /** Sends a whole configuration unless this instance sent one a moment ago, and returns whether it did. */
+  /** Sends a whole configuration unless this instance has sent one within {@link wholeIntervalMs}, and returns whether one is sent. */
   private _sendWhole(to: PeerIdentity, configuration: GatewayConfiguration): boolean {
-    const { membership, getOffset, nowMs, pause, log } = this._structure;
+    const { membership, getConfigurationOffset, nowMs, pause, log } = this._structure;
     if (nowMs() - this._wholeSentAtMs < wholeIntervalMs) return false;
     this._wholeSentAtMs = nowMs();
-    const body = { configuration, nextOffset: getOffset() };
+    const body = { configuration, nextOffset: getConfigurationOffset() };
     log.info("configuration-sent", { peer: to.name, version: configuration.version });
     // A link delivers its messages in order, so the response has to be sent before the large notice.
     void pause(0).then(() => {
@@ -231,7 +239,7 @@
       return logInvalidPeerMessage(this._structure.log, peerTopics.wholeConfiguration, from);
     }
     this._wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
-    this._wholeTimeoutMs = firstWholeTimeoutMs;
+    this._wholeTimeoutMs = initialWholeTimeoutMs;
     this._accept(whole.data.configuration, whole.data.nextOffset);
   }
 
--- a/packages/gateway/src/peers/GatewayPeers.ts
+++ b/packages/gateway/src/peers/GatewayPeers.ts
@@ -41,7 +41,7 @@
   readonly demand: RequestDemand;
   readonly log: DecisionLog;
   /** Receives the number of known instances, including this one. */
-  readonly onSize: (size: number) => void;
+  readonly onInstanceCount: (count: number) => void;
 }
 
 /** Creates and runs the components of an instance that communicate with its peers. */
@@ -104,7 +104,7 @@
   }
 
   private _createDirectory(): PeerDirectory {
-    const { settings, registry, log, onSize } = this._structure;
+    const { settings, registry, log, onInstanceCount } = this._structure;
     const { instance, peers } = settings;
     return new PeerDirectory({
       self: { ...instance, address: `${peers.host}:${peers.port}` },
@@ -112,9 +112,9 @@
       registry,
       log,
       isReader: () => this.relay.isReader,
-      onSize: (size) => {
+      onInstanceCount: (count) => {
         this._assumePeerLoads();
-        onSize(size);
+        onInstanceCount(count);
       },
     });
   }
@@ -138,14 +138,15 @@
       activeConfiguration,
       endpoints,
       log,
-      getListAgeMs: () => endpointWatch.follower.getFreshnessAgeMs(),
+      getEndpointListAgeMs: () => endpointWatch.follower.getFreshnessAgeMs(),
       history: this._history,
       getBehindMs: () => configurationWatch.follower.getBehindMs(),
-      getOffset: () => configurationWatch.follower.nextOffset,
+      getConfigurationOffset: () => configurationWatch.follower.nextOffset,
       advanceTo: (nextOffset) => configurationWatch.follower.advanceTo(nextOffset),
-      getListOffset: () => endpointWatch.follower.nextOffset,
-      applyList: (list, nextOffset, freshAtMs) => endpointWatch.applyPeerList(list, nextOffset, freshAtMs),
-      isRegistryReached: () => this._directory.isReached,
+      getEndpointListOffset: () => endpointWatch.follower.nextOffset,
+      applyEndpointList: (list, nextOffset, freshAtMs) =>
+        endpointWatch.applyPeerList(list, nextOffset, freshAtMs),
+      isRegistryReached: () => this._directory.isRegistryReached,
       getInstances: () => this._directory.getInstances(),
       addInstances: (instances) => this._directory.addInstances(instances),
     });
@@ -167,8 +168,12 @@
     const { configurationWatch, endpointWatch, log } = this._structure;
     const relay = new StoreRelay({ membership: this.membership, log });
     const { configurationRead, endpointsRead } = peerTopics;
-    relay.add(configurationRead, configurationWatch.follower, new ConfigurationChangeCodec(this._history));
-    relay.add(endpointsRead, endpointWatch.follower, new WholeChangeCodec(listedEndpointSchema));
+    relay.addFeed(
+      configurationRead,
+      configurationWatch.follower,
+      new ConfigurationChangeCodec(this._history),
+    );
+    relay.addFeed(endpointsRead, endpointWatch.follower, new WholeChangeCodec(listedEndpointSchema));
     return relay;
   }
 }
--- a/packages/gateway/src/peers/LimitBroadcast.ts
+++ b/packages/gateway/src/peers/LimitBroadcast.ts
@@ -49,7 +49,7 @@
     return this._toMessages(messages.flatMap((message) => this._acceptOne(message) ?? []));
   }
 
-  /** Accepts a limit, and returns its endpoint if it replaces the known limit. */
+  /** Accepts a limit, and returns its endpoint if the limit replaces the known one. */
   private _acceptOne({ lifeId, perSecond, ageMs }: LimitMessage): Endpoint | undefined {
     const endpoint = this._structure.endpoints.getLife(lifeId);
     if (endpoint === undefined) return undefined;
--- a/packages/gateway/src/peers/LoadExchange.ts
+++ b/packages/gateway/src/peers/LoadExchange.ts
@@ -2,7 +2,7 @@
 import type { Membership, PeerIdentity } from "@shedtiller/membership";
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
-import { addUp, subtract, toLoads, toMessage, type Loads } from "./endpointLoads.js";
+import { sumLoads, subtractLoads, toLoads, toLoadMessage, type Loads } from "./endpointLoads.js";
 import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
 import { loadSchema, peerTopics, zoneLoadSchema } from "./peerMessages.js";
 import { ZoneRole } from "./ZoneRole.js";
@@ -49,7 +49,7 @@
   private readonly _otherZones = new Map<string, Source>();
   private readonly _nowMs: () => number;
   private readonly _role: ZoneRole;
-  /** Time since which the collector of this zone is the same, as this instance sees it. */
+  /** Time at which the collector of this zone last changed at this instance, or at which this instance started. */
   private _collectorSinceMs: number;
   private _sentText = "";
   private _sentAtMs = Number.NEGATIVE_INFINITY;
@@ -84,8 +84,8 @@
   /** Returns the time since which an instance has been sending its load to this one, or undefined if it does not. */
   getKnownSinceMs(name: string): number | undefined {
     if (name === this._structure.membership.self.name) return this._collectorSinceMs;
-    const zone = [...this._otherZones.values()].find((source) => source.name === name);
-    return (this._members.get(name) ?? zone)?.sinceMs;
+    const otherCollector = [...this._otherZones.values()].find((source) => source.name === name);
+    return (this._members.get(name) ?? otherCollector)?.sinceMs;
   }
 
   /** Sends loads periodically until `signal` aborts. */
@@ -136,13 +136,15 @@
     for (const sources of [this._members, this._otherZones]) {
       for (const [name, { receivedAtMs }] of sources) if (receivedAtMs < oldestMs) sources.delete(name);
     }
-    const kept = this.isCollector ? [...this._members.keys(), ...this._otherZones.keys()] : [collectedSource];
-    this._structure.endpoints.keepPeerLoads(new Set(kept));
+    const retained = this.isCollector
+      ? [...this._members.keys(), ...this._otherZones.keys()]
+      : [collectedSource];
+    this._structure.endpoints.keepPeerLoads(new Set(retained));
   }
 
   private _sendOwn(): void {
     const nowMs = this._nowMs();
-    const message = toMessage(this._getOwn());
+    const message = toLoadMessage(this._getOwn());
     const text = JSON.stringify(message);
     if (text === this._sentText && nowMs - this._sentAtMs < repeatIntervalMs) return;
     this._sentText = text;
@@ -151,10 +153,10 @@
   }
 
   private _sendSums(): void {
-    const zoneLoad = addUp([this._getOwn(), ...getLoads(this._members)]);
-    const all = addUp([zoneLoad, ...getLoads(this._otherZones)]);
+    const zoneLoad = sumLoads([this._getOwn(), ...getLoads(this._members)]);
+    const all = sumLoads([zoneLoad, ...getLoads(this._otherZones)]);
     for (const [name, source] of this._members) {
-      this._notify(name, peerTopics.collectedLoad, toMessage(subtract(all, source.loads)));
+      this._notify(name, peerTopics.collectedLoad, toLoadMessage(subtractLoads(all, source.loads)));
     }
     this._sendToOtherZones(zoneLoad);
   }
@@ -162,7 +164,7 @@
   private _sendToOtherZones(zoneLoad: Loads): void {
     const { membership } = this._structure;
     const { availabilityZone, name } = membership.self;
-    const body = { availabilityZone, load: toMessage(zoneLoad), collector: name };
+    const body = { availabilityZone, load: toLoadMessage(zoneLoad), collector: name };
     membership.notifyAll(peerTopics.zoneLoad, body, (member) => member.availabilityZone !== availabilityZone);
   }
 
@@ -180,7 +182,10 @@
     this._structure.endpoints.setPeerLoads(collectedSource, toLoads(load.data));
   }
 
-  /** Accepts another zone's load. Its collector sends it to all instances that it is linked to, which forward it to their own collector. */
+  /**
+   * Accepts the load of another zone. The collector of that zone sends the load to all linked instances, which forward it to the collector
+   * of their own zone.
+   */
   private _acceptZoneLoad(body: unknown, from: PeerIdentity): void {
     const message = zoneLoadSchema.safeParse(body);
     if (!message.success) return logInvalidPeerMessage(this._structure.log, peerTopics.zoneLoad, from);
--- a/packages/gateway/src/peers/PeerDirectory.ts
+++ b/packages/gateway/src/peers/PeerDirectory.ts
@@ -19,23 +19,23 @@
   /** Returns whether this instance reads the store for its zone. */
   readonly isReader: () => boolean;
   /** Receives the number of known instances, including this one. */
-  readonly onSize: (size: number) => void;
+  readonly onInstanceCount: (count: number) => void;
 }
 
-/** Discovers the other instances through the registry in the store and through peers. A newer address of a name replaces an older one. */
+/** Discovers the other instances through the registry in the store and through peers. A newer address of an instance replaces the older. */
 export class PeerDirectory {
   private readonly _instances = new Map<string, RegisteredInstance>();
   private _isRegistered = false;
-  private _isReached = false;
-  private _isKnown = false;
+  private _isRegistryReached = false;
+  private _isCountKnown = false;
 
   constructor(private readonly _structure: PeerDirectoryStructure) {
     this._instances.set(_structure.self.name, _structure.self);
   }
 
   /** Whether the last read of the registry succeeded. */
-  get isReached(): boolean {
-    return this._isReached;
+  get isRegistryReached(): boolean {
+    return this._isRegistryReached;
   }
 
   /** Returns all known instances, including this one. */
@@ -45,7 +45,7 @@
 
   /** Returns the number of instances, including this one, or undefined until the registry or a peer has reported it. */
   getCount(): number | undefined {
-    return this._isKnown ? this._instances.size : undefined;
+    return this._isCountKnown ? this._instances.size : undefined;
   }
 
   /** Adds instances that the registry or a peer has reported. */
@@ -58,9 +58,9 @@
       role: "entry" as const,
       state: "live" as const,
     }));
-    this._isKnown = true;
+    this._isCountKnown = true;
     this._structure.membership.setListed(listed);
-    this._structure.onSize(this._instances.size);
+    this._structure.onInstanceCount(this._instances.size);
   }
 
   /** Registers this instance and reads the registry periodically until `signal` aborts. */
@@ -75,7 +75,7 @@
   private _getIntervalMs(): number {
     const { membership, isReader } = this._structure;
     const hasPeers = membership.getLinked().length > 0;
-    if (!this._isRegistered || !this._isReached || !hasPeers) return unlinkedIntervalMs;
+    if (!this._isRegistered || !this._isRegistryReached || !hasPeers) return unlinkedIntervalMs;
     return isReader() ? readerIntervalMs : memberIntervalMs;
   }
 
@@ -87,7 +87,7 @@
 
   private async _read(): Promise<void> {
     const instances = await this._structure.registry.getInstances();
-    this._isReached = instances.ok;
+    this._isRegistryReached = instances.ok;
     if (instances.ok) this.addInstances(instances.val);
     else this._structure.log.warn("registry-unreadable", { cause: instances.val.message });
   }
--- a/packages/gateway/src/peers/PeerExchange.ts
+++ b/packages/gateway/src/peers/PeerExchange.ts
@@ -38,12 +38,12 @@
   >;
   readonly endpoints: EndpointTable;
   readonly log: DecisionLog;
-  /** Returns the age of the last time at which the list of endpoints was known to be complete. */
-  readonly getListAgeMs: () => number;
+  /** Returns the time since the list of endpoints was last known to be complete. */
+  readonly getEndpointListAgeMs: () => number;
   /** Returns the store's offset that follows what this instance has read of the list, or undefined before the first read. */
-  readonly getListOffset: () => number | undefined;
+  readonly getEndpointListOffset: () => number | undefined;
   /** Accepts a list that was complete at `freshAtMs`; the list is undefined if this instance has the same one. */
-  readonly applyList: (
+  readonly applyEndpointList: (
     list: readonly ListedEndpoint[] | undefined,
     nextOffset: number,
     freshAtMs: number,
@@ -101,20 +101,20 @@
 
   /** Broadcasts to all peers that an endpoint is suspected. */
   broadcastSuspicion(endpointId: string): void {
-    this._notifyOf(endpointId, peerTopics.suspect);
+    this._notifyAboutEndpoint(endpointId, peerTopics.suspect);
   }
 
   /** Broadcasts to this zone that an endpoint rejected a request for lack of capacity. Most of the endpoint's load comes from this zone. */
   broadcastFull(endpointId: string): void {
-    this._notifyOf(endpointId, peerTopics.full, {}, this._isOwnZone);
+    this._notifyAboutEndpoint(endpointId, peerTopics.full, {}, this._isOwnZone);
   }
 
   /** Broadcasts to all peers the slowness that an engine reports. */
   broadcastSlowness(endpointId: string, slowness: number): void {
-    this._notifyOf(endpointId, peerTopics.slowness, { slowness });
+    this._notifyAboutEndpoint(endpointId, peerTopics.slowness, { slowness });
   }
 
-  /** Broadcasts to all peers that an endpoint's process has restarted. The list shows this up to one heartbeat and two reads later. */
+  /** Broadcasts to all peers that an endpoint's process has restarted. Their lists show this up to one heartbeat and two reads later. */
   broadcastRestart(endpointId: string, bornAtMs: number): void {
     this._structure.membership.notifyAll(peerTopics.restarted, { endpointId, bornAtMs });
   }
@@ -124,20 +124,20 @@
     this._structure.membership.notifyAll(peerTopics.newVersion, { version });
   }
 
-  /** Broadcasts to all peers which layers an engine has loaded, where the list shows others. */
+  /** Broadcasts to all peers which layers an engine has loaded, if they differ from those in the list of endpoints. */
   broadcastLayers(endpointId: string, layers: readonly LayerSpan[]): void {
-    this._notifyOf(endpointId, peerTopics.layers, { layers });
+    this._notifyAboutEndpoint(endpointId, peerTopics.layers, { layers });
   }
 
-  private _notifyOf(
+  private _notifyAboutEndpoint(
     endpointId: string,
     topic: string,
-    more: object = {},
+    fields: object = {},
     isRecipient?: (member: Member) => boolean,
   ): void {
     const { endpoints, membership } = this._structure;
     const lifeId = endpoints.get(endpointId)?.lifeId ?? endpointId;
-    membership.notifyAll(topic, { lifeId, ...more }, isRecipient);
+    membership.notifyAll(topic, { lifeId, ...fields }, isRecipient);
   }
 
   private readonly _isOwnZone = (member: Member): boolean =>
@@ -155,7 +155,7 @@
     );
   }
 
-  /** Handles notices of peers about an endpoint, and ignores those about a life of its process that this instance does not know. */
+  /** Handles notices of peers about an endpoint. Notices about an earlier or unknown life of its process are ignored. */
   private _onEndpointNotice<T extends { lifeId: string }>(
     topic: string,
     schema: zod.ZodType<T>,
@@ -196,10 +196,10 @@
 
   /** Requests the configuration and the list of endpoints from peers if they are stale at this instance. */
   async requestIfStale(): Promise<void> {
-    const { membership, getListAgeMs } = this._structure;
+    const { membership, getEndpointListAgeMs } = this._structure;
     const linked = membership.getLinked().map((member) => member.name);
     const sampled = utils.sample(linked, peersPerRound, this._random);
-    const isListStale = getListAgeMs() > staleListAfterMs;
+    const isListStale = getEndpointListAgeMs() > staleListAfterMs;
     await Promise.all([
       this._configurations.requestIfStale(sampled),
       ...(isListStale ? sampled.map((name) => this._requestEndpoints(name)) : []),
@@ -207,9 +207,9 @@
   }
 
   private _respondEndpoints(body: unknown): unknown {
-    const nextOffset = this._structure.getListOffset();
+    const nextOffset = this._structure.getEndpointListOffset();
     if (nextOffset === undefined) return undefined;
-    const proofAgeMs = getFiniteAgeMs(this._structure.getListAgeMs());
+    const proofAgeMs = getFiniteAgeMs(this._structure.getEndpointListAgeMs());
     const request = endpointsRequestSchema.safeParse(body);
     if (request.success && request.data.nextOffset === nextOffset) return { proofAgeMs, nextOffset };
     const endpoints = this._structure.endpoints.getAll().map((endpoint) => endpoint.listed);
@@ -218,13 +218,17 @@
 
   private async _requestEndpoints(name: string): Promise<void> {
     const requestedAtMs = this._nowMs();
-    const request = { nextOffset: this._structure.getListOffset() };
+    const request = { nextOffset: this._structure.getEndpointListOffset() };
     const response = await this._request(name, peerTopics.endpoints, request, endpointsResponseSchema);
     if (response === undefined) return;
-    this._structure.applyList(response.endpoints, response.nextOffset, requestedAtMs - response.proofAgeMs);
+    this._structure.applyEndpointList(
+      response.endpoints,
+      response.nextOffset,
+      requestedAtMs - response.proofAgeMs,
+    );
   }
 
-  /** Sends a request to a peer, and returns undefined if no response with a valid schema arrives in time. */
+  /** Sends a request to a peer, and returns undefined if no valid response arrives in time. */
   private async _request<T>(
     name: string,
     topic: string,
--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -65,7 +65,7 @@
       nowMs: this._nowMs,
     });
     membership.onRequest(peerTopics.permits, (body, from) => this._respond(body, from));
-    demand.onWaiting(() => void this._requestSooner());
+    demand.onWaiting(() => void this._requestImmediately());
   }
 
   /** Requests permits periodically until `signal` aborts. */
@@ -98,7 +98,7 @@
     await Promise.all([this._requestForZone(), isDue ? this._requestForInstance(limited) : undefined]);
   }
 
-  private async _requestSooner(): Promise<void> {
+  private async _requestImmediately(): Promise<void> {
     const limited = this._getLimited();
     if (limited.length === 0 || this._nowMs() - this._requestedAtMs < minRequestGapMs) return;
     await this._requestForInstance(limited);
--- a/packages/gateway/src/peers/StoreRelay.ts
+++ b/packages/gateway/src/peers/StoreRelay.ts
@@ -21,11 +21,11 @@
  * Instances that receive nothing from their reader begin to read in this many groups, one after the other, and relay what they read. If
  * the store responds to at least one instance of the first group, the others need not call it.
  */
-const standInGroups = 2;
+const fallbackGroups = 2;
 
 /**
- * For this long after its start an instance reads nothing beyond its first list, since it is not linked to its zone yet: links are
- * established within half a second, and relayed reads arrive within the next. Without this delay each instance made about six reads of
+ * For this long after its start an instance reads only the first snapshot of each feed, since it is not linked to its zone yet: links are
+ * established within half a second, and relayed reads arrive within another half. Without this delay each instance made about six reads of
  * both feeds at each start.
  */
 const settlingMs = 1_000;
@@ -38,10 +38,10 @@
   readonly nowMs?: (() => number) | undefined;
 }
 
-/** A relayed feed. The type of its values is known only to the closures. */
+/** A relayed feed, independent of the type of its values. */
 interface RelayedFeed {
   readonly getFreshnessAgeMs: () => number;
-  readonly setReader: (isReader: boolean, isStandIn: boolean) => void;
+  readonly setReader: (isReader: boolean, isFallbackReader: boolean) => void;
 }
 
 /**
@@ -55,14 +55,14 @@
   private readonly _feeds: RelayedFeed[] = [];
   private readonly _pauses: utils.PauseDetector;
   private readonly _startedAtMs: number;
-  private readonly _standInDelayMs: number;
+  private readonly _fallbackDelayMs: number;
 
   constructor(private readonly _structure: StoreRelayStructure) {
     const { membership, log, nowMs } = _structure;
     this._nowMs = nowMs ?? utils.monotonicMs;
     this._startedAtMs = this._nowMs();
     this._pauses = new utils.PauseDetector(tickMs, this._nowMs);
-    this._standInDelayMs = (utils.hash32(membership.self.name) % standInGroups) * tickMs;
+    this._fallbackDelayMs = (utils.hash32(membership.self.name) % fallbackGroups) * tickMs;
     this._role = new ZoneRole({ name: roleName, membership, log, nowMs });
   }
 
@@ -72,13 +72,13 @@
   }
 
   /** Adds a feed to relay. */
-  add<T, TEncoded>(topic: string, follower: FeedFollower<T>, codec: ChangeCodec<T, TEncoded>): void {
+  addFeed<T, TEncoded>(topic: string, follower: FeedFollower<T>, codec: ChangeCodec<T, TEncoded>): void {
     this._sendReads(topic, follower, codec);
     this._receiveReads(topic, follower, codec);
     follower.setReader(false);
     this._feeds.push({
       getFreshnessAgeMs: () => follower.getFreshnessAgeMs(),
-      setReader: (isReader, isStandIn) => follower.setReader(isReader, isStandIn),
+      setReader: (isReader, isFallbackReader) => follower.setReader(isReader, isFallbackReader),
     });
   }
 
@@ -102,9 +102,9 @@
     if (this.isReader && (this._role.isAlone || ageMs < staleMs)) this._role.noteActivity();
     this._role.update();
     const isSettling = this._nowMs() - this._startedAtMs < settlingMs;
-    const isStandIn = !this.isReader && ageMs > staleMs + this._standInDelayMs;
-    const isReading = (this.isReader && (!isSettling || ageMs > staleMs)) || isStandIn;
-    for (const feed of this._feeds) feed.setReader(isReading, isStandIn);
+    const isFallbackReader = !this.isReader && ageMs > staleMs + this._fallbackDelayMs;
+    const isReading = (this.isReader && (!isSettling || ageMs > staleMs)) || isFallbackReader;
+    for (const feed of this._feeds) feed.setReader(isReading, isFallbackReader);
   }
 
   private _sendReads<T, TEncoded>(
@@ -147,7 +147,7 @@
   }
 }
 
-/** Creates the schema of a relayed read. Without `changes` it only announces that there are changes. */
+/** Creates the schema of a relayed read. A read without `changes` only announces that there are changes. */
 function createPageSchema<TEncoded>(changesSchema: zod.ZodType<TEncoded>) {
   return zod.object({
     fromOffset: zod.number(),
--- a/packages/gateway/src/peers/ZoneRole.ts
+++ b/packages/gateway/src/peers/ZoneRole.ts
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Records that this instance was suspended. That time doesn't count as silence of the holder, whose messages from it are not processed
-   * yet.
+   * Records that this instance was suspended. The suspension doesn't count as silence of the holder, since messages that arrived in the
+   * meantime are not processed yet.
    */
   noteSuspension(pauseMs: number): void {
     this._activeAtMs += pauseMs;
--- a/packages/gateway/src/peers/endpointLoads.ts
+++ b/packages/gateway/src/peers/endpointLoads.ts
@@ -7,8 +7,8 @@
 /** Requests and token-layers by the life id of the endpoint, as sent to peers. */
 export type LoadMessage = Record<string, [number, number]>;
 
-/** Adds up loads endpoint by endpoint. */
-export function addUp(summands: readonly Loads[]): Loads {
+/** Adds up the loads of each endpoint. */
+export function sumLoads(summands: readonly Loads[]): Loads {
   const sum = new Map<string, EndpointLoad>();
   for (const summand of summands) {
     for (const [id, load] of summand) {
@@ -20,7 +20,7 @@
 }
 
 /** Subtracts loads from a sum. Endpoints that the sum does not contain are ignored. */
-export function subtract(sum: Loads, subtrahend: Loads): Loads {
+export function subtractLoads(sum: Loads, subtrahend: Loads): Loads {
   const difference = new Map(sum);
   for (const [id, load] of subtrahend) {
     const known = sum.get(id);
@@ -37,7 +37,7 @@
 }
 
 /** Converts loads to the wire format, without endpoints that have no request. */
-export function toMessage(loads: Loads): LoadMessage {
+export function toLoadMessage(loads: Loads): LoadMessage {
   const message: LoadMessage = {};
   for (const [id, { requests, tokenLayers }] of loads) {
     if (requests > 0) message[id] = [requests, Math.round(tokenLayers)];
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -115,8 +115,12 @@
     const endpointFeed = new UnchangedFeed<ListedEndpoint>(clock, isCutOff);
     const endpointWatch = new EndpointWatch(new EndpointTable(), endpointFeed, log, time);
     const relay = new StoreRelay({ membership, log, nowMs: clock.nowMs });
-    relay.add(peerTopics.configurationRead, watch.follower, new ConfigurationChangeCodec(history));
-    relay.add(peerTopics.endpointsRead, endpointWatch.follower, new WholeChangeCodec(listedEndpointSchema));
+    relay.addFeed(peerTopics.configurationRead, watch.follower, new ConfigurationChangeCodec(history));
+    relay.addFeed(
+      peerTopics.endpointsRead,
+      endpointWatch.follower,
+      new WholeChangeCodec(listedEndpointSchema),
+    );
     const exchange = this._createExchange(membership, activeConfiguration, history, watch, log);
     activeConfiguration.onChanged(({ version }) => {
       if (relay.isReader) exchange.broadcastVersion(version);
@@ -150,13 +154,13 @@
       activeConfiguration,
       endpoints: new EndpointTable(),
       log,
-      getListAgeMs: () => 0,
+      getEndpointListAgeMs: () => 0,
       history,
       getBehindMs: () => watch.follower.getBehindMs(),
-      getOffset: () => watch.follower.nextOffset,
+      getConfigurationOffset: () => watch.follower.nextOffset,
       advanceTo: (nextOffset) => watch.follower.advanceTo(nextOffset),
-      getListOffset: () => 0,
-      applyList: () => undefined,
+      getEndpointListOffset: () => 0,
+      applyEndpointList: () => undefined,
       isRegistryReached: () => true,
       getInstances: () => [],
       addInstances: () => undefined,
--- a/packages/gateway/src/tests/patterns/ManyChoosers.ts
+++ b/packages/gateway/src/tests/patterns/ManyChoosers.ts
@@ -18,7 +18,7 @@
 import type { EndpointLoad } from "../../discovery/Endpoint.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
-import { subtract } from "../../peers/endpointLoads.js";
+import { subtractLoads } from "../../peers/endpointLoads.js";
 import { createListed } from "../testData.js";
 
 /** Interval of the reports from instances to the collector and of its reports back, so that the data is one to two intervals old. */
@@ -127,7 +127,7 @@
   /** Delivers the load collected one interval ago to all instances, and collects the current load. */
   private _report(): void {
     for (const [index, view] of this._views.entries()) {
-      const others = subtract(this._reported, this._reportedOwn[index] ?? new Map());
+      const others = subtractLoads(this._reported, this._reportedOwn[index] ?? new Map());
       view.setPeerLoads("collected", others);
     }
     this._reported = new Map(this._actual.getAll().map((endpoint) => [endpoint.id, endpoint.ownLoad]));
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -32,7 +32,7 @@
       history: new ConfigurationHistory(activeConfiguration),
       log: new DecisionLog(new SilentSink(), nowMs),
       getBehindMs: () => 0,
-      getOffset: () => 7,
+      getConfigurationOffset: () => 7,
       advanceTo: (nextOffset) => void ahead.push(nextOffset),
       broadcastToZone: () => undefined,
       nowMs,
--- a/packages/gateway/src/tests/peers/StoreRelayTests.ts
+++ b/packages/gateway/src/tests/peers/StoreRelayTests.ts
@@ -123,7 +123,7 @@
     const follower = new FeedFollower(feed, listener, options);
     const membership = this.network.join({ name, availabilityZone: "east" });
     const relay = new StoreRelay({ membership, log: new DecisionLog(new SilentSink(), nowMs), nowMs });
-    relay.add(topic, follower, new WholeChangeCodec(listedEndpointSchema));
+    relay.addFeed(topic, follower, new WholeChangeCodec(listedEndpointSchema));
     this.instances.set(name, { known, follower, relay, regained: 0 });
     void follower.run(this._stop.signal);
   }
@@ -200,16 +200,16 @@
   zone.stop();
 });
 
-test("an instance that stands in for its reader relays to the others, which may not reach the store either", async (t) => {
+test("a fallback reader relays to the other instances, which may not reach the store either", async (t) => {
   const zone = new Zone();
   zone.store.changes.push({ key: "x", value: createListed("x") });
   await zone.run(4);
   const [reader = ""] = zone.getReaders();
-  const [standIn = "", ...others] = names.filter((name) => name !== reader);
+  const [fallbackReader = "", ...others] = names.filter((name) => name !== reader);
   for (const name of [reader, ...others]) zone.store.cutOff.add(name);
   zone.store.changes.push({ key: "x", value: undefined });
   await zone.run(boundMs / tickMs - 1);
-  for (const name of [standIn, ...others]) t.false(zone.get(name).known.has("x"), name);
+  for (const name of [fallbackReader, ...others]) t.false(zone.get(name).known.has("x"), name);
   zone.stop();
 });
 
