--- a/packages/admission/src/AccountLimits.ts
+++ b/packages/admission/src/AccountLimits.ts
@@ -1,6 +1,6 @@
 import { results, utils } from "@shedtiller/common";
 import { RateMeter } from "./RateMeter.js";
-import { AdmissionRefusedError } from "./refusals.js";
+import { AdmissionRefusedError } from "./AdmissionRefusedError.js";
 import { getShare } from "./sharedLimit.js";
 
 const demandTimeConstantMs = 2_000;
@@ -34,7 +34,7 @@
 
 /** The concurrency slot and the tokens that are reserved for a request while it runs. */
 export interface AccountPermit {
-  /** Ends the request, and returns the tokens that it did not use to the bucket. */
+  /** Ends the request, and returns its unused tokens to the bucket. */
   release(usedTokens: number): void;
 }
 
@@ -75,7 +75,9 @@
       return results.Err(new AdmissionRefusedError("account-concurrency", concurrencyRetryMs));
     }
     const waitMs =
-      limit.tokensPerMinute === undefined ? 0 : this._tryTake(account, usage, limit.tokensPerMinute, tokens);
+      limit.tokensPerMinute === undefined
+        ? 0
+        : this._tryConsume(account, usage, limit.tokensPerMinute, tokens);
     if (waitMs > 0) return results.Err(new AdmissionRefusedError("account-tokens", waitMs));
     usage.active += 1;
     return results.Ok(this._createPermit(usage, tokens));
@@ -147,15 +149,15 @@
   }
 
   private _getConcurrencyShare(account: string, usage: AccountUsage, limit: number): number {
-    const otherDemands = this._getOthers(account, 1);
+    const otherDemands = this._getOtherDemands(account, 1);
     return Math.max(1, this._getShare(limit, this._getConcurrencyDemand(usage), otherDemands));
   }
 
   /** Takes tokens from the bucket and returns 0, or returns the time until the bucket will contain enough. */
-  private _tryTake(account: string, usage: AccountUsage, limitPerMinute: number, tokens: number): number {
+  private _tryConsume(account: string, usage: AccountUsage, limitPerMinute: number, tokens: number): number {
     const limit = limitPerMinute / secondsPerMinute;
     const ownDemand = usage.demandedTokens.getPerSecond();
-    const perSecond = this._getShare(limit, ownDemand, this._getOthers(account, 2));
+    const perSecond = this._getShare(limit, ownDemand, this._getOtherDemands(account, 2));
     const nowMs = this._nowMs();
     const earned = ((nowMs - usage.balanceAtMs) / utils.msPerSecond) * perSecond;
     usage.balanceTokens = Math.min(Math.max(perSecond * burstSeconds, tokens), usage.balanceTokens + earned);
@@ -170,7 +172,7 @@
   }
 
   private _countReporting(account: string): number {
-    return this._getOthers(account, 1).length + 1;
+    return this._getOtherDemands(account, 1).length + 1;
   }
 
   /**
@@ -183,7 +185,7 @@
     return getShare({ limit: (limit * reporting) / known, ownDemand, otherDemands });
   }
 
-  private _getOthers(account: string, field: 1 | 2): number[] {
+  private _getOtherDemands(account: string, field: 1 | 2): number[] {
     const others: number[] = [];
     for (const { demands, instanceCount } of this._otherDemands.values()) {
       const each = (demands.get(account)?.[field] ?? 0) / instanceCount;
--- a/packages/admission/src/Admission.ts
+++ b/packages/admission/src/Admission.ts
@@ -1,5 +1,5 @@
 import type { results } from "@shedtiller/common";
-import type { AdmissionRefusedError } from "./refusals.js";
+import type { AdmissionRefusedError } from "./AdmissionRefusedError.js";
 
 /** A request for admission to a pipeline. */
 export interface AdmissionRequest {
--- a/packages/admission/src/AdmissionQueue.ts
+++ b/packages/admission/src/AdmissionQueue.ts
@@ -1,7 +1,7 @@
 import { results, utils } from "@shedtiller/common";
 import { Admission, type AdmissionPermit, type AdmissionRequest } from "./Admission.js";
 import { RateMeter } from "./RateMeter.js";
-import { AdmissionRefusedError } from "./refusals.js";
+import { AdmissionRefusedError } from "./AdmissionRefusedError.js";
 
 /** Options of {@link AdmissionQueue}. */
 export interface AdmissionOptions {
@@ -19,7 +19,7 @@
 const maxRetryMs = 30_000;
 const minLimitShare = 0.5;
 
-interface Waiting {
+interface WaitingRequest {
   readonly request: AdmissionRequest;
   /** Virtual start time within the priority class (start-time fair queuing; Goyal, Vin and Cheng, 1996). */
   readonly startTag: number;
@@ -32,7 +32,7 @@
  * a class, accounts share the capacity fairly by tokens. Requests that could not be served in time are rejected early (load shedding).
  */
 export class AdmissionQueue extends Admission {
-  private readonly _waiting: Waiting[] = [];
+  private readonly _waiting: WaitingRequest[] = [];
   private _active = 0;
   private readonly _ends: RateMeter;
   private readonly _grantsByRank = new Map<number, RateMeter>();
@@ -76,7 +76,7 @@
     this._grantAll();
   }
 
-  private _createWaiting(request: AdmissionRequest): Waiting {
+  private _createWaiting(request: AdmissionRequest): WaitingRequest {
     const tagKey = `${request.rank}|${request.account}`;
     const startTag = Math.max(this._virtualTime, this._finishTags.get(tagKey) ?? 0);
     this._finishTags.set(tagKey, startTag + request.tokens);
@@ -92,17 +92,21 @@
   }
 
   /** Returns the next request to grant: first from classes below their minimum share, then by rank, and within a rank by start tag. */
-  private _getNext(): Waiting | undefined {
-    const starved = this._waiting.filter((w) => this._isBelowFloor(w) && this._active < this._getLimit());
+  private _getNext(): WaitingRequest | undefined {
+    const starved = this._waiting.filter(
+      (waiting) => this._isBelowFloor(waiting) && this._active < this._getLimit(),
+    );
     const candidates =
-      starved.length > 0 ? starved : this._waiting.filter((w) => this._hasCapacity(w.request.rank));
-    return candidates.reduce<Waiting | undefined>(
-      (best, w) => (best === undefined || isBefore(w, best) ? w : best),
+      starved.length > 0
+        ? starved
+        : this._waiting.filter((waiting) => this._hasCapacity(waiting.request.rank));
+    return candidates.reduce<WaitingRequest | undefined>(
+      (best, waiting) => (best === undefined || isBefore(waiting, best) ? waiting : best),
       undefined,
     );
   }
 
-  private _isBelowFloor(waiting: Waiting): boolean {
+  private _isBelowFloor(waiting: WaitingRequest): boolean {
     const { rank, floorShare } = waiting.request;
     if (floorShare <= 0) return false;
     const own = this._grantsByRank.get(rank)?.getPerSecond() ?? 0;
@@ -116,7 +120,7 @@
     return this._active < Math.max(1, Math.floor(this._getLimit() * share));
   }
 
-  private _grant(waiting: Waiting): void {
+  private _grant(waiting: WaitingRequest): void {
     this._remove(waiting);
     this._active += 1;
     this._virtualTime = Math.max(this._virtualTime, waiting.startTag);
@@ -145,7 +149,7 @@
     }
   }
 
-  private _findLate(): Waiting | undefined {
+  private _findLate(): WaitingRequest | undefined {
     const ordered = [...this._waiting].sort((a, b) => (isBefore(a, b) ? -1 : 1));
     const perSecond = this._getEndsPerSecond();
     for (let index = ordered.length - 1; index >= 0; index--) {
@@ -160,7 +164,7 @@
 
   /** Returns the streams that end per second. Before any has ended, this is the limit of active streams, since most take about a second. */
   private _getEndsPerSecond(): number {
-    const measured = this._ends.getSeenPerSecond();
+    const measured = this._ends.getCorrectedPerSecond();
     return measured > 0 ? Math.max(1, measured) : Math.max(1, this._getLimit());
   }
 
@@ -171,12 +175,12 @@
     return Math.min(maxRetryMs, Math.max(minRetryMs, drainMs));
   }
 
-  private _reject(waiting: Waiting, reason: "overload" | "cancelled", retryAfterMs: number): void {
+  private _reject(waiting: WaitingRequest, reason: "overload" | "cancelled", retryAfterMs: number): void {
     if (!this._remove(waiting)) return;
     waiting.done.resolve(results.Err(new AdmissionRefusedError(reason, retryAfterMs)));
   }
 
-  private _remove(waiting: Waiting): boolean {
+  private _remove(waiting: WaitingRequest): boolean {
     const index = this._waiting.indexOf(waiting);
     if (index < 0) return false;
     this._waiting.splice(index, 1);
@@ -191,7 +195,7 @@
   }
 }
 
-function isBefore(a: Waiting, b: Waiting): boolean {
+function isBefore(a: WaitingRequest, b: WaitingRequest): boolean {
   if (a.request.rank !== b.request.rank) return a.request.rank < b.request.rank;
   return a.startTag < b.startTag;
 }
--- a/packages/admission/src/FifoAdmission.ts
+++ b/packages/admission/src/FifoAdmission.ts
@@ -1,6 +1,6 @@
 import { results, utils } from "@shedtiller/common";
 import { Admission, type AdmissionPermit, type AdmissionRequest } from "./Admission.js";
-import { AdmissionRefusedError } from "./refusals.js";
+import { AdmissionRefusedError } from "./AdmissionRefusedError.js";
 
 /** Admits requests in the order of their arrival, without load shedding. Benchmarks use it as the baseline. */
 export class FifoAdmission extends Admission {
--- a/packages/admission/src/RateMeter.ts
+++ b/packages/admission/src/RateMeter.ts
@@ -32,8 +32,8 @@
     return (this._sum / this.timeConstantMs) * utils.msPerSecond;
   }
 
-  /** Returns the amount per second over the lifetime of a young meter. Suited to predictions. */
-  getSeenPerSecond(): number {
+  /** Returns the amount per second, corrected for the time before the meter was created. Suited to predictions. */
+  getCorrectedPerSecond(): number {
     const ageMs = Math.max(minAgeMs, this._nowMs() - this._startedAtMs);
     return this.getPerSecond() / (1 - Math.exp(-ageMs / this.timeConstantMs));
   }
--- a/packages/admission/src/index.ts
+++ b/packages/admission/src/index.ts
@@ -1,6 +1,6 @@
 export * from "./sharedLimit.js";
 export * from "./RateMeter.js";
-export * from "./refusals.js";
+export * from "./AdmissionRefusedError.js";
 export * from "./AccountLimits.js";
 export * from "./Admission.js";
 export * from "./AdmissionQueue.js";
--- a/packages/admission/src/permits/PermitPool.ts
+++ b/packages/admission/src/permits/PermitPool.ts
@@ -3,7 +3,7 @@
 const fillShare = 0.94;
 const bucketSeconds = 0.1;
 const maxFillSeconds = 0.5;
-/** Maximum of outstanding permits, which are granted and not reported as used, in seconds of the limit and in addition to the bucket. */
+/** Maximum number of outstanding permits (granted, not reported as used), in seconds of the limit and in addition to the bucket. */
 const maxOutstandingSeconds = 0.25;
 /** Permits that are not reported for this long count as used, or as lost with the instance that they were granted to. */
 const unsettledMs = 1_500;
@@ -37,7 +37,7 @@
   private readonly _participants = new Map<string, Participant>();
   private _balance = 0;
   /** Permits that were granted for waiting requests and are not reported as used yet. */
-  private _spent = 0;
+  private _grantedToWaiting = 0;
   /** Other granted permits that are not settled yet, the oldest first. */
   private _outstanding: { count: number; readonly atMs: number }[] = [];
   private _virtualTime = 0;
@@ -66,12 +66,12 @@
     const seconds = Math.min(maxFillSeconds, (nowMs - this._filledAtMs) / msPerSecond);
     this._filledAtMs = nowMs;
     // All outstanding permits may be used at the same moment, so their number is bounded.
-    const room =
+    const freeCapacity =
       this._capacity +
       this._perSecond * maxOutstandingSeconds -
       this._balance -
       this._countOutstanding(nowMs);
-    this._balance += Math.max(0, Math.min(room, seconds * this._perSecond * fillShare * weight));
+    this._balance += Math.max(0, Math.min(freeCapacity, seconds * this._perSecond * fillShare * weight));
     this._reserve();
     this._balance = Math.min(this._capacity, this._balance);
   }
@@ -79,16 +79,16 @@
   /** Settles granted permits that were used, or returned unused. */
   settle(used: number, returned: number): void {
     // Permits that another pool granted don't return to this one.
-    const own = Math.min(returned, this._spent + this._countOutstanding(this._nowMs()));
-    const expected = Math.min(used + returned, this._spent);
-    this._spent -= expected;
-    let left = used + returned - expected;
-    while (left > 0) {
+    const own = Math.min(returned, this._grantedToWaiting + this._countOutstanding(this._nowMs()));
+    const expected = Math.min(used + returned, this._grantedToWaiting);
+    this._grantedToWaiting -= expected;
+    let remaining = used + returned - expected;
+    while (remaining > 0) {
       const [oldest] = this._outstanding;
       if (oldest === undefined) break;
-      const count = Math.min(left, oldest.count);
+      const count = Math.min(remaining, oldest.count);
       oldest.count -= count;
-      left -= count;
+      remaining -= count;
       if (oldest.count === 0) this._outstanding.shift();
     }
     this.deposit(own);
@@ -132,10 +132,10 @@
     const count = Math.min(reserved, max);
     participant.reserved = 0;
     // Permits for waiting requests are used at once.
-    const spent = Math.min(count, participant.waiting);
-    this._spent += spent;
-    if (count > spent) this._outstanding.push({ count: count - spent, atMs: this._nowMs() });
-    if (count < reserved) this._giveToOthers(name, reserved - count);
+    const forWaiting = Math.min(count, participant.waiting);
+    this._grantedToWaiting += forWaiting;
+    if (count > forWaiting) this._outstanding.push({ count: count - forWaiting, atMs: this._nowMs() });
+    if (count < reserved) this._redistribute(name, reserved - count);
     return count;
   }
 
@@ -169,7 +169,7 @@
     return { unmet, demand: 0, waiting: 0, reserved: 0, startTag: this._virtualTime };
   }
 
-  private _giveToOthers(name: string, count: number): void {
+  private _redistribute(name: string, count: number): void {
     this._participants.delete(name);
     this.deposit(count);
   }
