--- a/packages/claims/src/AtMostOnce.ts
+++ b/packages/claims/src/AtMostOnce.ts
@@ -31,7 +31,7 @@
 }
 
 export type OnceError = ClaimRefusedError | OutcomeUnknownError | WorkError;
-type Once<A> = results.Result<A, OnceError>;
+type AtMostOnceResult<A> = results.Result<A, OnceError>;
 
 /** Dependencies of {@link AtMostOnce}. */
 export interface AtMostOnceStructure<A> {
@@ -64,25 +64,25 @@
  * claim was won, and caches the outcome for later calls with the same key.
  */
 export class AtMostOnce<A> {
-  private readonly _outcomes: utils.BoundedMap<Promise<Once<A>>>;
+  private readonly _outcomes: utils.BoundedMap<Promise<AtMostOnceResult<A>>>;
 
   constructor(private readonly _structure: AtMostOnceStructure<A>) {
     this._outcomes = new utils.BoundedMap(_structure.answersKept);
   }
 
   /** Runs the work of a key, or returns the outcome of an earlier call with the same key. */
-  async run(key: string, options: OnceOptions<A>): Promise<Once<A>> {
+  async run(key: string, options: OnceOptions<A>): Promise<AtMostOnceResult<A>> {
     const known = this._outcomes.get(key);
     if (known !== undefined) return known;
-    let isOurs = false;
+    let isClaimWon = false;
     const outcome = this._claimAndRun(key, options, () => {
-      isOurs = true;
+      isClaimWon = true;
     });
     this._outcomes.set(key, outcome);
     const settled = await outcome;
     // Only outcomes of work that this instance ran stay in the cache. If the work did not run or another instance holds the key, the next
     // call tries again.
-    const isCached = isOurs && (settled.ok || settled.val.ran === "unknown");
+    const isCached = isClaimWon && (settled.ok || settled.val.ran === "unknown");
     if (!isCached && this._outcomes.get(key) === outcome) this._outcomes.remove(key);
     return settled;
   }
@@ -93,7 +93,11 @@
     return outcome?.ok === true ? outcome.val : undefined;
   }
 
-  private async _claimAndRun(key: string, options: OnceOptions<A>, onWon: () => void): Promise<Once<A>> {
+  private async _claimAndRun(
+    key: string,
+    options: OnceOptions<A>,
+    onWon: () => void,
+  ): Promise<AtMostOnceResult<A>> {
     const holder = this._structure.projection.getHolder(key);
     const isFree = holder === undefined || this._structure.batcher.isAbandoning(key);
     if (!isFree) return this._requestFromHolder(holder, key);
@@ -112,7 +116,7 @@
   }
 
   /** Runs the work of a won claim. The claim belongs to this instance for ever, even if it is suspended before the work starts. */
-  private async _runWon(claim: Claim, options: OnceOptions<A>): Promise<Once<A>> {
+  private async _runWon(claim: Claim, options: OnceOptions<A>): Promise<AtMostOnceResult<A>> {
     if (options.signal.aborted || utils.monotonicMs() >= options.deadlineMs) {
       return this._abandon(claim, "the caller disconnected or the deadline passed before the work started");
     }
@@ -135,12 +139,12 @@
     }
   }
 
-  private _abandon(claim: Claim, reason: string): Once<A> {
+  private _abandon(claim: Claim, reason: string): AtMostOnceResult<A> {
     this._structure.batcher.abandon(claim);
     return results.Err(new ClaimRefusedError(reason));
   }
 
-  private async _requestFromHolder(holder: string, key: string): Promise<Once<A>> {
+  private async _requestFromHolder(holder: string, key: string): Promise<AtMostOnceResult<A>> {
     this._structure.timeline.add("claim-lost", { subject: key, detail: `held by ${holder}` });
     if (holder === this._structure.holder) {
       return results.Err(
--- a/packages/claims/src/service/ServiceCaller.ts
+++ b/packages/claims/src/service/ServiceCaller.ts
@@ -56,8 +56,8 @@
 
 /** Calls the endpoints of a plain service one after the other, and retries only if the call did not run or is repeatable. */
 export class ServiceCaller {
-  /** Counter of the round-robin selection. */
-  private _turn = 0;
+  /** Number of endpoint selections so far, for the round-robin order. */
+  private _selections = 0;
   /** Back-offs that endpoints requested, by endpoint name; those that have ended are dropped. */
   private readonly _backoffs = new Map<string, EndpointBackoff>();
 
@@ -95,11 +95,11 @@
     const available = this._directory
       .getServiceEndpoints(service)
       .filter(({ name }) => !tried.has(name) && this._backoffs.get(name)?.maySend(nowMs) !== false);
-    this._turn += 1;
-    return available[this._turn % Math.max(1, available.length)];
+    this._selections += 1;
+    return available[this._selections % Math.max(1, available.length)];
   }
 
-  /** Starts a back-off if the endpoint rejects a call with a Retry-After time; after it the endpoint receives few calls at first. */
+  /** Starts a back-off, followed by a slow start, if the endpoint rejects a call with a Retry-After time. */
   private _noteAnswer(
     { name }: EndpointEntry,
     { status, retryAfterMs }: ReceivedAnswer,
@@ -123,7 +123,7 @@
   }
 }
 
-/** A response, and the time after which the endpoint accepts calls again, if it names one. */
+/** A response, and the time after which the endpoint accepts calls again, if the response states one. */
 interface ReceivedAnswer extends ServiceAnswer {
   readonly retryAfterMs: number | undefined;
 }
