--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -26,7 +26,7 @@
 const linkBytesPerMs = 1_750;
 /** Output rate of the store for all readers together. */
 const storeBytesPerMs = 80_000;
-/** Measured with 0.45 MB: 43 ms to decode and 20 ms to encode on a whole core, of which the smallest instances have 0.324. */
+/** Rates of the smallest instances, which have 0.324 of a core. A whole core decodes 0.45 MB in 43 ms and encodes it in 20 ms. */
 const decodeBytesPerMs = 3_500;
 const encodeBytesPerMs = 7_000;
 const deadlineMs = 3_000;
--- a/packages/gateway/src/tests/patterns/ConfigurationFleetTests.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleetTests.ts
@@ -1,12 +1,12 @@
 /**
- * Guards against instances that never catch up with a large configuration. In an incident an instance rejected a request with "no such
- * route" 3.4 s after a configuration with this route had been acknowledged. The configuration had 2,200 routes (0.45 MB), a new version
- * followed every 1.84 s, and 60 % of the instances had just been restarted.
+ * Guards against instances that never catch up with a large configuration of 2,200 routes (0.45 MB), of which a new version follows every
+ * 1.84 s while 60 % of the instances restart. Such an instance rejected a request with "no such route" 3.4 s after a configuration with
+ * this route had been acknowledged.
  *
- * An instance with an outdated configuration requested the whole configuration from two peers every 400 ms, with a timeout of 400 ms. On a
- * link of 14 Mbit/s the two answers take 0.52 s, so both timed out and were discarded. The repeated transfers kept the link saturated for
- * five seconds, although the changes of a version take a few hundred bytes, and delayed the store's own answer as well. In these tests
- * instances stayed behind to the end, even 13 s after the store was reachable again.
+ * If an instance requests whole configurations from two peers every 400 ms with a timeout of 400 ms, the two answers take 0.52 s on a link
+ * of 14 Mbit/s, so both time out and are discarded. The repeated transfers saturate the link for five seconds, although the changes of a
+ * version take a few hundred bytes, and delay the store's own answer as well. Instances then stay behind to the end of these tests, even
+ * 13 s after the store is reachable again.
  */
 import test from "ava";
 import { ConfigurationFleet, createLargeConfiguration, type FleetInstance } from "./ConfigurationFleet.js";
--- a/packages/gateway/src/tests/patterns/CrashingFleet.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleet.ts
@@ -44,7 +44,7 @@
   readonly endsWithinMs?: number;
 }
 
-export type SentEnd = "served" | "held-back" | "lost";
+export type SendOutcome = "served" | "held-back" | "lost";
 
 interface EngineRun {
   readonly tracked: { -readonly [K in keyof TrackedRun]: TrackedRun[K] };
@@ -66,7 +66,7 @@
 }
 
 /** A store without content, since these simulations do not cover persistence. */
-class NoStore extends QuarantineStore {
+class EmptyQuarantineStore extends QuarantineStore {
   override read(): Promise<results.Result<StoredQuarantine[], never>> {
     return Promise.resolve(results.Ok([]));
   }
@@ -136,7 +136,7 @@
   async send(
     request: SentRequest,
     index = this._random.nextInteger(this._instances.length),
-  ): Promise<SentEnd> {
+  ): Promise<SendOutcome> {
     const instance = this._instances[index];
     if (instance === undefined) return "lost";
     const { detector } = instance.quarantine;
@@ -266,7 +266,7 @@
         onNotice: (topic, handler) => void handlers.set(topic, handler),
       },
       endpoints: this._endpoints,
-      store: new NoStore(),
+      store: new EmptyQuarantineStore(),
       log: new DecisionLog(new SilentSink(), this._clock.nowMs),
       probe: (address) => this._probe(address),
       isReader: () => false,
--- a/packages/gateway/src/tests/patterns/ManyChoosers.ts
+++ b/packages/gateway/src/tests/patterns/ManyChoosers.ts
@@ -24,7 +24,7 @@
 /** Interval of the reports from instances to the collector and of its reports back, so that the data is one to two intervals old. */
 const reportIntervalMs = 200;
 const tickMs = 5;
-/** Load at an engine as a multiple of its unqueued requests, from which on 17 % of the first events were measured to be late. */
+/** Load at an engine, as a multiple of its unqueued requests, from which on 17 % of the first events are late. */
 const overloadFactor = 1.35;
 /** Requests before this time are not counted, since the zone is not yet filled. */
 const warmUpMs = 5_000;
--- a/packages/gateway/src/tests/patterns/SimulatedStore.ts
+++ b/packages/gateway/src/tests/patterns/SimulatedStore.ts
@@ -69,7 +69,7 @@
   }
 
   /** Resolves once there is a version at `offset`, or after `waitMs`. */
-  async hold(offset: number, waitMs: number): Promise<void> {
+  async waitForVersion(offset: number, waitMs: number): Promise<void> {
     const endMs = this._clock.nowMs() + waitMs;
     while (this.end <= offset && this._clock.nowMs() < endMs) {
       await Promise.race([this._written.promise, this._clock.sleep(endMs - this._clock.nowMs())]);
@@ -109,7 +109,7 @@
     offset: number,
     waitMs: number,
   ): Promise<results.Result<FeedPage<GatewayConfiguration>, StoreError>> {
-    if (!this._reader.isCutOff()) await this._store.hold(offset, waitMs);
+    if (!this._reader.isCutOff()) await this._store.waitForVersion(offset, waitMs);
     const page = this._store.getPage(offset);
     if (!(await this._send(page.reduce((sum, version) => sum + getSizeBytes(version), 0))))
       return this._fail();
