--- a/packages/gateway/src/GatewayInstance.ts
+++ b/packages/gateway/src/GatewayInstance.ts
@@ -76,15 +76,15 @@
   private readonly _peers: GatewayPeers;
   private readonly _leadership: Leadership;
   private readonly _layerReconciler: LayerReconciler;
-  private readonly _poll: EnginePoll;
+  private readonly _enginePoll: EnginePoll;
   private readonly _budgets: RetryBudgets;
   private readonly _limits: EndpointLimits;
   private readonly _statements: EndpointStatements;
   private readonly _failureDetector: FailureDetector;
   private readonly _demand = new RequestDemand();
   private readonly _forwarders: ForwarderSet;
-  private readonly _callers: CallerListener;
-  private readonly _readiness: ReadinessListener;
+  private readonly _callerListener: CallerListener;
+  private readonly _readinessListener: ReadinessListener;
   private readonly _httpClient = new HttpClient();
   private readonly _stop = new AbortController();
   private _isDraining = false;
@@ -117,11 +117,11 @@
     const orders = new LifeCheckedOrders(platform.orders, this.endpoints, broadcastRestart);
     this._failureDetector = this._createFailureDetector(orders);
     this._layerReconciler = this._createLayerReconciler(orders);
-    this._forwarders = new ForwarderSet(this._createContext(platform.codec), orders);
-    this._callers = this._createCallers(platform.codec);
+    this._forwarders = new ForwarderSet(this._createForwardContext(platform.codec), orders);
+    this._callerListener = this._createCallerListener(platform.codec);
     const { host, port } = callers.readiness;
-    this._readiness = new ReadinessListener(host, port, () => this._isReady());
-    this._poll = this._createPoll(orders);
+    this._readinessListener = new ReadinessListener(host, port, () => this._isReady());
+    this._enginePoll = this._createEnginePoll(orders);
     this.activeConfiguration.onChanged((table) => {
       if (relay.isReader) exchange.broadcastVersion(table.version);
     });
@@ -138,8 +138,8 @@
     const { signal } = this._stop;
     // All tasks listen to this signal, so the default limit on the number of listeners does not apply.
     setMaxListeners(0, signal);
-    await this._callers.listen();
-    await this._readiness.listen();
+    await this._callerListener.listen();
+    await this._readinessListener.listen();
     await this._peers.membership.listen();
     await this.metrics.listen(this._settings.metrics.host, this._settings.metrics.port);
     const tasks = [
@@ -149,7 +149,7 @@
       this._leadership.run(signal),
       this._layerReconciler.run(signal),
       this.crashes.run(signal),
-      this._poll.run(signal),
+      this._enginePoll.run(signal),
       this._forwarders.monitor.run(signal),
     ];
     for (const task of tasks) task.catch((error: unknown) => this._logTaskFailure(error));
@@ -176,17 +176,17 @@
   async drain(): Promise<void> {
     const deadline = new StopDeadline(this._settings.callers.stopGraceS * utils.msPerSecond);
     this._isDraining = true;
-    this._callers.drain();
+    this._callerListener.drain();
     this._peers.membership.leave();
-    this._log.info("drain-began", { inHand: this._callers.inFlight });
+    this._log.info("drain-began", { inHand: this._callerListener.inFlight });
     await deadline.pause(balancerNoticeMs);
-    this._callers.setStopDeadline(deadline.endsAtMs);
-    this._callers.closeIdle();
-    while (this._callers.inFlight > 0 && !deadline.isReached) await deadline.pause(drainPollMs);
-    this._log.info("instance-stopped", { inHand: this._callers.inFlight });
+    this._callerListener.setStopDeadline(deadline.endsAtMs);
+    this._callerListener.closeIdle();
+    while (this._callerListener.inFlight > 0 && !deadline.isReached) await deadline.pause(drainPollMs);
+    this._log.info("instance-stopped", { inHand: this._callerListener.inFlight });
     this._stop.abort();
-    this._callers.close();
-    this._readiness.close();
+    this._callerListener.close();
+    this._readinessListener.close();
     this.metrics.close();
     this._peers.membership.close();
     this._httpClient.close();
@@ -227,7 +227,7 @@
       probe: probeConnection,
       isReader: () => relay.isReader,
       getInstanceNames: () => this._peers.getInstanceNames(),
-      count: (what) => (what === "crash" ? this.metrics.crashes : this.metrics.quarantinedRequests).inc(),
+      count: (event) => (event === "crash" ? this.metrics.crashes : this.metrics.quarantinedRequests).inc(),
       onCrash: (endpoint) => this._noteCrash(endpoint),
     });
   }
@@ -248,7 +248,7 @@
     });
   }
 
-  private _createCallers(codec: MessageCodec): CallerListener {
+  private _createCallerListener(codec: MessageCodec): CallerListener {
     return new CallerListener({
       ...this._settings.callers.listen,
       activeConfiguration: this.activeConfiguration,
@@ -268,7 +268,7 @@
     });
   }
 
-  private _createPoll(orders: EngineOrders): EnginePoll {
+  private _createEnginePoll(orders: EngineOrders): EnginePoll {
     return new EnginePoll({
       activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
@@ -281,7 +281,7 @@
     });
   }
 
-  private _createContext(codec: MessageCodec): ForwardContext {
+  private _createForwardContext(codec: MessageCodec): ForwardContext {
     return {
       activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
@@ -345,7 +345,7 @@
     this.metrics.addGauge(
       "requests_in_hand",
       "Requests without a final answer",
-      () => this._callers.inFlight,
+      () => this._callerListener.inFlight,
     );
     this.metrics.addGauge("requests_waiting", "Requests that wait for room", () => this._forwarders.waiting);
     this.metrics.addGauge(
--- a/packages/gateway/src/GatewayMetrics.ts
+++ b/packages/gateway/src/GatewayMetrics.ts
@@ -18,7 +18,7 @@
   readonly permits: prom.Counter<"service">;
   /** Responses in which an endpoint states something about itself, such as a back-off or that it drains. */
   readonly statements: prom.Counter<"what" | "service">;
-  private readonly _server = http.createServer((_message, response) => void this._answer(response));
+  private readonly _server = http.createServer((_message, response) => void this._sendMetrics(response));
 
   constructor() {
     const registers = [this.registry];
@@ -93,7 +93,7 @@
     stopListening(this._server);
   }
 
-  private async _answer(response: http.ServerResponse): Promise<void> {
+  private async _sendMetrics(response: http.ServerResponse): Promise<void> {
     const text = await this.registry.metrics();
     response.writeHead(200, { "Content-Type": this.registry.contentType }).end(text);
   }
--- a/packages/gateway/src/StopDeadline.ts
+++ b/packages/gateway/src/StopDeadline.ts
@@ -22,7 +22,7 @@
   /**
    * @param _graceMs - Time from the stop signal until the process is killed.
    * @param _nowMs - Monotonic clock, replaced in tests.
-   * @param _sleep - Sleeps, replaced in tests.
+   * @param _sleep - Waits for a time, replaced in tests.
    */
   constructor(
     private readonly _graceMs: number,
@@ -43,7 +43,7 @@
     return this._nowMs() >= this.endsAtMs;
   }
 
-  /** Sleeps, at most until the deadline, and measures how late the event loop runs the process. */
+  /** Sleeps, at most until the deadline, and records by how much the event loop delayed the wake-up. */
   async pause(durationMs: number): Promise<void> {
     const dueAtMs = Math.min(this._nowMs() + durationMs, this.endsAtMs);
     await this._sleep(Math.max(0, dueAtMs - this._nowMs()));
--- a/packages/gateway/src/configuration/ConfigurationHistory.ts
+++ b/packages/gateway/src/configuration/ConfigurationHistory.ts
@@ -3,8 +3,8 @@
 import type { GatewayConfiguration } from "./gatewayConfiguration.js";
 
 /**
- * Number of retained versions. They share most of their items as objects, so one more version takes 18 KB at 2,200 routes. While a new
- * version came every 1.8 s, only instances without any configuration were further behind than this.
+ * Number of retained versions. They share most of their items as objects, so one more version takes 18 KB at 2,200 routes. With a new
+ * version every 1.8 s, only instances without any configuration were further behind than this.
  */
 const maxVersions = 8;
 /**
--- a/packages/gateway/src/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/configuration/gatewayConfiguration.ts
@@ -14,7 +14,7 @@
 export const routeSchema = zod.object({
   name,
   host: name,
-  /** Begins and ends with a slash. */
+  /** The prefix begins and ends with a slash. */
   pathPrefix: name,
   kind: routeKindSchema,
   targets: zod.array(routeTargetSchema).min(1),
@@ -26,7 +26,7 @@
   targetPauseMs: milliseconds,
   /** Maximum number of endpoints that one request is sent to. */
   maxAttempts: zod.number().int().positive(),
-  /** 0 is the most urgent. */
+  /** Priority 0 is the most urgent. */
   priority: zod.number().int().nonnegative(),
   isAnonymousAllowed: zod.boolean(),
   /** Whether a stream may be resumed at another endpoint after the last event that the caller has received. */
@@ -78,7 +78,7 @@
   name,
   healthPath: zod.string(),
   maxConnections: zod.number().int().positive(),
-  /** Present if the endpoints are engines that load layer ranges. */
+  /** Defined only if the endpoints are engines that load layer ranges. */
   engine: engineProfileSchema.optional(),
 });
 export type Service = zod.infer<typeof serviceSchema>;
--- a/packages/gateway/src/logs/DecisionLog.ts
+++ b/packages/gateway/src/logs/DecisionLog.ts
@@ -14,7 +14,8 @@
 const linesPerSecond: Readonly<Record<LogLevel, number>> = { info: 20, warn: 60, error: 60 };
 const windowMs = 1_000;
 
-interface Usage {
+/** Number of lines of one event name in the current window, and of lines left out since the last written one. */
+interface EventWindow {
   startedAtMs: number;
   lines: number;
   leftOut: number;
@@ -25,7 +26,7 @@
  * blocks: lines are left out while the consumer of the output is behind.
  */
 export class DecisionLog {
-  private readonly _usages = new Map<string, Usage>();
+  private readonly _windows = new Map<string, EventWindow>();
 
   constructor(
     private readonly _sink: LogSink,
@@ -45,28 +46,28 @@
   }
 
   private _write(level: LogLevel, event: string, fields: LogFields): void {
-    const usage = this._getUsage(event);
-    if (usage.lines >= linesPerSecond[level] || this._sink.isBehind()) {
-      usage.leftOut += 1;
+    const window = this._getWindow(event);
+    if (window.lines >= linesPerSecond[level] || this._sink.isBehind()) {
+      window.leftOut += 1;
       return;
     }
-    usage.lines += 1;
-    const { leftOut } = usage;
-    usage.leftOut = 0;
+    window.lines += 1;
+    const { leftOut } = window;
+    window.leftOut = 0;
     this._sink.write(level, event, leftOut === 0 ? fields : { ...fields, leftOut });
   }
 
-  private _getUsage(event: string): Usage {
+  private _getWindow(event: string): EventWindow {
     const nowMs = this._nowMs();
-    let usage = this._usages.get(event);
-    if (usage === undefined) {
-      usage = { startedAtMs: nowMs, lines: 0, leftOut: 0 };
-      this._usages.set(event, usage);
+    let window = this._windows.get(event);
+    if (window === undefined) {
+      window = { startedAtMs: nowMs, lines: 0, leftOut: 0 };
+      this._windows.set(event, window);
     }
-    if (nowMs - usage.startedAtMs >= windowMs) {
-      usage.startedAtMs = nowMs;
-      usage.lines = 0;
+    if (nowMs - window.startedAtMs >= windowMs) {
+      window.startedAtMs = nowMs;
+      window.lines = 0;
     }
-    return usage;
+    return window;
   }
 }
--- a/packages/gateway/src/tests/StopDeadlineTests.ts
+++ b/packages/gateway/src/tests/StopDeadlineTests.ts
@@ -11,10 +11,10 @@
 const pollMs = 50;
 const balancerNoticeMs = 2_500;
 
-/** Simulates a stop with requests in flight until the end, and returns the time at which the process begins to exit. */
+/** Simulates a stop whose requests in flight never finish, and returns the time at which the process begins to exit. */
 async function simulateStop(turnMs: number): Promise<number> {
   let nowMs = 0;
-  // Turns come at multiples of `turnMs`, so a sleep ends at the next turn.
+  // The event loop runs at multiples of `turnMs`, so a sleep ends at the next of these times.
   const sleep = async (durationMs: number): Promise<void> => {
     nowMs = Math.ceil((nowMs + durationMs) / turnMs) * turnMs;
   };
@@ -29,7 +29,7 @@
 });
 
 for (const turnMs of [100, 300, 450, 500, 600]) {
-  test(`with a turn every ${turnMs} ms a process exits in the last sixth of its grace period`, async (t) => {
+  test(`if the event loop runs only every ${turnMs} ms, a process exits in the last sixth of its grace period`, async (t) => {
     const endedAtMs = await simulateStop(turnMs);
     t.true(endedAtMs < graceMs, `${endedAtMs}`);
     t.true(endedAtMs >= (graceMs * 5) / 6, `${endedAtMs}`);
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -9,7 +9,7 @@
 import { SilentSink } from "../SilentSink.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
-/** Exceeds all delays in which an instance leaves it to the store to deliver a configuration. */
+/** Exceeds all delays for which an instance waits for the store before it requests a configuration from peers. */
 const longMs = 10_000;
 /** Time after which a peer may send the next whole configuration. */
 const wholeIntervalMs = 300;
@@ -21,11 +21,11 @@
   join(name: string): {
     activeConfiguration: ActiveConfiguration;
     exchange: ConfigurationExchange;
-    ahead: number[];
+    advancedTo: number[];
   } {
     const nowMs = (): number => this.nowMs;
     const activeConfiguration = new ActiveConfiguration(nowMs);
-    const ahead: number[] = [];
+    const advancedTo: number[] = [];
     const exchange = new ConfigurationExchange({
       membership: this.network.join({ name, availabilityZone: "east" }),
       activeConfiguration,
@@ -33,14 +33,14 @@
       log: new DecisionLog(new SilentSink(), nowMs),
       getBehindMs: () => 0,
       getConfigurationOffset: () => 7,
-      advanceTo: (nextOffset) => void ahead.push(nextOffset),
+      advanceTo: (nextOffset) => void advancedTo.push(nextOffset),
       broadcastToZone: () => undefined,
       nowMs,
       pause: utils.yieldToEvents,
       random: () => 0,
     });
     this.nowMs += longMs;
-    return { activeConfiguration, exchange, ahead };
+    return { activeConfiguration, exchange, advancedTo };
   }
 
   /** Waits until the sent messages have been delivered. */
@@ -62,7 +62,7 @@
   t.is(older.activeConfiguration.version, 2);
   t.truthy(older.activeConfiguration.table?.getRoute("notes.example", "/b/x"));
   t.is(older.activeConfiguration.getFreshnessAgeMs(), 0);
-  t.deepEqual(older.ahead, [7]);
+  t.deepEqual(older.advancedTo, [7]);
   t.is(fleet.network.sent.get("whole-configuration"), undefined);
 });
 
