--- a/packages/admission/src/AccountLimits.ts
+++ b/packages/admission/src/AccountLimits.ts
@@ -29,6 +29,7 @@
   /** Tokens in the bucket, which is refilled at the instance's share of the limit. */
   balanceTokens: number;
   balanceAtMs: number;
+  /** Moving average of the duration of the requests. */
   durationMs: number;
 }
 
--- a/packages/admission/src/permits/PermitCoordinator.ts
+++ b/packages/admission/src/permits/PermitCoordinator.ts
@@ -41,6 +41,7 @@
   private readonly _pools = new Map<string, PermitPool>();
   /** Usage that is not yet reported to the coordinator of the endpoint's zone, by limit. */
   private readonly _usages = new Map<string, PermitUsage>();
+  /** Groups of the limits, by limit. */
   private readonly _groups = new Map<string, string>();
   /** Number of permit requests to the coordinators of other zones so far. */
   private _requests = 0;
@@ -74,7 +75,7 @@
     for (const { key, count } of granted) this._getPool(key)?.deposit(count);
   }
 
-  /** Returns the permit requests that are due to the coordinators of other zones, by their names. */
+  /** Returns the permit requests that are due to the coordinators of other zones, by the name of the coordinator. */
   getOutgoingRequests(): Map<string, PermitRequest> {
     this._removeEnded();
     const requests = new Map<string, PermitRequest>();
@@ -136,7 +137,7 @@
   }
 
   private _getDemands(zones: readonly string[]): LimitDemand[] {
-    const wants: LimitDemand[] = [];
+    const demands: LimitDemand[] = [];
     for (const [key, pool] of this._pools) {
       const zone = this._structure.getLimit(key)?.availabilityZone;
       if (zone === undefined || !zones.includes(zone)) continue;
@@ -144,12 +145,18 @@
       const usage = this._usages.get(key) ?? noUsage;
       this._usages.delete(key);
       const returned = usage.returned + pool.withdraw();
-      wants.push({ key, group: this._groups.get(key) ?? key, ...pool.getUnmetDemand(), ...usage, returned });
+      demands.push({
+        key,
+        group: this._groups.get(key) ?? key,
+        ...pool.getUnmetDemand(),
+        ...usage,
+        returned,
+      });
     }
     // The first demand of a group is granted first, so the order rotates.
     this._requests += 1;
-    const first = wants.length === 0 ? 0 : this._requests % wants.length;
-    return [...wants.slice(first), ...wants.slice(0, first)];
+    const first = demands.length === 0 ? 0 : this._requests % demands.length;
+    return [...demands.slice(first), ...demands.slice(0, first)];
   }
 
   private _isGrantedHere(zone: string): boolean {
@@ -157,8 +164,8 @@
   }
 
   /**
-   * Returns the zone whose coordinator grants permits for the endpoints of a zone: the same zone, or the first zone by name with a reachable
-   * coordinator if the same zone has none.
+   * Returns the zone whose coordinator grants permits for the endpoints of a zone: the same zone, or, if that has no reachable coordinator,
+   * the first zone by name that has one.
    */
   private _getHomeZone(zone: string): string {
     const { availabilityZone, getCoordinators } = this._structure;
--- a/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
+++ b/packages/admission/src/tests/permits/PermitCoordinatorTests.ts
@@ -53,32 +53,32 @@
 
 const seconds = 10;
 const spanMs = seconds * 1_000;
-const whole = perSecond * seconds;
+const totalPermits = perSecond * seconds;
 
 test("if all instances are present, the whole limit is granted", (t) => {
   const granted = new Fixture().run(spanMs, ["a", "b"], 2);
-  t.true(granted <= whole && granted > whole * 0.9, String(granted));
+  t.true(granted <= totalPermits && granted > totalPermits * 0.9, String(granted));
 });
 
 test("if instances are missing, only the quota shares that are present are granted", (t) => {
   const granted = new Fixture().run(spanMs, ["a", "b"], 8);
-  t.true(granted <= whole / 4 + 1, String(granted));
+  t.true(granted <= totalPermits / 4 + 1, String(granted));
 });
 
 test("two coordinators of one zone together grant the whole limit, and no more", (t) => {
   const fixtures = [new Fixture(), new Fixture()];
   const granted = fixtures.map((fixture, index) => fixture.run(spanMs, [`a${index}`, `b${index}`], 4));
   const sum = granted.reduce((total, count) => total + count, 0);
-  t.true(sum <= whole + 2 && sum > whole * 0.9, granted.join(" and "));
+  t.true(sum <= totalPermits + 2 && sum > totalPermits * 0.9, granted.join(" and "));
 });
 
 test("quota shares of instances that have been absent for long are granted only by the majority", (t) => {
   const majority = new Fixture();
   majority.run(12_000, ["a", "b", "c"], 4);
-  t.true(majority.run(spanMs, ["a", "b", "c"], 4) > whole * 0.9);
+  t.true(majority.run(spanMs, ["a", "b", "c"], 4) > totalPermits * 0.9);
   const minority = new Fixture();
   minority.run(12_000, ["a"], 4);
-  t.true(minority.run(spanMs, ["a"], 4) <= whole / 4 + 1);
+  t.true(minority.run(spanMs, ["a"], 4) <= totalPermits / 4 + 1);
 });
 
 test("until the number of instances is known, a high number is assumed", (t) => {
@@ -102,7 +102,7 @@
   fixture.coordinators.clear();
   t.is(fixture.run(loanMs - tickMs, ["a"], 2), 0, "the loan has not expired");
   const granted = fixture.run(spanMs, ["a"], 2);
-  t.true(granted > whole * 0.4 && granted <= whole / 2 + 2, String(granted));
+  t.true(granted > totalPermits * 0.4 && granted <= totalPermits / 2 + 2, String(granted));
 });
 
 test("limits that serve the same requests together grant no more permits than are demanded", (t) => {
