--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -120,11 +120,11 @@
     // Among limits that serve the same requests, those listed first are granted first, so the order is random.
     const shuffled = utils.sample(limited, limited.length, this._random);
     const byService = utils.groupBy(limited, ({ listed }) => listed.service);
-    const wants = shuffled.flatMap((endpoint) => {
+    const demands = shuffled.flatMap((endpoint) => {
       const sameService = byService.get(endpoint.listed.service) ?? [];
       return this._getDemand(endpoint, sameService, nowMs) ?? [];
     });
-    const request = { lending: 1, known: getInstanceCount() ?? 0, wants };
+    const request = { lending: 1, known: getInstanceCount() ?? 0, wants: demands };
     const granted = loads.isCollector
       ? this._coordinator.respond(membership.self.name, request)
       : await this._request(loads.collector, request);
--- a/packages/gateway/src/tests/patterns/ConfigurationFleetTests.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleetTests.ts
@@ -89,11 +89,11 @@
   const healedAtMs = 16_500;
   fleet.clock.at(restartAtMs - 1_000, () => {
     fleet.withoutStore.add("east");
-    fleet.network.cutOff.add("east");
+    fleet.network.partitionedZones.add("east");
   });
   fleet.clock.at(healedAtMs, () => {
     fleet.withoutStore.delete("east");
-    fleet.network.cutOff.delete("east");
+    fleet.network.partitionedZones.delete("east");
   });
   restartMost(fleet);
   await fleet.clock.run(endMs);
--- a/packages/gateway/src/tests/patterns/CrashingFleet.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleet.ts
@@ -87,7 +87,7 @@
   /** Digests that any instance has ever quarantined. */
   readonly quarantined = new Set<string>();
   /** Names of the instances that are partitioned from all others. */
-  private readonly _cut = new Set<string>();
+  private readonly _partitioned = new Set<string>();
   private readonly _random: utils.RandomSource;
   private readonly _engines: SimulatedEngine[] = [];
   private readonly _instances: SimulatedInstance[] = [];
@@ -114,12 +114,12 @@
   }
 
   /** Partitions an instance from all others, or ends the partition. */
-  setCut(index: number, isCut: boolean): void {
+  setPartitioned(index: number, isPartitioned: boolean): void {
     const instance = this._instances[index];
     if (instance === undefined) return;
     const { name } = instance.identity;
-    if (isCut) return void this._cut.add(name);
-    this._cut.delete(name);
+    if (isPartitioned) return void this._partitioned.add(name);
+    this._partitioned.delete(name);
     for (const peer of this._getPeers(instance)) {
       for (const listener of peer.linkedListeners) listener(instance.identity);
       for (const listener of instance.linkedListeners) listener(peer.identity);
@@ -258,9 +258,9 @@
       membership: {
         self: identity,
         getLinked: () => this._getPeers(instance).map((peer) => toMember(peer.identity)),
-        notifyAll: (topic, body, isReceiver = () => true) => {
+        notifyAll: (topic, body, isRecipient = () => true) => {
           for (const peer of this._getPeers(instance))
-            if (isReceiver(toMember(peer.identity))) this._notify(instance, peer, topic, body);
+            if (isRecipient(toMember(peer.identity))) this._notify(instance, peer, topic, body);
         },
         onLinked: (listener) => void linkedListeners.push(listener),
         onNotice: (topic, handler) => void handlers.set(topic, handler),
@@ -282,9 +282,9 @@
   }
 
   private _getPeers({ identity }: SimulatedInstance): SimulatedInstance[] {
-    if (this._cut.has(identity.name)) return [];
+    if (this._partitioned.has(identity.name)) return [];
     const others = this._instances.filter(
-      (peer) => peer.identity.name !== identity.name && !this._cut.has(peer.identity.name),
+      (peer) => peer.identity.name !== identity.name && !this._partitioned.has(peer.identity.name),
     );
     const elsewhere = others.filter((peer) => peer.identity.availabilityZone !== identity.availabilityZone);
     const contacts = pickContacts(
@@ -300,7 +300,8 @@
   private _notify(from: SimulatedInstance, to: SimulatedInstance, topic: string, body: unknown): void {
     const bytes = JSON.stringify(body);
     this._clock.at(this._clock.nowMs() + messageMs, () => {
-      if (!this._cut.has(to.identity.name)) to.handlers.get(topic)?.(JSON.parse(bytes), from.identity);
+      if (!this._partitioned.has(to.identity.name))
+        to.handlers.get(topic)?.(JSON.parse(bytes), from.identity);
     });
   }
 
--- a/packages/gateway/src/tests/patterns/CrashingFleetTests.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleetTests.ts
@@ -123,12 +123,12 @@
 test("an instance receives the crash reports immediately after a partition, before it sends the crashing request", async (t) => {
   const clock = new SimulatedClock();
   const fleet = new CrashingFleet(clock, { instances: 8, engines: 33, seed: 5 });
-  fleet.setCut(0, true);
+  fleet.setPartitioned(0, true);
   clock.at(1_000, () => void fleet.send(crashing, 1));
   await clock.run(5_000);
   t.is(getCrashes(fleet).length, allowedCrashes);
   t.false(fleet.isQuarantinedAt(0, crashing.digest));
-  fleet.setCut(0, false);
+  fleet.setPartitioned(0, false);
   clock.at(clock.nowMs() + 5, () => void fleet.send(crashing, 0));
   await clock.run(10_000);
   t.true(fleet.isQuarantinedAt(0, crashing.digest));
--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -51,7 +51,7 @@
   private readonly _linked = new Map<string, Member[]>();
   private readonly _contacts = new Map<string, Set<string>>();
   /** Zones that are partitioned from the others. */
-  readonly cutOff = new Set<string>();
+  readonly partitionedZones = new Set<string>();
 
   constructor(private readonly _clock: SimulatedClock) {}
 
@@ -72,9 +72,9 @@
       onLinked: () => undefined,
       onNotice: (topic, handler) => void joined.notices.set(topic, handler),
       onRequest: (topic, handler) => void joined.requests.set(topic, handler),
-      notifyAll: (topic, body, isReceiver = () => true) => {
+      notifyAll: (topic, body, isRecipient = () => true) => {
         for (const peer of this._getLinked(self))
-          if (isReceiver(peer)) void this._notify(joined, peer, topic, body);
+          if (isRecipient(peer)) void this._notify(joined, peer, topic, body);
       },
       request: (name, topic, body, timeoutMs) => this._request(joined, name, topic, body, timeoutMs),
     };
@@ -91,7 +91,9 @@
     const known = this._linked.get(self.name) ?? this._findLinked(self);
     this._linked.set(self.name, known);
     const { availabilityZone } = self;
-    return known.filter((peer) => peer.availabilityZone === availabilityZone || !this._isCut(self, peer));
+    return known.filter(
+      (peer) => peer.availabilityZone === availabilityZone || !this._isPartitioned(self, peer),
+    );
   }
 
   private _findLinked(self: PeerIdentity): Member[] {
@@ -118,8 +120,10 @@
     return contacts;
   }
 
-  private _isCut(one: PeerIdentity, other: PeerIdentity): boolean {
-    return this.cutOff.has(one.availabilityZone) || this.cutOff.has(other.availabilityZone);
+  private _isPartitioned(one: PeerIdentity, other: PeerIdentity): boolean {
+    return (
+      this.partitionedZones.has(one.availabilityZone) || this.partitionedZones.has(other.availabilityZone)
+    );
   }
 
   private _clearLinks(): void {
--- a/packages/gateway/src/tests/patterns/LimitedFleet.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleet.ts
@@ -67,7 +67,7 @@
   private readonly _random: utils.RandomSource;
   private readonly _limitsPerSecond = new Map<string, number>();
   private readonly _instances: Instance[] = [];
-  private readonly _cut = new Set<string>();
+  private readonly _partitioned = new Set<string>();
   private readonly _identities: readonly PeerIdentity[];
   private readonly _contacts = new Map<string, Set<string>>();
   private readonly _linked = new Map<string, PeerIdentity[]>();
@@ -99,9 +99,9 @@
   }
 
   /** Partitions an instance or a zone from all others, or ends the partition. Its instances still reach the endpoints. */
-  setCut(name: string, isCut: boolean): void {
-    if (isCut) return void this._cut.add(name);
-    this._cut.delete(name);
+  setPartitioned(name: string, isPartitioned: boolean): void {
+    if (isPartitioned) return void this._partitioned.add(name);
+    this._partitioned.delete(name);
     for (const instance of this._instances) this._notifyLinked(instance);
   }
 
@@ -216,9 +216,9 @@
       onLinked: (listener) => void handlers.linkedListeners.push(listener),
       onNotice: (topic, handler) => void handlers.notices.set(topic, handler),
       onRequest: (topic, handler) => void handlers.requests.set(topic, handler),
-      notifyAll: (topic, body, isReceiver = () => true) => {
+      notifyAll: (topic, body, isRecipient = () => true) => {
         for (const peer of this._getLinked(self))
-          if (isReceiver(toMember(peer))) this._notify(self, peer, topic, body);
+          if (isRecipient(toMember(peer))) this._notify(self, peer, topic, body);
       },
       request: (name, topic, body) => this._request(self, name, topic, body),
     };
@@ -227,7 +227,7 @@
   private _getLinked(self: PeerIdentity): PeerIdentity[] {
     const linked = this._linked.get(self.name) ?? this._findLinked(self);
     this._linked.set(self.name, linked);
-    return linked.filter((peer) => !this._isCut(self, peer));
+    return linked.filter((peer) => !this._isPartitioned(self, peer));
   }
 
   /** Returns all instances of the own zone and a few of each other zone. A link carries messages both ways, whichever side opens it. */
@@ -251,10 +251,13 @@
     return contacts;
   }
 
-  private _isCut(one: PeerIdentity, other: PeerIdentity): boolean {
-    if (this._cut.has(one.name) || this._cut.has(other.name)) return true;
+  private _isPartitioned(one: PeerIdentity, other: PeerIdentity): boolean {
+    if (this._partitioned.has(one.name) || this._partitioned.has(other.name)) return true;
     const isAcross = one.availabilityZone !== other.availabilityZone;
-    return isAcross && (this._cut.has(one.availabilityZone) || this._cut.has(other.availabilityZone));
+    return (
+      isAcross &&
+      (this._partitioned.has(one.availabilityZone) || this._partitioned.has(other.availabilityZone))
+    );
   }
 
   private _find(name: string): Instance | undefined {
@@ -263,7 +266,7 @@
 
   private _notify(from: PeerIdentity, to: PeerIdentity, topic: string, body: unknown): void {
     this._clock.at(this._clock.nowMs() + messageMs, () => {
-      if (!this._isCut(from, to)) this._find(to.name)?.notices.get(topic)?.(body, from);
+      if (!this._isPartitioned(from, to)) this._find(to.name)?.notices.get(topic)?.(body, from);
     });
   }
 
@@ -277,7 +280,7 @@
     this.permitRequests += 1;
     await this._clock.sleep(2 * messageMs);
     const target = this._find(name);
-    if (target === undefined || this._isCut(from, target.identity))
+    if (target === undefined || this._isPartitioned(from, target.identity))
       return results.Err(new errors.ConnectionLostError(name));
     const answer: unknown = await target.requests.get(topic)?.(body, from);
     await this._clock.sleep(2 * messageMs);
--- a/packages/gateway/src/tests/patterns/LimitedFleetTests.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleetTests.ts
@@ -94,16 +94,16 @@
     const perSecond = 4.2;
     const endMs = 24_000;
     const third = Array.from({ length: Math.floor(instances / 3) }, (_, index) => `f-${index}`);
-    const setCut = (fleet: LimitedFleet, names: readonly string[], isCut: boolean): void =>
-      names.forEach((name) => fleet.setCut(name, isCut));
+    const setPartitioned = (fleet: LimitedFleet, names: readonly string[], isPartitioned: boolean): void =>
+      names.forEach((name) => fleet.setPartitioned(name, isPartitioned));
     const faults: readonly Required<Scenario>["scheduleEvents"][] = [
       (fleet, clock) => {
-        clock.at(9_000, () => setCut(fleet, zones.slice(0, 1), true));
-        clock.at(16_000, () => setCut(fleet, zones.slice(0, 1), false));
+        clock.at(9_000, () => setPartitioned(fleet, zones.slice(0, 1), true));
+        clock.at(16_000, () => setPartitioned(fleet, zones.slice(0, 1), false));
       },
       (fleet, clock) => {
-        clock.at(9_000, () => setCut(fleet, third, true));
-        clock.at(16_000, () => setCut(fleet, third, false));
+        clock.at(9_000, () => setPartitioned(fleet, third, true));
+        clock.at(16_000, () => setPartitioned(fleet, third, false));
       },
       (fleet, clock) => {
         for (let round = 0; round < 6; round++)
--- a/packages/gateway/src/tests/patterns/SimulatedClock.ts
+++ b/packages/gateway/src/tests/patterns/SimulatedClock.ts
@@ -40,14 +40,14 @@
   async run(endMs: number): Promise<void> {
     for (let next = this._timers[0]; next !== undefined && next.atMs <= endMs; next = this._timers[0]) {
       this._nowMs = Math.max(this._nowMs, next.atMs);
-      this._takeFirst().fire();
+      this._removeFirst().fire();
       // Tasks in a simulation await promises only, which are settled before the next turn of the event loop.
       await utils.yieldToEvents();
     }
     this._nowMs = endMs;
   }
 
-  private _takeFirst(): Timer {
+  private _removeFirst(): Timer {
     const first = this._timers[0];
     const last = this._timers.pop();
     if (first === undefined || last === undefined) throw new RangeError("The clock has no timers.");
--- a/packages/gateway/src/tests/patterns/SimulatedStore.ts
+++ b/packages/gateway/src/tests/patterns/SimulatedStore.ts
@@ -19,7 +19,7 @@
 /** A reader of the store. */
 export interface StoreReader {
   readonly inLink: SimulatedLink;
-  /** Takes the time that the reader's processor needs for decoding. */
+  /** Resolves after the time that the reader's processor needs for decoding. */
   readonly decode: (sizeBytes: number) => Promise<void>;
   /** Whether the store is unreachable for the reader now. */
   readonly isCutOff: () => boolean;
--- a/packages/gateway/src/tests/peers/ChangeCodecTests.ts
+++ b/packages/gateway/src/tests/peers/ChangeCodecTests.ts
@@ -7,36 +7,36 @@
 import { ConfigurationChangeCodec, WholeChangeCodec } from "../../peers/ChangeCodec.js";
 import { createConfiguration, createListed, createRoute } from "../testData.js";
 
-function create(...versions: GatewayConfiguration[]): ConfigurationChangeCodec {
+function createCodec(...versions: GatewayConfiguration[]): ConfigurationChangeCodec {
   const activeConfiguration = new ActiveConfiguration(() => 0);
-  const changes = new ConfigurationChangeCodec(new ConfigurationHistory(activeConfiguration));
+  const codec = new ConfigurationChangeCodec(new ConfigurationHistory(activeConfiguration));
   for (const version of versions) activeConfiguration.accept(version);
-  return changes;
+  return codec;
 }
 
 const first = createConfiguration(1);
 const second = createConfiguration(2, [createRoute(), createRoute({ name: "added" })]);
 
 test("a member that has the previous version decodes the change", (t) => {
-  const encoded = create(first, second).encode([{ key: "config", value: second }]);
+  const encoded = createCodec(first, second).encode([{ key: "config", value: second }]);
   t.truthy(encoded);
   if (encoded === undefined) return;
-  const decoded = create(first).decode(encoded);
+  const decoded = createCodec(first).decode(encoded);
   t.deepEqual(decoded, [{ key: "config", value: second }]);
 });
 
 test("a member that has another version decodes nothing, and has to read the store", (t) => {
-  const encoded = create(first, second).encode([{ key: "config", value: second }]);
+  const encoded = createCodec(first, second).encode([{ key: "config", value: second }]);
   if (encoded === undefined) return t.fail("the change was not encoded");
-  t.is(create().decode(encoded), undefined);
-  t.is(create(createConfiguration(3)).decode(encoded), undefined);
+  t.is(createCodec().decode(encoded), undefined);
+  t.is(createCodec(createConfiguration(3)).decode(encoded), undefined);
 });
 
 test("a change without a previous version, or of many items, is not encoded", (t) => {
-  t.is(create(second).encode([{ key: "config", value: second }]), undefined);
+  t.is(createCodec(second).encode([{ key: "config", value: second }]), undefined);
   const many = Array.from({ length: 100 }, (_value, index) => createRoute({ name: `r${index}` }));
   const large = createConfiguration(2, many);
-  t.is(create(first, large).encode([{ key: "config", value: large }]), undefined);
+  t.is(createCodec(first, large).encode([{ key: "config", value: large }]), undefined);
 });
 
 test("set, removed and unreadable values are relayed unchanged", (t) => {
--- a/packages/gateway/src/tests/peers/PeerNetwork.ts
+++ b/packages/gateway/src/tests/peers/PeerNetwork.ts
@@ -1,4 +1,4 @@
-/** Memberships without sockets: notices arrive at once, and tests can cut instances off. */
+/** Memberships without sockets: notices arrive at once, and tests can drop the notices of an instance or remove the instance. */
 import { errors, results } from "@shedtiller/common";
 import type { Membership, NoticeHandler, PeerIdentity, RequestHandler } from "@shedtiller/membership";
 import { toMember } from "./toMember.js";
--- a/packages/gateway/src/tests/suspensionTests.ts
+++ b/packages/gateway/src/tests/suspensionTests.ts
@@ -40,7 +40,7 @@
   }
 }
 
-test("a leader gives no orders after a suspension that is longer than its term", async (t) => {
+test("an instance is no longer the leader after a suspension that is longer than its term", async (t) => {
   const { nowMs, run, suspend } = createMachine();
   const leadership = new Leadership(new WonElection(), new DecisionLog(new SilentSink(), nowMs), { nowMs });
   await leadership.campaign();
