--- a/packages/admission/src/AdmissionQueue.ts
+++ b/packages/admission/src/AdmissionQueue.ts
@@ -34,7 +34,7 @@
 export class AdmissionQueue extends Admission {
   private readonly _waiting: WaitingRequest[] = [];
   private _active = 0;
-  private readonly _ends: RateMeter;
+  private readonly _streamEnds: RateMeter;
   private readonly _grantsByRank = new Map<number, RateMeter>();
   private readonly _finishTags = new Map<string, number>();
   private _virtualTime = 0;
@@ -49,7 +49,7 @@
     private readonly _nowMs: () => number = utils.monotonicMs,
   ) {
     super();
-    this._ends = new RateMeter(rateTimeConstantMs, _nowMs);
+    this._streamEnds = new RateMeter(rateTimeConstantMs, _nowMs);
   }
 
   override get active(): number {
@@ -134,7 +134,7 @@
       if (isReleased) return;
       isReleased = true;
       this._active -= 1;
-      this._ends.add(1);
+      this._streamEnds.add(1);
       this._grantAll();
     };
     waiting.done.resolve(results.Ok({ waitedMs: this._nowMs() - waiting.sinceMs, release }));
@@ -151,7 +151,7 @@
 
   private _findLate(): WaitingRequest | undefined {
     const ordered = [...this._waiting].sort((a, b) => (isBefore(a, b) ? -1 : 1));
-    const perSecond = this._getEndsPerSecond();
+    const perSecond = this._getStreamEndsPerSecond();
     for (let index = ordered.length - 1; index >= 0; index--) {
       const waiting = ordered[index];
       if (waiting === undefined) continue;
@@ -163,14 +163,14 @@
   }
 
   /** Returns the streams that end per second. Before any has ended, this is the limit of active streams, since most take about a second. */
-  private _getEndsPerSecond(): number {
-    const measured = this._ends.getCorrectedPerSecond();
+  private _getStreamEndsPerSecond(): number {
+    const measured = this._streamEnds.getCorrectedPerSecond();
     return measured > 0 ? Math.max(1, measured) : Math.max(1, this._getLimit());
   }
 
   /** Returns the time that it takes to serve the present queue, within bounds. */
   private _getRetryAfterMs(): number {
-    const perSecond = this._getEndsPerSecond();
+    const perSecond = this._getStreamEndsPerSecond();
     const drainMs = (this._waiting.length / perSecond) * utils.msPerSecond;
     return Math.min(maxRetryMs, Math.max(minRetryMs, drainMs));
   }
