--- a/packages/gateway/src/peers/LimitBroadcast.ts
+++ b/packages/gateway/src/peers/LimitBroadcast.ts
@@ -5,7 +5,7 @@
 import type { EndpointTable } from "../discovery/EndpointTable.js";
 import type { DecisionLog } from "../logs/DecisionLog.js";
 import { logInvalidPeerMessage } from "./logInvalidPeerMessage.js";
-import { limitsSchema, peerTopics, type LimitMessage } from "./peerMessages.js";
+import { endpointLimitsSchema, peerTopics, type LimitMessage } from "./peerMessages.js";
 
 /** Dependencies of {@link LimitBroadcast}. */
 export interface LimitBroadcastStructure extends Pick<
@@ -34,7 +34,7 @@
       membership,
       random,
       topic: peerTopics.limits,
-      schema: limitsSchema,
+      schema: endpointLimitsSchema,
       onInvalid: (topic, from) => logInvalidPeerMessage(log, topic, from),
       applyUpdate: (messages) => this._accept(messages),
       getFullState: () => this._toMessages(endpoints.getAll()),
--- a/packages/gateway/src/peers/PeerExchange.ts
+++ b/packages/gateway/src/peers/PeerExchange.ts
@@ -16,7 +16,7 @@
   peerTopics,
   restartSchema,
   slownessSchema,
-  endpointSchema,
+  endpointNoticeSchema,
   versionSchema,
 } from "./peerMessages.js";
 import type { RegisteredInstance } from "./PeerRegistry.js";
@@ -145,8 +145,12 @@
 
   private _subscribeToEndpointNotices(): void {
     const { endpoints } = this._structure;
-    this._onEndpointNotice(peerTopics.suspect, endpointSchema, (endpoint) => endpoints.suspect(endpoint.id));
-    this._onEndpointNotice(peerTopics.full, endpointSchema, (endpoint) => endpoint.noteFull(this._nowMs()));
+    this._onEndpointNotice(peerTopics.suspect, endpointNoticeSchema, (endpoint) =>
+      endpoints.suspect(endpoint.id),
+    );
+    this._onEndpointNotice(peerTopics.full, endpointNoticeSchema, (endpoint) =>
+      endpoint.noteFull(this._nowMs()),
+    );
     this._onEndpointNotice(peerTopics.slowness, slownessSchema, (endpoint, { slowness }) => {
       endpoint.slowness = slowness;
     });
--- a/packages/gateway/src/peers/peerMessages.ts
+++ b/packages/gateway/src/peers/peerMessages.ts
@@ -39,14 +39,14 @@
 });
 
 /** Rate limits that endpoints name; null if an endpoint no longer names one. */
-export const limitsSchema = zod.array(
+export const endpointLimitsSchema = zod.array(
   zod.object({
     lifeId: zod.string(),
     perSecond: zod.number().nonnegative().nullable(),
     ageMs: zod.number().nonnegative(),
   }),
 );
-export type LimitMessage = zod.infer<typeof limitsSchema>[number];
+export type LimitMessage = zod.infer<typeof endpointLimitsSchema>[number];
 
 /** Life ids of endpoints that have announced that they drain. */
 export const drainingSchema = zod.array(zod.string());
@@ -55,7 +55,7 @@
 export const slownessSchema = zod.object({ lifeId: zod.string(), slowness: zod.number() });
 
 /** The life id of an endpoint that is suspected, or that rejected a request for lack of capacity. */
-export const endpointSchema = zod.object({ lifeId: zod.string() });
+export const endpointNoticeSchema = zod.object({ lifeId: zod.string() });
 
 /** The layers that an engine reports as loaded, where the list shows others. */
 export const loadedLayersSchema = zod.object({ lifeId: zod.string(), layers: zod.array(layerSpanSchema) });
--- a/packages/gateway/src/tests/patterns/CrashingFleetTests.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleetTests.ts
@@ -83,7 +83,7 @@
   [85, 99],
   [195, 190],
 ] as const) {
-  test(`twenty simultaneous crashing requests at ${instances} instances crash one engine each at most, and three more including the trial`, async (t) => {
+  test(`twenty simultaneous crashing requests at ${instances} instances crash at most one engine each, and three more including the trial`, async (t) => {
     const clock = new SimulatedClock();
     const fleet = new CrashingFleet(clock, { instances, engines, seed: instances });
     const callers = 20;
--- a/packages/gateway/src/tests/peers/StoreRelayTests.ts
+++ b/packages/gateway/src/tests/peers/StoreRelayTests.ts
@@ -144,7 +144,7 @@
   zone.stop();
 });
 
-test("a relayed read that does not continue at an instance's offset makes it read the store", async (t) => {
+test("an instance reads the store if a relayed read does not continue at its offset", async (t) => {
   const zone = new Zone();
   await zone.run(4);
   const [reader = ""] = zone.getReaders();
@@ -189,7 +189,7 @@
   zone.stop();
 });
 
-test("after the store was unreachable for all, each instance is notified that it has recovered", async (t) => {
+test("after an outage of the store for all instances, each instance is notified of the recovery", async (t) => {
   const zone = new Zone();
   await zone.run(4);
   for (const name of names) zone.store.cutOff.add(name);
