--- a/packages/gateway/src/peers/ConfigurationExchange.ts
+++ b/packages/gateway/src/peers/ConfigurationExchange.ts
@@ -79,8 +79,8 @@
   private readonly _peerVersions = new Map<string, number>();
   /** Time since which a newer version has been known to be in force at a peer. */
   private _announcedSinceMs = 0;
-  /** Whether a request for a new version is pending. Many peers announce the same version, but a single request is enough. */
-  private _isRequestPending = false;
+  /** Whether a request for a new version is scheduled. Many peers announce the same version, but a single request is enough. */
+  private _isRequestScheduled = false;
   private readonly _startedAtMs: number;
   /** Time until which a whole configuration is expected from the peer that the last request for it went to. */
   private _wholeExpectedUntilMs = Number.NEGATIVE_INFINITY;
@@ -99,10 +99,10 @@
   /** Records that a peer has a new version in force, and requests it if the store has not delivered it after a delay. */
   async handleNewVersion(name: string, version: number): Promise<void> {
     this._recordVersion(name, version);
-    if (version <= this._structure.activeConfiguration.version || this._isRequestPending) return;
-    this._isRequestPending = true;
+    if (version <= this._structure.activeConfiguration.version || this._isRequestScheduled) return;
+    this._isRequestScheduled = true;
     if (this._isStarting() || !this.isStale()) await this._structure.pause(requestAfterAnnouncementMs);
-    this._isRequestPending = false;
+    this._isRequestScheduled = false;
     if (version > this._structure.activeConfiguration.version) await this.requestFrom(name);
   }
 
