--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,5 +1,5 @@
-// Bundles the platform's daemon: the program in one file, its compiled code beside it, and the file that starts it.
-// Usage: node scripts/bundle.mjs [FOLDER], from the root of the repository; the folder is target unless given.
+// Bundles the platform's daemon into three files: the program, its V8 code cache, and a start script that loads both.
+// Usage: node scripts/bundle.mjs [FOLDER], from the root of the repository; FOLDER defaults to target.
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as esbuild from "esbuild";
@@ -7,7 +7,10 @@
 const folder = process.argv[2] ?? "target";
 const startFile = `${folder}/shedtillerd.cjs`;
 
-/** ts-results hands `require` on as a value, which no bundler follows; its ESM form has no default export. */
+/**
+ * Resolves ts-results to its ESM build: bundlers can't follow the UMD wrapper of its main file, which passes `require` as a value. The ESM
+ * build has no default export, so a module with one is generated.
+ */
 const tsResults = {
   name: "ts-results",
   setup(build) {
@@ -34,10 +37,10 @@
   });
 }
 
-/** The options of Node with which the deploy file starts the daemon: compiled code is only good for the options it was made with. */
+/** Returns the Node.js options in the `run` command of the deploy file. V8 rejects a code cache that was created with other options. */
 function getNodeOptions() {
   const run = /^run = "node (.*)"$/m.exec(fs.readFileSync("deploy/system.toml", "utf8"))?.[1] ?? "";
-  return run.split(" ").filter((word) => word.startsWith("--"));
+  return run.split(" ").filter((argument) => argument.startsWith("--"));
 }
 
 await bundle("platform/dist/runDaemon.js", `${folder}/program.cjs`);
--- a/scripts/checkKnownRed.mjs
+++ b/scripts/checkKnownRed.mjs
@@ -1,29 +1,31 @@
-// Tells whether a failed run of the tests failed by nothing but the tests that KNOWN-RED.txt lists, and prints these.
-// Usage: node scripts/checkKnownRed.mjs LOG KNOWN_RED; exit code 0 where it did.
+// Checks whether a failed test run failed only because of tests that KNOWN-RED.txt lists, and prints the failed tests.
+// Usage: node scripts/checkKnownRed.mjs LOG KNOWN_RED. The exit code is 0 if all failures are listed, and 1 otherwise.
 import * as fs from "node:fs";
 
 const [logFile, listFile] = process.argv.slice(2);
 const lines = fs.readFileSync(logFile, "utf8").split("\n");
-const listed = fs.existsSync(listFile) ? fs.readFileSync(listFile, "utf8").split("\n") : [];
-const known = new Set(listed.filter((line) => line.includes("|")).map((line) => line.split("|")[0].trim()));
+const entries = fs.existsSync(listFile) ? fs.readFileSync(listFile, "utf8").split("\n") : [];
+const knownTitles = new Set(
+  entries.filter((line) => line.includes("|")).map((line) => line.split("|")[0].trim()),
+);
 
-/** What ava prints besides failed assertions: crashes, timeouts, files without tests. */
-const otherTrouble =
+/** Matches the messages of ava about other failures than failed tests: crashes, timeouts, and files without tests. */
+const otherFailurePattern =
   /uncaught exception|unhandled rejection|timed out|remained pending|were pending|exited due|No tests found/i;
-const crosses = lines.filter((line) => line.includes("✘"));
-const failed = crosses.flatMap((line) => {
+const failureLines = lines.filter((line) => line.includes("✘"));
+const failedTitles = failureLines.flatMap((line) => {
   const title = /✘ \[fail\]: (.*)$/.exec(line)?.[1];
   return title === undefined ? [] : [title.split(" › ").at(-1).trim()];
 });
-/** ava puts the failed assertion's own message behind the title. */
-const isKnown = (title) => [...known].some((name) => title === name || title.startsWith(`${name} `));
-const counted = Number(/(\d+) tests? failed/.exec(lines.join("\n"))?.[1] ?? 0);
-const isPassed = (line) => /^\s*✔/.test(line);
-const isOnlyKnown =
-  failed.length > 0 &&
-  failed.length === crosses.length &&
-  failed.length === counted &&
-  failed.every(isKnown) &&
-  !lines.some((line) => !isPassed(line) && otherTrouble.test(line));
-for (const title of failed) console.log(`${isKnown(title) ? "known red" : "FAILED"}: ${title}`);
-process.exit(isOnlyKnown ? 0 : 1);
+/** Returns whether a failed test is listed. ava appends the message of the failed assertion to the title. */
+const isKnown = (title) => [...knownTitles].some((name) => title === name || title.startsWith(`${name} `));
+const failedCount = Number(/(\d+) tests? failed/.exec(lines.join("\n"))?.[1] ?? 0);
+const isPassedTest = (line) => /^\s*✔/.test(line);
+const hasOnlyKnownFailures =
+  failedTitles.length > 0 &&
+  failedTitles.length === failureLines.length &&
+  failedTitles.length === failedCount &&
+  failedTitles.every(isKnown) &&
+  !lines.some((line) => !isPassedTest(line) && otherFailurePattern.test(line));
+for (const title of failedTitles) console.log(`${isKnown(title) ? "known red" : "FAILED"}: ${title}`);
+process.exit(hasOnlyKnownFailures ? 0 : 1);
--- a/scripts/setup.mjs
+++ b/scripts/setup.mjs
@@ -1,4 +1,4 @@
-// Installs the declared packages when they are missing or older than the lock file.
+// Installs the declared packages if they are missing or older than the lock file.
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 
