--- a/packages/standins/src/HttpStandIn.ts
+++ b/packages/standins/src/HttpStandIn.ts
@@ -39,7 +39,7 @@
     await listen(this.httpServer, port);
     const bound = this.httpServer.address();
     if (bound === null || typeof bound === "string")
-      throw new errors.InvariantError("A stand-in has no port.");
+      throw new errors.InvariantError("The server of a stand-in listens, but has no port.");
     this._port = bound.port;
   }
 
--- a/packages/standins/src/bench/claims.ts
+++ b/packages/standins/src/bench/claims.ts
@@ -39,9 +39,9 @@
     const executor = random.pick(instances);
     if (executor === undefined) continue;
     calls.push(
-      call(executor).then((outcome) => {
-        if (outcome === undefined) refused += 1;
-        else durationsMs.push(outcome);
+      call(executor).then((durationMs) => {
+        if (durationMs === undefined) refused += 1;
+        else durationsMs.push(durationMs);
       }),
     );
   }
--- a/packages/standins/src/bench/recovery.ts
+++ b/packages/standins/src/bench/recovery.ts
@@ -41,8 +41,9 @@
 /** Runs the benchmark. */
 export async function runRecovery(report: BenchReport, seed: number): Promise<void> {
   for (const { name, silence } of detectors) await measure(report, name, silence, seed, "hang");
-  const chosen = detectors[detectors.length - 1];
-  if (chosen !== undefined) await measure(report, chosen.name, chosen.silence, seed, "death");
+  const defaultDetector = detectors[detectors.length - 1];
+  if (defaultDetector !== undefined)
+    await measure(report, defaultDetector.name, defaultDetector.silence, seed, "death");
 }
 
 function createEngine(name: string, layers: [number, number]): FleetEngine {
@@ -62,7 +63,7 @@
 
 interface TrialResult {
   readonly pauseMs: number;
-  readonly floorMs: number;
+  readonly lowerBoundMs: number;
 }
 
 async function measure(
@@ -90,14 +91,14 @@
   await fleet.close();
   const variant = `${failure}, ${detector}`;
   const pauses = trialResults.map((result) => result.pauseMs);
-  const ratios = trialResults.map((result) => result.pauseMs / result.floorMs);
+  const ratios = trialResults.map((result) => result.pauseMs / result.lowerBoundMs);
   for (const share of [0.5, 0.95])
     report.add(variant, `pause p${share * 100}`, utils.getQuantile(pauses, share), "ms");
   report.add(
     variant,
     "floor p50",
     utils.getQuantile(
-      trialResults.map((result) => result.floorMs),
+      trialResults.map((result) => result.lowerBoundMs),
       0.5,
     ),
     "ms",
@@ -123,29 +124,29 @@
   const engine = fleet.requireEngine(findSecondStage(fleet));
   if (failure === "death") await engine.kill();
   else engine.hang();
-  const positions = getStreamPosition(fleet, engine.name);
+  const position = getStreamPosition(fleet, engine.name);
   await utils.sleep(downMs);
   if (failure === "death") await engine.restart();
   else engine.resume();
   const { tokenTimesMs } = await answer;
   const gaps = tokenTimesMs.slice(1).map((timeMs, index) => timeMs - (tokenTimesMs[index] ?? 0));
-  const ordinaryMs = utils.getQuantile(gaps, 0.5);
+  const medianGapMs = utils.getQuantile(gaps, 0.5);
   await utils.sleep(settleMs);
   // A hang can't be distinguished from an ordinary step before the slowest ordinary step has passed. A closed link is detected at once.
   const detectionMs = failure === "death" ? 0 : utils.getQuantile(gaps, 0.9) / 2;
-  const rebuildMs = stepMs + positions * prefillMsPerToken;
-  return { pauseMs: Math.max(...gaps) - ordinaryMs, floorMs: detectionMs + rebuildMs };
+  const rebuildMs = stepMs + position * prefillMsPerToken;
+  return { pauseMs: Math.max(...gaps) - medianGapMs, lowerBoundMs: detectionMs + rebuildMs };
 }
 
-/** Returns the engine of the last execution of a later stage in the newest trial. */
+/** Returns the engine that most recently ran a stage other than the first one in the newest trial. */
 function findSecondStage(fleet: Fleet): string {
-  const last = getTrialExecutions(fleet).filter((execution) => execution.firstLayer > 0);
-  return last[last.length - 1]?.endpoint ?? "g2";
+  const laterStages = getTrialExecutions(fleet).filter((execution) => execution.firstLayer > 0);
+  return laterStages[laterStages.length - 1]?.endpoint ?? "g2";
 }
 
 function getStreamPosition(fleet: Fleet, endpoint: string): number {
-  const last = getTrialExecutions(fleet).filter((execution) => execution.endpoint === endpoint);
-  const newest = last[last.length - 1];
+  const executions = getTrialExecutions(fleet).filter((execution) => execution.endpoint === endpoint);
+  const newest = executions[executions.length - 1];
   return newest === undefined ? promptTokens : newest.position + newest.count;
 }
 
--- a/packages/standins/src/capacity/capacityRows.ts
+++ b/packages/standins/src/capacity/capacityRows.ts
@@ -7,7 +7,7 @@
   readonly name: string;
   readonly nodes: number;
   readonly availabilityZones: number;
-  readonly runners: number;
+  readonly endpoints: number;
   readonly accounts: number;
   readonly requestsPerSecond: number;
   readonly tokensPerSecond: number;
@@ -24,7 +24,7 @@
     name: "today",
     nodes: 8,
     availabilityZones: 3,
-    runners: 34,
+    endpoints: 34,
     accounts: 10,
     requestsPerSecond: 20,
     tokensPerSecond: 3_000,
@@ -37,7 +37,7 @@
     name: "design",
     nodes: 340,
     availabilityZones: 11,
-    runners: 1_500,
+    endpoints: 1_500,
     accounts: 19_000,
     requestsPerSecond: 11_000,
     tokensPerSecond: 3_000_000,
@@ -53,7 +53,7 @@
 
 /** Cost of one control task at one node. */
 export interface CapacityRow {
-  readonly duty: string;
+  readonly task: string;
   readonly mechanism: string;
   readonly formula: string;
   readonly cpuShare: number;
@@ -124,11 +124,12 @@
   const contacts = 2 * 3 * (c.size.availabilityZones - 1);
   const peers = c.zonePeers + Math.min(contacts, c.size.nodes - 1 - c.zonePeers);
   return {
-    duty: "peer links",
+    task: "peer links",
     mechanism:
       "one link to each peer in the zone and three contacts in each other zone; the heartbeat interval grows with the number of receivers",
     formula: `${peers} links; bytes and processor as measured at most, since the interval holds them; memory × links`,
     cpuShare: getLargestValue(c, "peers cpu"),
+    // The largest measurement has 31 peers.
     memoryBytes: (getLargestValue(c, "peers memory") / 31) * peers,
     bytesPerSecond: getLargestValue(c, "peers sent"),
     messagesPerSecond: getLargestValue(c, "peers messages"),
@@ -136,25 +137,25 @@
 }
 
 function createReportRow(c: RowContext): CapacityRow {
-  const owned = c.size.runners / c.size.nodes;
+  const owned = c.size.endpoints / c.size.nodes;
   const messageBytes = frameBytes + owned * (loadBytes + reportBytes / 10);
   const intervalS = Math.max(minReportIntervalS, (messageBytes * c.zonePeers) / maxReportBytesPerSecond);
-  const received = (c.size.runners / c.size.availabilityZones) * (1 / intervalS);
+  const received = (c.size.endpoints / c.size.availabilityZones) * (1 / intervalS);
   return {
-    duty: "steward of endpoints",
+    task: "steward of endpoints",
     mechanism:
       "rendezvous hashing assigns each endpoint one reader per zone; only loads are sent, and complete reports every tenth round",
     formula: `${owned.toFixed(1)} endpoints, a round every ${intervalS.toFixed(1)} s to ${c.zonePeers} peers`,
     cpuShare: (getUnitCost(c, "reports cpu") / utils.msPerSecond) * received,
-    memoryBytes: getFittedValue(c, "directory memory", c.size.runners),
+    memoryBytes: getFittedValue(c, "directory memory", c.size.endpoints),
     bytesPerSecond: (messageBytes * c.zonePeers) / intervalS,
     messagesPerSecond: c.zonePeers / intervalS,
   };
 }
 
 function createDigestRow(c: RowContext): CapacityRow {
-  const zoneRunners = c.size.runners / c.size.availabilityZones;
-  const bytes = 100 + zoneRunners * (loadBytes + reportBytes / 10);
+  const zoneEndpoints = c.size.endpoints / c.size.availabilityZones;
+  const bytes = 100 + zoneEndpoints * (loadBytes + reportBytes / 10);
   const zonesOwned = (c.size.availabilityZones - 1) / (c.zonePeers + 1);
   const intervalS = Math.max(
     minDigestIntervalS,
@@ -162,13 +163,13 @@
   );
   const rounds = zonesOwned / intervalS;
   return {
-    duty: "digests of other zones",
+    task: "digests of other zones",
     mechanism:
       "one instance per pair of zones fetches the digest and forwards it to its zone; static fields are sent only after a change",
     formula: `${bytes.toFixed(0)} B a digest to ${c.zonePeers} peers, every ${intervalS.toFixed(1)} s`,
     cpuShare:
       (getUnitCost(c, "reports cpu") / utils.msPerSecond) *
-      zoneRunners *
+      zoneEndpoints *
       ((c.size.availabilityZones - 1) / intervalS),
     memoryBytes: 0,
     bytesPerSecond: bytes * c.zonePeers * rounds,
@@ -177,11 +178,11 @@
 }
 
 function createListRow(c: RowContext): CapacityRow {
-  const entries = c.size.runners + c.size.nodes;
+  const entries = c.size.endpoints + c.size.nodes;
   const changes = (2 * c.size.replacementsPerDay) / secondsPerDay;
   const pageBytes = getFittedValue(c, "list page", entries);
   return {
-    duty: "instance list",
+    task: "instance list",
     mechanism: "polled with an entity tag; the page is sent only after a change",
     formula: `${listPollsPerSecond} polls/s of ${notModifiedBytes} B, and ${(pageBytes / 1024).toFixed(0)} KB for each change`,
     cpuShare: (getFittedValue(c, "list page cpu", entries) / utils.msPerSecond) * listPollsPerSecond,
@@ -195,7 +196,7 @@
   const bytes = getFittedValue(c, "demands told", c.size.activeAccounts);
   const intervalS = Math.max(minReportIntervalS, (bytes * c.zonePeers) / maxDemandBytesPerSecond);
   return {
-    duty: "account limits",
+    task: "account limits",
     mechanism:
       "the 32 accounts with the largest demand are added to some of the reports; shares are computed without a round trip",
     formula: `${bytes.toFixed(0)} B to ${c.zonePeers} peers, every ${intervalS.toFixed(1)} s`,
@@ -212,7 +213,7 @@
   const perSecond = c.size.requestsPerSecond * c.size.atMostOnceShare;
   const keys = perSecond * claimsHorizonS;
   return {
-    duty: "claims",
+    task: "claims",
     mechanism:
       "claims are batched into appends; every node applies all claims; keys older than the horizon are dropped",
     formula: `${perSecond.toFixed(0)} claims/s × ${claimBytes} B read by every node; ${keys.toFixed(0)} keys held`,
@@ -226,7 +227,7 @@
 function createConfigurationRow(c: RowContext): CapacityRow {
   const perSecond = c.size.changesPerDay / secondsPerDay;
   return {
-    duty: "configuration fold",
+    task: "configuration fold",
     mechanism:
       "every node projects the same log; only changed objects are updated; peers forward the records",
     formula: `${c.size.changesPerDay} changes a day × ${changeBytes} B, read once and told by peers`,
@@ -242,7 +243,7 @@
   const stateBytes = getFittedValue(c, "state sent to a new node", c.size.accounts);
   const starts = c.size.replacementsPerDay / c.size.nodes / secondsPerDay;
   return {
-    duty: "snapshots and new nodes",
+    task: "snapshots and new nodes",
     mechanism: "one snapshot per quarter of the log retention; a new node receives the state from a peer",
     formula: `${(stateBytes / 1024).toFixed(0)} KB × (${snapshotsPerDay} snapshots a day, and its share of ${c.size.replacementsPerDay} new nodes)`,
     cpuShare: 0,
@@ -256,7 +257,7 @@
   const holders = c.size.availabilityZones;
   const recordBytes = 330;
   return {
-    duty: "leases and orders",
+    task: "leases and orders",
     mechanism: "one lease per zone, held only while engines are being changed; every node reads the records",
     formula: `at worst ${holders} holders × ${leaseRenewalsPerSecond.toFixed(2)} renewals/s × ${recordBytes} B`,
     cpuShare: 0,
@@ -269,7 +270,7 @@
 function createTimelineRow(c: RowContext): CapacityRow {
   const perSecond = (c.size.tokensPerSecond / c.size.nodes) * eventsPerToken;
   return {
-    duty: "time line",
+    task: "time line",
     mechanism: "one bounded ring buffer per process; sent only on request",
     formula: `${perSecond.toFixed(0)} events/s; ${timelineEvents} events kept`,
     cpuShare: (getLastValue(c, "timeline cpu") / 1e6) * perSecond,
--- a/packages/standins/src/capacity/renderCapacity.ts
+++ b/packages/standins/src/capacity/renderCapacity.ts
@@ -25,7 +25,7 @@
   const sum = sumRows(rows);
   const lines = rows.map((row) =>
     renderRow([
-      row.duty,
+      row.task,
       row.formula,
       formatShare(row.cpuShare),
       formatMegabytes(row.memoryBytes),
@@ -34,7 +34,7 @@
     ]),
   );
   return [
-    `### A node ${size.name === "today" ? "today" : "at the design size"} (${size.nodes} nodes, ${size.runners} runners)`,
+    `### A node ${size.name === "today" ? "today" : "at the design size"} (${size.nodes} nodes, ${size.endpoints} runners)`,
     "",
     renderRow(["duty", "formula", "core", "memory", "sent and read", "fits"]),
     renderRow(["---", "---", "---:", "---:", "---:", "---"]),
@@ -109,8 +109,8 @@
     ["a rack goes (10 instances)", 10, links(10), 10],
     [`an availability zone goes (${zoneNodes} instances)`, zoneNodes, links(zoneNodes), zoneNodes],
   ] as const;
-  const lines = rows.map(([what, nodes, lost, started]) =>
-    renderRow([what, String(nodes), String(lost), formatMegabytes(started * stateBytes(design)), "0"]),
+  const lines = rows.map(([failure, nodes, lost, started]) =>
+    renderRow([failure, String(nodes), String(lost), formatMegabytes(started * stateBytes(design)), "0"]),
   );
   return [
     "### Failures at the design size",
--- a/packages/standins/src/engine/ExecutionLog.ts
+++ b/packages/standins/src/engine/ExecutionLog.ts
@@ -45,7 +45,7 @@
    */
   findViolations(requestId: string, layerCount: number, positions: number): string[] {
     const groups = groupByStage(this.getExecutions(requestId));
-    const violations = [...groups.values()].flatMap((group) => findGaps(requestId, group));
+    const violations = [...groups.values()].flatMap((group) => findOrderViolations(requestId, group));
     const completed = [...groups.values()].filter((group) => getEndPosition(group) >= positions);
     if (!coversAllLayers(completed, layerCount))
       violations.push(`${requestId}: no attempt ran all layers up to position ${positions}.`);
@@ -62,7 +62,7 @@
   return groups;
 }
 
-function findGaps(requestId: string, group: readonly LayerExecution[]): string[] {
+function findOrderViolations(requestId: string, group: readonly LayerExecution[]): string[] {
   const violations: string[] = [];
   let next = 0;
   for (const { attempt, endpoint, position, count } of group) {
--- a/packages/standins/src/network/Relay.ts
+++ b/packages/standins/src/network/Relay.ts
@@ -39,7 +39,8 @@
   async start(): Promise<number> {
     await this._listen(0);
     const bound = this._server.address();
-    if (bound === null || typeof bound === "string") throw new errors.InvariantError("A relay has no port.");
+    if (bound === null || typeof bound === "string")
+      throw new errors.InvariantError("The server of a relay listens, but has no port.");
     this._port = bound.port;
     return bound.port;
   }
@@ -66,7 +67,7 @@
     for (const socket of this._sockets) utils.resetSocket(socket);
   }
 
-  /** Stops forwarding on all open connections, including their closing. New connections are forwarded. */
+  /** Stops forwarding data on all open connections, and does not forward their close either. New connections are forwarded. */
   silence(): void {
     for (const socket of this._sockets) this._silencedSockets.add(socket);
   }
--- a/packages/standins/src/replay/checkTrace.ts
+++ b/packages/standins/src/replay/checkTrace.ts
@@ -1,7 +1,7 @@
 /** Checks a replay against the expectations of its trace and against the guarantees that hold for every trace. */
 import type { CallerReport } from "../fleet/CallerClient.js";
 import { getLayerCount } from "../fleet/seedConfiguration.js";
-import type { TraceRecord } from "./TraceRun.js";
+import type { TraceRecord } from "./runTrace.js";
 import type { CallLine, ExpectLine, RequestLine } from "./traceSchema.js";
 
 /** Time after the start of draining from which an endpoint must not receive new work. */
--- a/packages/standins/src/replay/index.ts
+++ b/packages/standins/src/replay/index.ts
@@ -1,4 +1,4 @@
 export * from "./traceSchema.js";
-export * from "./TraceRun.js";
+export * from "./runTrace.js";
 export * from "./checkTrace.js";
 export * from "./applyFault.js";
--- a/packages/standins/src/replay/runTrace.ts
+++ b/packages/standins/src/replay/runTrace.ts
@@ -25,20 +25,20 @@
   await fleet.start();
   const reports = new Map<string, CallerReport>();
   const keys = new Map<string, string>();
-  // Addresses are resolved before the replay starts, because that of a killed instance can't be resolved any more.
+  // Addresses are resolved before the replay starts, because the address of a killed instance can't be resolved any more.
   const addresses = new Map<string, string>();
   for (const { name } of trace.setup.instances) addresses.set(name, await fleet.getCallerAddress(name));
   const startMs = utils.monotonicMs();
-  const at = async (atMs: number, act: () => Promise<void> | void): Promise<void> => {
+  const runAt = async (atMs: number, action: () => Promise<void> | void): Promise<void> => {
     await utils.sleep(Math.max(0, startMs + atMs - utils.monotonicMs()));
-    await act();
+    await action();
   };
   const send = async (line: RequestLine | CallLine): Promise<void> => {
     reports.set(line.id, await sendLine(fleet, line, addresses.get(line.instance) ?? "", keys));
   };
   await Promise.all([
-    ...[...trace.requests, ...trace.calls].map((line) => at(line.atMs, () => send(line))),
-    ...trace.faults.map((fault) => at(fault.atMs, () => applyFault(fleet, fault))),
+    ...[...trace.requests, ...trace.calls].map((line) => runAt(line.atMs, () => send(line))),
+    ...trace.faults.map((fault) => runAt(fault.atMs, () => applyFault(fleet, fault))),
   ]);
   await Promise.all(fleet.drains.values());
   await utils.sleep(settleMs);
--- a/packages/standins/src/replay/traceSchema.ts
+++ b/packages/standins/src/replay/traceSchema.ts
@@ -35,7 +35,7 @@
   promptTokens: zod.number().int().positive(),
   outputTokens: zod.number().int().positive(),
   instance: name,
-  /** Key that marks several lines as sendings of the same non-repeatable request. */
+  /** Marks the request as non-repeatable. Lines with the same key send the same request. */
   key: name.optional(),
 });
 
--- a/packages/standins/src/tests/FakeConnector.ts
+++ b/packages/standins/src/tests/FakeConnector.ts
@@ -1,4 +1,4 @@
-/** Connector to simulated engines without sockets, with faults at chosen calls. */
+/** Connector to simulated engines without sockets, which injects faults into planned calls. */
 import { errors, results, utils } from "@shedtiller/common";
 import * as pipeline from "@shedtiller/pipeline";
 import { EndpointDirectory, type EngineReport, type LayerRange } from "@shedtiller/routing";
@@ -149,10 +149,10 @@
   }
 
   /** Crashes an endpoint or makes it unresponsive for 60 ms. A crash discards its streams. */
-  breakEndpoint(endpoint: string, isDead: boolean): void {
-    const broken = isDead ? this._downEndpoints : this._silentEndpoints;
+  breakEndpoint(endpoint: string, isCrash: boolean): void {
+    const broken = isCrash ? this._downEndpoints : this._silentEndpoints;
     broken.add(endpoint);
-    if (isDead) {
+    if (isCrash) {
       this._simulators.get(endpoint)?.clear();
       this._links.get(endpoint)?.close();
       this.directory.markUnreachable(endpoint);
--- a/packages/standins/src/tests/capacityTests.ts
+++ b/packages/standins/src/tests/capacityTests.ts
@@ -35,7 +35,7 @@
     const rows = computeRows(slopes, size);
     for (const row of rows)
       for (const value of [row.cpuShare, row.memoryBytes, row.bytesPerSecond])
-        t.true(Number.isFinite(value), row.duty);
+        t.true(Number.isFinite(value), row.task);
   }
   t.true(sumRows(computeRows(slopes, sizes[0]!)).memoryBytes < budget.memoryBytes);
 });
--- a/packages/standins/src/tests/configurationTests.ts
+++ b/packages/standins/src/tests/configurationTests.ts
@@ -51,9 +51,9 @@
   t.true(getOffset(fleet, "e2") >= (changes[0]?.offset ?? Number.POSITIVE_INFINITY));
 });
 
-// Guards against a fixed time limit of one second for the answers of peers: under load, a peer that had not answered in time was taken for
-// one without the plan. A confirmation then got 404 although an instance had the plan, and instances were reported as missing that had the
-// plan in force a moment later.
+// Guards against a fixed timeout of one second for the answers of peers. Under load, a peer that had not answered in time was treated as a peer
+// without the plan: a confirmation then got 404 although an instance had the plan, and instances were reported as missing although the plan
+// was in force there a moment later.
 test("the lookup of a plan and the check of where it is in force wait for an instance that answers slowly", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1", "e2"], []));
   const plan = await new OperatorClient(fleet, "e1").plan({
@@ -62,17 +62,17 @@
   });
   const slow = fleet.requireInstance("e1").membership;
   const slowMs = 2_000;
-  let asked = 0;
+  let requestCount = 0;
   for (const topic of ["plan", "status"]) {
     const answer = slow.getRequestHandler(topic);
     slow.onRequest(topic, async (body, from) => {
-      asked += 1;
+      requestCount += 1;
       await utils.sleep(slowMs);
       return answer?.(body, from);
     });
   }
   const confirmed = await new OperatorClient(fleet, "e2").confirm(plan.planId);
-  t.true(asked > 1);
+  t.true(requestCount > 1);
   t.is(confirmed.status, 200);
   t.true(confirmed.isInForce);
   t.deepEqual(confirmed.missing, []);
@@ -249,12 +249,12 @@
   };
   t.true(await utils.waitUntil(() => countUpdatedEngines() >= 2, waitMs));
   const requestsWhileDelayed = 150;
-  for (let index = 0; index < requestsWhileDelayed; index++) await send("behind", index);
+  for (let index = 0; index < requestsWhileDelayed; index++) await send("before", index);
   t.deepEqual([...new Set(outcomes)], ["answered"]);
   t.is(countUpdatedEngines(), 2);
   isDelayed = false;
   for (let index = 0; countUpdatedEngines() < engines.length && index < 5_000; index++)
-    await send("told", index);
+    await send("after", index);
   t.is(countUpdatedEngines(), engines.length);
   t.deepEqual([...new Set(outcomes)], ["answered"]);
 });
--- a/packages/standins/src/tests/crashingRequestTests.ts
+++ b/packages/standins/src/tests/crashingRequestTests.ts
@@ -1,7 +1,7 @@
 /**
- * Guards against a request that crashes every engine of its pipeline. The entry retried such a request at one replica after the other, and
- * a repeat under another id started anew: before the quarantine, one request crashed engines 204 times within its three seconds and was
- * never refused.
+ * Guards against a request that crashes every engine of its pipeline. The entry instance retried such a request at one replica after the
+ * other, and had no record of crashes for a repetition under another id. Before the quarantine, one request crashed engines 204 times within
+ * its three seconds and was never refused.
  */
 import { PeerCrashQuarantine } from "@shedtiller/entry";
 import { utils } from "@shedtiller/common";
@@ -72,25 +72,25 @@
   const connector = new FakeConnector(ranges, faults);
   const breakEndpoint = connector.breakEndpoint.bind(connector);
   let crashCount = 0;
-  connector.breakEndpoint = (endpoint, isDead) => {
+  connector.breakEndpoint = (endpoint, isCrash) => {
     crashCount += 1;
-    breakEndpoint(endpoint, isDead);
+    breakEndpoint(endpoint, isCrash);
   };
   const crashes = createQuarantine(connector);
-  t.is(await run(connector, crashes, "r1", "ends engines"), "held_back");
+  t.is(await run(connector, crashes, "r1", "crashing"), "held_back");
   for (let repeat = 2; repeat <= 5; repeat++)
-    t.is(await run(connector, crashes, `r${repeat}`, "ends engines"), "held_back");
+    t.is(await run(connector, crashes, `r${repeat}`, "crashing"), "held_back");
   t.true(crashCount <= maxCrashes, `${crashCount} crashes`);
   // A request with another digest is not affected.
-  const sound = new FakeConnector(ranges, []);
-  t.is(await run(sound, crashes, "r9", "sound"), "answered");
+  const faultless = new FakeConnector(ranges, []);
+  t.is(await run(faultless, crashes, "r9", "harmless"), "answered");
 });
 
 test("an engine that closes a connection and still accepts new ones does not count as crashed", async (t) => {
   const connector = new FakeConnector(ranges, []);
   const crashes = createQuarantine(connector);
-  for (const name of names) await crashes.noteLost("sound", { name, address: name });
-  t.is(crashes.getQuarantineMs("sound"), undefined);
+  for (const name of names) await crashes.noteLost("harmless", { name, address: name });
+  t.is(crashes.getQuarantineMs("harmless"), undefined);
 });
 
 test("a run that produced a token clears the crash reports of its request", async (t) => {
@@ -99,6 +99,6 @@
     ["w1", "w2"].map((endpoint) => ({ endpoint, atCall: 1, fault: "dies" as const })),
   );
   const crashes = createQuarantine(connector);
-  for (const id of ["r1", "r2", "r3"]) t.is(await run(connector, crashes, id, "sound"), "answered");
-  t.is(crashes.ledger.getWeight("sound"), 0);
+  for (const id of ["r1", "r2", "r3"]) t.is(await run(connector, crashes, id, "harmless"), "answered");
+  t.is(crashes.ledger.getWeight("harmless"), 0);
 });
--- a/packages/standins/src/tests/processTests.ts
+++ b/packages/standins/src/tests/processTests.ts
@@ -29,13 +29,13 @@
     await Promise.all([first.kill(), second.kill()]);
     await fleet.close();
   });
-  await waitForEngines(first);
-  await waitForEngines(second);
+  await waitUntilReady(first);
+  await waitUntilReady(second);
   return { fleet, first, second, key: fleet.accountKeys.get("crews") ?? "" };
 }
 
 /** Waits until the readiness check of a daemon succeeds. */
-async function waitForEngines(daemon: DaemonProcess): Promise<void> {
+async function waitUntilReady(daemon: DaemonProcess): Promise<void> {
   const probe = async (): Promise<number> =>
     (await got.get(`http://${daemon.address}/readyz`, { throwHttpErrors: false })).statusCode;
   while ((await probe()) !== 200) await utils.sleep(20);
@@ -85,7 +85,7 @@
 });
 
 test.serial(
-  "a claim holder suspended after sending its call: no second run, and its answer is returned after it resumes",
+  "the call of a claim holder that is suspended after sending the call runs once, and its answer is returned after the holder resumes",
   async (t) => {
     const fixture = await startFixture(t);
     const service = fixture.fleet.services.get("b1");
--- a/packages/standins/src/tests/rolloutTests.ts
+++ b/packages/standins/src/tests/rolloutTests.ts
@@ -17,7 +17,7 @@
 import { createEngine, createStructure, layerCount, model } from "./structures.js";
 
 const waitMs = 60_000;
-/** Limit of the time without a link: less than the 30 s of waiting for an unresponsive instance, by the time that a request may take. */
+/** Time after the loss of a link in which requests are sent, so that the last one ends within the 30 s wait for an unresponsive instance. */
 const unlinkedLimitMs = 20_000;
 const engineNames = ["g1", "g2", "g3", "g4"];
 
@@ -64,7 +64,7 @@
 }
 
 /** Shows the engines of the new version as loading to an instance for 150 ms after each of its notices about the versions in use. */
-function showNewVersionDuringNotices(fleet: Fleet, name: string): void {
+function hideNewVersionAfterNotices(fleet: Fleet, name: string): void {
   const { directory, membership } = fleet.requireInstance(name);
   let isNewVersionVisible = true;
   interceptReports(fleet, name, (report) => {
@@ -80,8 +80,8 @@
     for (const report of reports) directory.setReport(report, false);
   };
   const notifyAll = membership.notifyAll.bind(membership);
-  membership.notifyAll = (topic, body, wants) => {
-    notifyAll(topic, body, wants);
+  membership.notifyAll = (topic, body, isReceiver) => {
+    notifyAll(topic, body, isReceiver);
     if (topic !== "reports") return;
     setVisibility(false);
     // Notices are at least 200 ms apart.
@@ -91,7 +91,7 @@
 
 test("an instance that sees the new version as loading after each notice loses no stream during a rollout", async (t) => {
   const fleet = await startFleet(t);
-  showNewVersionDuringNotices(fleet, "e2");
+  hideNewVersionAfterNotices(fleet, "e2");
   await confirmVersion(t, fleet, "2");
   const outcomes: string[] = [];
   const requests = 2_000;
@@ -101,7 +101,7 @@
   t.is(countUpdatedEngines(fleet), engineNames.length);
 });
 
-// An unresponsive instance is waited for 30 s, so that only requests which start well before that are checked. Under load (46 on 8 cores),
+// The order reconciler waits 30 s for an unresponsive instance, so only requests that start well before that are checked. Under load (46 on 8 cores),
 // two of six copies of this test lost streams 31 and 32 s after the loss of the link, according to the log of the order reconciler.
 test("a rollout waits for an instance whose link is lost for a short time", async (t) => {
   const fleet = await startFleet(t);
--- a/packages/standins/src/tests/structures.ts
+++ b/packages/standins/src/tests/structures.ts
@@ -45,7 +45,7 @@
   };
   return {
     availabilityZones: [
-      ...new Set([...instanceStructures, ...endpoints].map((place) => place.availabilityZone)),
+      ...new Set([...instanceStructures, ...endpoints].map((node) => node.availabilityZone)),
     ],
     instances: instanceStructures,
     endpoints,
