--- a/packages/standins/src/bench/OpenLoop.ts
+++ b/packages/standins/src/bench/OpenLoop.ts
@@ -32,7 +32,7 @@
   const startMs = utils.monotonicMs();
   const arrivals = workloads.flatMap((workload) => createArrivals(workload, durationMs, random));
   arrivals.sort((a, b) => a.atMs - b.atMs);
-  const sent: Promise<OpenLoopReport>[] = [];
+  const pendingReports: Promise<OpenLoopReport>[] = [];
   for (const [index, { workload, atMs }] of arrivals.entries()) {
     const waitMs = startMs + atMs - utils.monotonicMs();
     if (waitMs > 0) await utils.sleep(waitMs);
@@ -45,9 +45,9 @@
       prompt: createPrompt(`${account}${index}`, promptTokens),
       outputTokens,
     };
-    sent.push(sendModelRequest(request).then((report) => ({ ...report, account })));
+    pendingReports.push(sendModelRequest(request).then((report) => ({ ...report, account })));
   }
-  return Promise.all(sent);
+  return Promise.all(pendingReports);
 }
 
 interface Arrival {
--- a/packages/standins/src/bench/overload.ts
+++ b/packages/standins/src/bench/overload.ts
@@ -78,13 +78,13 @@
   await fleet.close();
   const variant = `${isPriorityBased ? "ours" : "first come"}, ${load} x`;
   for (const account of Object.keys(shares)) addAccountFigures(report, variant, account, reports);
-  const good = reports.filter(
+  const timelyAnswers = reports.filter(
     (r) => r.outcome === "answered" && (r.firstTokenMs ?? Infinity) <= maxFirstTokenMs,
   );
   report.add(
     variant,
     "goodput ÷ capacity",
-    (good.length * outputTokens) / ((durationMs / utils.msPerSecond) * (tokensPerSecond / load)),
+    (timelyAnswers.length * outputTokens) / ((durationMs / utils.msPerSecond) * (tokensPerSecond / load)),
     "",
   );
   report.add(variant, "refused", reports.filter((r) => r.outcome === "refused-not-run").length, "");
--- a/packages/standins/src/bench/throughput.ts
+++ b/packages/standins/src/bench/throughput.ts
@@ -38,7 +38,7 @@
 
 /** Runs the benchmark. */
 export async function runThroughput(report: BenchReport, seed: number): Promise<void> {
-  for (const entries of [1, 8]) await measure(report, seed, entries);
+  for (const entryCount of [1, 8]) await measure(report, seed, entryCount);
 }
 
 /** Returns the structure of a fleet on mixed accelerators with a planned placement, its planned throughput and the hardware bound. */
@@ -99,8 +99,8 @@
   ];
 }
 
-async function measure(report: BenchReport, seed: number, entries: number): Promise<void> {
-  const { structure, planned, bound } = createPlannedStructure(entries);
+async function measure(report: BenchReport, seed: number, entryCount: number): Promise<void> {
+  const { structure, planned, bound } = createPlannedStructure(entryCount);
   const fleet = new Fleet(structure, { isSilent: true, seed });
   await fleet.start();
   const slots = utils.getSum(structure.endpoints.map((engine) => engine.slots));
@@ -126,7 +126,7 @@
   const cpu = process.cpuUsage(cpuBefore);
   await loop.stop();
   await fleet.close();
-  const variant = entries === 1 ? "one entry" : `${entries} entries`;
+  const variant = entryCount === 1 ? "one entry" : `${entryCount} entries`;
   report.add(variant, "tokens", tokensPerSecond, "1/s");
   report.add(variant, "bound", bound, "1/s");
   report.add(variant, "ratio", tokensPerSecond / bound, "");
--- a/packages/standins/src/bin/capacity.ts
+++ b/packages/standins/src/bin/capacity.ts
@@ -2,7 +2,10 @@
 import * as fs from "node:fs";
 import { updatePage } from "../capacity/renderCapacity.js";
 
-const page = "docs/CAPACITY.md";
-const points = "bench/slopes/control.jsonl";
+const pageFile = "docs/CAPACITY.md";
+const pointsFile = "bench/slopes/control.jsonl";
 
-fs.writeFileSync(page, updatePage(fs.readFileSync(page, "utf8"), fs.readFileSync(points, "utf8")));
+fs.writeFileSync(
+  pageFile,
+  updatePage(fs.readFileSync(pageFile, "utf8"), fs.readFileSync(pointsFile, "utf8")),
+);
--- a/packages/standins/src/capacity/capacityRows.ts
+++ b/packages/standins/src/capacity/capacityRows.ts
@@ -64,20 +64,24 @@
 
 const secondsPerDay = 86_400;
 const claimsHorizonS = 600;
+/** Size of one claim in the log. */
 const claimBytes = 110;
+/** Size of one configuration change in the log. */
 const changeBytes = 420;
 const snapshotsPerDay = 4;
 const listPollsPerSecond = 2;
 const notModifiedBytes = 220;
+/** Minimum intervals and maximum rates of the exchanges between instances, with the same values as in `ZoneStateExchange`. */
 const minReportIntervalS = 0.2;
 const maxReportBytesPerSecond = 1_200;
 const minDigestIntervalS = 0.5;
 const maxDigestBytesPerSecond = 800;
+const maxDemandBytesPerSecond = 600;
 const reportBytes = 260;
 const loadBytes = 14;
 const frameBytes = 60;
+/** The timeline has one step event for every 32 tokens. */
 const eventsPerToken = 1 / 32;
-const maxDemandBytesPerSecond = 600;
 const timelineEvents = 20_000;
 const leaseRenewalsPerSecond = 1 / 2.4;
 
@@ -120,132 +124,136 @@
   return Math.max(...(slopes.get(figure)?.points.map(([, value]) => value) ?? [Number.NaN]));
 }
 
-function createPeerRow(c: RowContext): CapacityRow {
-  const contacts = 2 * 3 * (c.size.availabilityZones - 1);
-  const peers = c.zonePeers + Math.min(contacts, c.size.nodes - 1 - c.zonePeers);
+function createPeerRow(context: RowContext): CapacityRow {
+  const contacts = 2 * 3 * (context.size.availabilityZones - 1);
+  const peers = context.zonePeers + Math.min(contacts, context.size.nodes - 1 - context.zonePeers);
   return {
     task: "peer links",
     mechanism:
       "one link to each peer in the zone and three contacts in each other zone; the heartbeat interval grows with the number of receivers",
     formula: `${peers} links; bytes and processor as measured at most, since the interval holds them; memory × links`,
-    cpuShare: getLargestValue(c, "peers cpu"),
+    cpuShare: getLargestValue(context, "peers cpu"),
     // The largest measurement has 31 peers.
-    memoryBytes: (getLargestValue(c, "peers memory") / 31) * peers,
-    bytesPerSecond: getLargestValue(c, "peers sent"),
-    messagesPerSecond: getLargestValue(c, "peers messages"),
+    memoryBytes: (getLargestValue(context, "peers memory") / 31) * peers,
+    bytesPerSecond: getLargestValue(context, "peers sent"),
+    messagesPerSecond: getLargestValue(context, "peers messages"),
   };
 }
 
-function createReportRow(c: RowContext): CapacityRow {
-  const owned = c.size.endpoints / c.size.nodes;
+function createReportRow(context: RowContext): CapacityRow {
+  const owned = context.size.endpoints / context.size.nodes;
   const messageBytes = frameBytes + owned * (loadBytes + reportBytes / 10);
-  const intervalS = Math.max(minReportIntervalS, (messageBytes * c.zonePeers) / maxReportBytesPerSecond);
-  const received = (c.size.endpoints / c.size.availabilityZones) * (1 / intervalS);
+  const intervalS = Math.max(
+    minReportIntervalS,
+    (messageBytes * context.zonePeers) / maxReportBytesPerSecond,
+  );
+  const received = (context.size.endpoints / context.size.availabilityZones) * (1 / intervalS);
   return {
     task: "steward of endpoints",
     mechanism:
       "rendezvous hashing assigns each endpoint one reader per zone; only loads are sent, and complete reports every tenth round",
-    formula: `${owned.toFixed(1)} endpoints, a round every ${intervalS.toFixed(1)} s to ${c.zonePeers} peers`,
-    cpuShare: (getUnitCost(c, "reports cpu") / utils.msPerSecond) * received,
-    memoryBytes: getFittedValue(c, "directory memory", c.size.endpoints),
-    bytesPerSecond: (messageBytes * c.zonePeers) / intervalS,
-    messagesPerSecond: c.zonePeers / intervalS,
+    formula: `${owned.toFixed(1)} endpoints, a round every ${intervalS.toFixed(1)} s to ${context.zonePeers} peers`,
+    cpuShare: (getUnitCost(context, "reports cpu") / utils.msPerSecond) * received,
+    memoryBytes: getFittedValue(context, "directory memory", context.size.endpoints),
+    bytesPerSecond: (messageBytes * context.zonePeers) / intervalS,
+    messagesPerSecond: context.zonePeers / intervalS,
   };
 }
 
-function createDigestRow(c: RowContext): CapacityRow {
-  const zoneEndpoints = c.size.endpoints / c.size.availabilityZones;
+function createDigestRow(context: RowContext): CapacityRow {
+  const zoneEndpoints = context.size.endpoints / context.size.availabilityZones;
   const bytes = 100 + zoneEndpoints * (loadBytes + reportBytes / 10);
-  const zonesOwned = (c.size.availabilityZones - 1) / (c.zonePeers + 1);
+  const zonesOwned = (context.size.availabilityZones - 1) / (context.zonePeers + 1);
   const intervalS = Math.max(
     minDigestIntervalS,
-    (bytes * zonesOwned * c.zonePeers) / maxDigestBytesPerSecond,
+    (bytes * zonesOwned * context.zonePeers) / maxDigestBytesPerSecond,
   );
   const rounds = zonesOwned / intervalS;
   return {
     task: "digests of other zones",
     mechanism:
       "one instance per pair of zones fetches the digest and forwards it to its zone; static fields are sent only after a change",
-    formula: `${bytes.toFixed(0)} B a digest to ${c.zonePeers} peers, every ${intervalS.toFixed(1)} s`,
+    formula: `${bytes.toFixed(0)} B a digest to ${context.zonePeers} peers, every ${intervalS.toFixed(1)} s`,
     cpuShare:
-      (getUnitCost(c, "reports cpu") / utils.msPerSecond) *
+      (getUnitCost(context, "reports cpu") / utils.msPerSecond) *
       zoneEndpoints *
-      ((c.size.availabilityZones - 1) / intervalS),
+      ((context.size.availabilityZones - 1) / intervalS),
     memoryBytes: 0,
-    bytesPerSecond: bytes * c.zonePeers * rounds,
-    messagesPerSecond: c.zonePeers * rounds,
+    bytesPerSecond: bytes * context.zonePeers * rounds,
+    messagesPerSecond: context.zonePeers * rounds,
   };
 }
 
-function createListRow(c: RowContext): CapacityRow {
-  const entries = c.size.endpoints + c.size.nodes;
-  const changes = (2 * c.size.replacementsPerDay) / secondsPerDay;
-  const pageBytes = getFittedValue(c, "list page", entries);
+function createListRow(context: RowContext): CapacityRow {
+  const entries = context.size.endpoints + context.size.nodes;
+  const changes = (2 * context.size.replacementsPerDay) / secondsPerDay;
+  const pageBytes = getFittedValue(context, "list page", entries);
   return {
     task: "instance list",
     mechanism: "polled with an entity tag; the page is sent only after a change",
     formula: `${listPollsPerSecond} polls/s of ${notModifiedBytes} B, and ${(pageBytes / 1024).toFixed(0)} KB for each change`,
-    cpuShare: (getFittedValue(c, "list page cpu", entries) / utils.msPerSecond) * listPollsPerSecond,
+    cpuShare: (getFittedValue(context, "list page cpu", entries) / utils.msPerSecond) * listPollsPerSecond,
     memoryBytes: pageBytes,
     bytesPerSecond: listPollsPerSecond * notModifiedBytes + changes * pageBytes,
     messagesPerSecond: listPollsPerSecond,
   };
 }
 
-function createLimitRow(c: RowContext): CapacityRow {
-  const bytes = getFittedValue(c, "demands told", c.size.activeAccounts);
-  const intervalS = Math.max(minReportIntervalS, (bytes * c.zonePeers) / maxDemandBytesPerSecond);
+function createLimitRow(context: RowContext): CapacityRow {
+  const bytes = getFittedValue(context, "demands told", context.size.activeAccounts);
+  const intervalS = Math.max(minReportIntervalS, (bytes * context.zonePeers) / maxDemandBytesPerSecond);
   return {
     task: "account limits",
     mechanism:
       "the 32 accounts with the largest demand are added to some of the reports; shares are computed without a round trip",
-    formula: `${bytes.toFixed(0)} B to ${c.zonePeers} peers, every ${intervalS.toFixed(1)} s`,
+    formula: `${bytes.toFixed(0)} B to ${context.zonePeers} peers, every ${intervalS.toFixed(1)} s`,
     cpuShare:
-      (getFittedValue(c, "demands cpu", c.size.activeAccounts) / utils.msPerSecond) *
-      ((c.zonePeers + 1) / intervalS),
-    memoryBytes: bytes * (c.zonePeers + 1) * 4,
-    bytesPerSecond: (bytes * c.zonePeers) / intervalS,
+      (getFittedValue(context, "demands cpu", context.size.activeAccounts) / utils.msPerSecond) *
+      ((context.zonePeers + 1) / intervalS),
+    memoryBytes: bytes * (context.zonePeers + 1) * 4,
+    bytesPerSecond: (bytes * context.zonePeers) / intervalS,
     messagesPerSecond: 0,
   };
 }
 
-function createClaimRow(c: RowContext): CapacityRow {
-  const perSecond = c.size.requestsPerSecond * c.size.atMostOnceShare;
+function createClaimRow(context: RowContext): CapacityRow {
+  const perSecond = context.size.requestsPerSecond * context.size.atMostOnceShare;
   const keys = perSecond * claimsHorizonS;
   return {
     task: "claims",
     mechanism:
       "claims are batched into appends; every node applies all claims; keys older than the horizon are dropped",
     formula: `${perSecond.toFixed(0)} claims/s × ${claimBytes} B read by every node; ${keys.toFixed(0)} keys held`,
-    cpuShare: (getLastValue(c, "claims cpu") / 1e6) * perSecond,
-    memoryBytes: getUnitCost(c, "claims memory") * keys,
+    cpuShare: (getLastValue(context, "claims cpu") / 1e6) * perSecond,
+    memoryBytes: getUnitCost(context, "claims memory") * keys,
     bytesPerSecond: perSecond * claimBytes,
     messagesPerSecond: 0,
   };
 }
 
-function createConfigurationRow(c: RowContext): CapacityRow {
-  const perSecond = c.size.changesPerDay / secondsPerDay;
+function createConfigurationRow(context: RowContext): CapacityRow {
+  const perSecond = context.size.changesPerDay / secondsPerDay;
   return {
     task: "configuration fold",
     mechanism:
       "every node projects the same log; only changed objects are updated; peers forward the records",
-    formula: `${c.size.changesPerDay} changes a day × ${changeBytes} B, read once and told by peers`,
+    formula: `${context.size.changesPerDay} changes a day × ${changeBytes} B, read once and told by peers`,
     cpuShare:
-      (getFittedValue(c, "configuration change cpu", c.size.accounts) / utils.msPerSecond) * perSecond,
-    memoryBytes: getFittedValue(c, "configuration memory", c.size.accounts),
+      (getFittedValue(context, "configuration change cpu", context.size.accounts) / utils.msPerSecond) *
+      perSecond,
+    memoryBytes: getFittedValue(context, "configuration memory", context.size.accounts),
     bytesPerSecond: perSecond * changeBytes * 2,
     messagesPerSecond: perSecond,
   };
 }
 
-function createSnapshotRow(c: RowContext): CapacityRow {
-  const stateBytes = getFittedValue(c, "state sent to a new node", c.size.accounts);
-  const starts = c.size.replacementsPerDay / c.size.nodes / secondsPerDay;
+function createSnapshotRow(context: RowContext): CapacityRow {
+  const stateBytes = getFittedValue(context, "state sent to a new node", context.size.accounts);
+  const starts = context.size.replacementsPerDay / context.size.nodes / secondsPerDay;
   return {
     task: "snapshots and new nodes",
     mechanism: "one snapshot per quarter of the log retention; a new node receives the state from a peer",
-    formula: `${(stateBytes / 1024).toFixed(0)} KB × (${snapshotsPerDay} snapshots a day, and its share of ${c.size.replacementsPerDay} new nodes)`,
+    formula: `${(stateBytes / 1024).toFixed(0)} KB × (${snapshotsPerDay} snapshots a day, and its share of ${context.size.replacementsPerDay} new nodes)`,
     cpuShare: 0,
     memoryBytes: stateBytes,
     bytesPerSecond: stateBytes * (snapshotsPerDay / secondsPerDay + starts),
@@ -253,8 +261,8 @@
   };
 }
 
-function createLeaseRow(c: RowContext): CapacityRow {
-  const holders = c.size.availabilityZones;
+function createLeaseRow(context: RowContext): CapacityRow {
+  const holders = context.size.availabilityZones;
   const recordBytes = 330;
   return {
     task: "leases and orders",
@@ -267,14 +275,14 @@
   };
 }
 
-function createTimelineRow(c: RowContext): CapacityRow {
-  const perSecond = (c.size.tokensPerSecond / c.size.nodes) * eventsPerToken;
+function createTimelineRow(context: RowContext): CapacityRow {
+  const perSecond = (context.size.tokensPerSecond / context.size.nodes) * eventsPerToken;
   return {
     task: "time line",
     mechanism: "one bounded ring buffer per process; sent only on request",
     formula: `${perSecond.toFixed(0)} events/s; ${timelineEvents} events kept`,
-    cpuShare: (getLastValue(c, "timeline cpu") / 1e6) * perSecond,
-    memoryBytes: getFittedValue(c, "timeline memory", timelineEvents),
+    cpuShare: (getLastValue(context, "timeline cpu") / 1e6) * perSecond,
+    memoryBytes: getFittedValue(context, "timeline memory", timelineEvents),
     bytesPerSecond: 0,
     messagesPerSecond: 0,
   };
--- a/packages/standins/src/replay/checkTrace.ts
+++ b/packages/standins/src/replay/checkTrace.ts
@@ -173,7 +173,8 @@
     const ids = executionLog.getRequestIds();
     const all = ids.flatMap((requestId) => executionLog.getExecutions(requestId));
     const late = all.find(
-      (a) => a.endpoint === name && a.streamStartedAtMs > drainingSinceMs + drainingGraceMs,
+      (execution) =>
+        execution.endpoint === name && execution.streamStartedAtMs > drainingSinceMs + drainingGraceMs,
     );
     if (late !== undefined)
       failed.push(
--- a/packages/standins/src/tests/callerInterfaceTests.ts
+++ b/packages/standins/src/tests/callerInterfaceTests.ts
@@ -48,10 +48,10 @@
   t.is(report.outcome, "answered");
   const requestId = report.requestId ?? "";
   t.deepEqual(fleet.executionLog.findViolations(requestId, layerCount, 20 + 12 - 1), []);
-  t.deepEqual([...new Set(fleet.executionLog.getExecutions(requestId).map((a) => a.endpoint))].sort(), [
-    "g1",
-    "g2",
-  ]);
+  t.deepEqual(
+    [...new Set(fleet.executionLog.getExecutions(requestId).map((execution) => execution.endpoint))].sort(),
+    ["g1", "g2"],
+  );
 });
 
 test("a completion and a chat completion have the OpenAI response format", async (t) => {
