--- a/packages/standins/src/capacity/capacityRows.ts
+++ b/packages/standins/src/capacity/capacityRows.ts
@@ -13,9 +13,9 @@
   readonly tokensPerSecond: number;
   readonly changesPerDay: number;
   readonly replacementsPerDay: number;
-  /** Share of the requests that may run at most once. An assumption, because the users have not specified the share. */
+  /** Assumed share of the requests that may run at most once; the users have not specified the share. */
   readonly atMostOnceShare: number;
-  /** Number of accounts that are active at one node at the same time. An assumption. */
+  /** Assumed number of accounts that are active at one node at the same time. */
   readonly activeAccounts: number;
 }
 
--- a/packages/standins/src/tests/configurationTests.ts
+++ b/packages/standins/src/tests/configurationTests.ts
@@ -51,9 +51,9 @@
   t.true(getOffset(fleet, "e2") >= (changes[0]?.offset ?? Number.POSITIVE_INFINITY));
 });
 
-// Guards against a fixed timeout of one second for the answers of peers. Under load, a peer that had not answered in time was treated as a peer
-// without the plan: a confirmation then got 404 although an instance had the plan, and instances were reported as missing although the plan
-// was in force there a moment later.
+// Guards against a fixed timeout of one second for the answers of peers. Under load, a peer that had not answered in time was treated as a
+// peer without the plan: a confirmation then got 404 although an instance had the plan, and instances were reported as missing although
+// the plan was in force there a moment later.
 test("the lookup of a plan and the check of where it is in force wait for an instance that answers slowly", async (t) => {
   const fleet = await startFleet(t, createStructure(["e1", "e2"], []));
   const plan = await new OperatorClient(fleet, "e1").plan({
--- a/packages/standins/src/tests/crashingRequestTests.ts
+++ b/packages/standins/src/tests/crashingRequestTests.ts
@@ -1,7 +1,7 @@
 /**
  * Guards against a request that crashes every engine of its pipeline. The entry instance retried such a request at one replica after the
- * other, and had no record of crashes for a repetition under another id. Before the quarantine, one request crashed engines 204 times within
- * its three seconds and was never refused.
+ * other, and had no record of crashes for a repetition under another id. Before the quarantine, one request crashed engines 204 times
+ * within its three seconds and was never refused.
  */
 import { PeerCrashQuarantine } from "@shedtiller/entry";
 import { utils } from "@shedtiller/common";
--- a/packages/standins/src/tests/rolloutTests.ts
+++ b/packages/standins/src/tests/rolloutTests.ts
@@ -17,7 +17,7 @@
 import { createEngine, createStructure, layerCount, model } from "./structures.js";
 
 const waitMs = 60_000;
-/** Time after the loss of a link in which requests are sent, so that the last one ends within the 30 s wait for an unresponsive instance. */
+/** Time after the loss of a link in which requests are sent; the last one ends within the 30 s wait for an unresponsive instance. */
 const unlinkedLimitMs = 20_000;
 const engineNames = ["g1", "g2", "g3", "g4"];
 
@@ -101,8 +101,8 @@
   t.is(countUpdatedEngines(fleet), engineNames.length);
 });
 
-// The order reconciler waits 30 s for an unresponsive instance, so only requests that start well before that are checked. Under load (46 on 8 cores),
-// two of six copies of this test lost streams 31 and 32 s after the loss of the link, according to the log of the order reconciler.
+// The order reconciler waits 30 s for an unresponsive instance, so only requests that start well before that are checked. Under load (46 on
+// 8 cores), two of six copies of this test lost streams 31 and 32 s after the loss of the link, according to the reconciler's log.
 test("a rollout waits for an instance whose link is lost for a short time", async (t) => {
   const fleet = await startFleet(t);
   const [orderSender, other] = [fleet.requireInstance("e1"), fleet.requireInstance("e2")];
