--- a/packages/standins/src/network/Relay.ts
+++ b/packages/standins/src/network/Relay.ts
@@ -46,29 +46,29 @@
   }
 
   /** Refuses new connections, as the address of a stopped target does, and resets the open ones. */
-  refuse(): void {
+  refuseConnections(): void {
     if (this._server.listening) this._server.close();
-    this.reset();
+    this.resetConnections();
   }
 
   /** Accepts connections again, on the same port. Has no effect after `close`. */
-  async admit(): Promise<void> {
+  async acceptConnections(): Promise<void> {
     if (!this._server.listening && !this._isClosed) await this._listen(this._port);
   }
 
   /** Refuses connections permanently. */
   close(): void {
     this._isClosed = true;
-    this.refuse();
+    this.refuseConnections();
   }
 
   /** Resets all open connections. */
-  reset(): void {
+  resetConnections(): void {
     for (const socket of this._sockets) utils.resetSocket(socket);
   }
 
   /** Stops forwarding data on all open connections, and does not forward their close either. New connections are forwarded. */
-  silence(): void {
+  silenceConnections(): void {
     for (const socket of this._sockets) this._silencedSockets.add(socket);
   }
 
--- a/packages/standins/src/network/StandInNetwork.ts
+++ b/packages/standins/src/network/StandInNetwork.ts
@@ -68,17 +68,18 @@
 
   /** Resets all connections of a node and refuses new ones, as if its process had ended. */
   disconnectNode(name: string): void {
-    for (const { relay, from, to } of this._relays.values()) if (from === name || to === name) relay.refuse();
+    for (const { relay, from, to } of this._relays.values())
+      if (from === name || to === name) relay.refuseConnections();
   }
 
   /** Accepts connections of a disconnected node again. */
   async reconnectNode(name: string): Promise<void> {
     const relays = [...this._relays.values()].filter(({ from, to }) => from === name || to === name);
-    await Promise.all(relays.map(({ relay }) => relay.admit()));
+    await Promise.all(relays.map(({ relay }) => relay.acceptConnections()));
   }
 
   close(): void {
-    for (const { relay } of this._relays.values()) relay.refuse();
+    for (const { relay } of this._relays.values()) relay.refuseConnections();
   }
 
   private _getLinkState(from: NetworkNode, to: NetworkNode): LinkState {
--- a/packages/standins/src/tests/relayTests.ts
+++ b/packages/standins/src/tests/relayTests.ts
@@ -25,7 +25,7 @@
   const old = await connect(port);
   old.write("a");
   t.is(await readOnce(old), "a");
-  relay.silence();
+  relay.silenceConnections();
   let received = "";
   old.on("data", (chunk) => (received += chunk.toString()));
   old.write("b");
@@ -37,16 +37,16 @@
   t.is(received, "");
   t.false(old.destroyed);
   old.destroy();
-  relay.refuse();
+  relay.refuseConnections();
   echo.close();
 });
 
 // Guards against a link that is restored after its target was closed: the listening relay kept the process of a soak test from exiting.
-test("a closed relay accepts no connections after admit", async (t) => {
+test("a closed relay accepts no connections after acceptConnections", async (t) => {
   const relay = new Relay(1, () => ({ isCut: false, delayMs: 0 }));
   const port = await relay.start();
-  relay.refuse();
+  relay.refuseConnections();
   relay.close();
-  await relay.admit();
+  await relay.acceptConnections();
   await t.throwsAsync(connect(port), { code: "ECONNREFUSED" });
 });
