--- a/packages/standins/src/network/Relay.ts
+++ b/packages/standins/src/network/Relay.ts
@@ -39,35 +39,36 @@
   async start(): Promise<number> {
     await this._listen(0);
     const bound = this._server.address();
-    if (bound === null || typeof bound === "string") throw new errors.InvariantError("A relay has no port.");
+    if (bound === null || typeof bound === "string")
+      throw new errors.InvariantError("The server of a relay listens, but has no port.");
     this._port = bound.port;
     return bound.port;
   }
 
   /** Refuses new connections, as the address of a stopped target does, and resets the open ones. */
-  refuse(): void {
+  refuseConnections(): void {
     if (this._server.listening) this._server.close();
-    this.reset();
+    this.resetConnections();
   }
 
   /** Accepts connections again, on the same port. Has no effect after `close`. */
-  async admit(): Promise<void> {
+  async acceptConnections(): Promise<void> {
     if (!this._server.listening && !this._isClosed) await this._listen(this._port);
   }
 
   /** Refuses connections permanently. */
   close(): void {
     this._isClosed = true;
-    this.refuse();
+    this.refuseConnections();
   }
 
   /** Resets all open connections. */
-  reset(): void {
+  resetConnections(): void {
     for (const socket of this._sockets) utils.resetSocket(socket);
   }
 
-  /** Stops forwarding on all open connections, including their closing. New connections are forwarded. */
-  silence(): void {
+  /** Stops forwarding data on all open connections, and does not forward their close either. New connections are forwarded. */
+  silenceConnections(): void {
     for (const socket of this._sockets) this._silencedSockets.add(socket);
   }
 
