--- a/packages/claims/src/AtMostOnce.ts
+++ b/packages/claims/src/AtMostOnceExecutor.ts
@@ -33,8 +33,8 @@
 export type OnceError = ClaimRefusedError | OutcomeUnknownError | WorkError;
 type AtMostOnceResult<A> = results.Result<A, OnceError>;
 
-/** Dependencies of {@link AtMostOnce}. */
-export interface AtMostOnceStructure<A> {
+/** Dependencies of {@link AtMostOnceExecutor}. */
+export interface AtMostOnceExecutorStructure<A> {
   readonly projection: ClaimProjection;
   readonly batcher: ClaimBatcher;
   readonly timeline: Timeline;
@@ -46,7 +46,7 @@
   readonly requestFromHolder: (holder: string, key: string, timeoutMs: number) => Promise<A | undefined>;
 }
 
-/** Options of {@link AtMostOnce.run}. */
+/** Options of {@link AtMostOnceExecutor.run}. */
 export interface OnceOptions<A> {
   readonly requestId: string;
   /** Monotonic time after which the work must not start. */
@@ -63,10 +63,10 @@
  * Runs work at most once for each idempotency key, across all instances and for ever. It claims a key in the log, runs the work if the
  * claim was won, and caches the outcome for later calls with the same key.
  */
-export class AtMostOnce<A> {
+export class AtMostOnceExecutor<A> {
   private readonly _outcomes: utils.BoundedMap<Promise<AtMostOnceResult<A>>>;
 
-  constructor(private readonly _structure: AtMostOnceStructure<A>) {
+  constructor(private readonly _structure: AtMostOnceExecutorStructure<A>) {
     this._outcomes = new utils.BoundedMap(_structure.answersKept);
   }
 
--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -1,5 +1,5 @@
 export * from "./claimRecords.js";
 export * from "./ClaimProjection.js";
 export * from "./ClaimBatcher.js";
-export * from "./AtMostOnce.js";
+export * from "./AtMostOnceExecutor.js";
 export * from "./service/ServiceCaller.js";
--- a/packages/claims/src/service/ServiceCaller.ts
+++ b/packages/claims/src/service/ServiceCaller.ts
@@ -74,7 +74,8 @@
     for (;;) {
       const endpoint = this._selectEndpoint(call.service, tried);
       if (endpoint === undefined) return results.Err(new ServiceError(call.service, ran));
-      if (tried.size > 0 && !this._retries.tryTake()) return results.Err(new ServiceError(call.service, ran));
+      if (tried.size > 0 && !this._retries.tryWithdraw())
+        return results.Err(new ServiceError(call.service, ran));
       tried.add(endpoint.name);
       const sentAtMs = utils.monotonicMs();
       this._backoffs.get(endpoint.name)?.noteSent(sentAtMs);
@@ -109,7 +110,7 @@
     const backoff = this._backoffs.get(name) ?? new EndpointBackoff();
     if (!backoffStatuses.includes(status)) {
       backoff.noteAnswered(sentAtMs);
-      if (!backoff.isUnproven(nowMs)) this._backoffs.delete(name);
+      if (!backoff.isRecovering(nowMs)) this._backoffs.delete(name);
       return;
     }
     if (retryAfterMs === undefined) return;
--- a/packages/claims/src/tests/atMostOnceTests.ts
+++ b/packages/claims/src/tests/atMostOnceTests.ts
@@ -4,7 +4,7 @@
 import { Timeline } from "@shedtiller/timeline";
 import test from "ava";
 import * as fc from "fast-check";
-import { AtMostOnce, OutcomeUnknownError } from "../AtMostOnce.js";
+import { AtMostOnceExecutor, OutcomeUnknownError } from "../AtMostOnceExecutor.js";
 import { ClaimBatcher } from "../ClaimBatcher.js";
 import { ClaimProjection } from "../ClaimProjection.js";
 import { claimsStream } from "../claimRecords.js";
@@ -16,19 +16,19 @@
 class Cluster {
   readonly runs = new Map<string, number>();
   readonly shutdown = new AbortController();
-  private readonly _instances = new Map<string, AtMostOnce<string>>();
+  private readonly _instances = new Map<string, AtMostOnceExecutor<string>>();
   private readonly _unreachable = new Set<string>();
 
   constructor(readonly log: FakeLog) {}
 
-  add(name: string): AtMostOnce<string> {
+  add(name: string): AtMostOnceExecutor<string> {
     const projection = new ClaimProjection(windowMs);
     void new LogFollower(this.log, claimsStream, projection).run(this.shutdown.signal);
     const batcher = new ClaimBatcher(
       { log: this.log, holder: name, appendsPerSecond: 2_000, countAppenders: () => 1 },
       this.shutdown.signal,
     );
-    const once = new AtMostOnce<string>({
+    const executor = new AtMostOnceExecutor<string>({
       projection,
       batcher,
       timeline: new Timeline(name),
@@ -37,8 +37,8 @@
       requestFromHolder: async (holder, key) =>
         this._unreachable.has(holder) ? undefined : this._instances.get(holder)?.getAnswer(key),
     });
-    this._instances.set(name, once);
-    return once;
+    this._instances.set(name, executor);
+    return executor;
   }
 
   /** Makes an instance unreachable for its peers. Its own work continues, as in an instance that was only suspended. */
@@ -46,8 +46,13 @@
     this._unreachable.add(name);
   }
 
-  async call(once: AtMostOnce<string>, key: string, isLost = false, deadlineMs = 3_000): Promise<string> {
-    const outcome = await once.run(key, {
+  async call(
+    executor: AtMostOnceExecutor<string>,
+    key: string,
+    isLost = false,
+    deadlineMs = 3_000,
+  ): Promise<string> {
+    const outcome = await executor.run(key, {
       requestId: utils.newId(),
       deadlineMs: utils.monotonicMs() + deadlineMs,
       signal: new AbortController().signal,
@@ -69,7 +74,7 @@
   const instances = ["e1", "e2", "e3"].map((name) => cluster.add(name));
   const key = utils.newId();
   const calls = Array.from({ length: 12 }, (_value, index) =>
-    cluster.call(instances[index % 3] as AtMostOnce<string>, key),
+    cluster.call(instances[index % 3] as AtMostOnceExecutor<string>, key),
   );
   const outcomes = await Promise.all(calls);
   cluster.shutdown.abort();
@@ -105,11 +110,11 @@
 
 test("while the log is down a call is rejected as not run, and once it has recovered the key is free", async (t) => {
   const cluster = new Cluster(new FakeLog(Array.from({ length: 2 }, () => "refused" as const)));
-  const once = cluster.add("e1");
+  const executor = cluster.add("e1");
   const key = utils.newId();
-  t.is(await cluster.call(once, key, false, 100), "no");
+  t.is(await cluster.call(executor, key, false, 100), "no");
   t.is(cluster.runs.get(key), undefined);
-  t.is(await cluster.call(once, key), "answer 1");
+  t.is(await cluster.call(executor, key), "answer 1");
   cluster.shutdown.abort();
   t.is(cluster.runs.get(key), 1);
 });
@@ -131,9 +136,9 @@
 
 test("a key that is older than the horizon or ahead of the log's time never runs", async (t) => {
   const cluster = new Cluster(new FakeLog());
-  const once = cluster.add("e1");
-  t.is(await cluster.call(once, utils.newIdAt(utils.wallMs() - windowMs - 1_000)), "unknown");
-  t.is(await cluster.call(once, utils.newIdAt(utils.wallMs() + 120_000)), "unknown");
+  const executor = cluster.add("e1");
+  t.is(await cluster.call(executor, utils.newIdAt(utils.wallMs() - windowMs - 1_000)), "unknown");
+  t.is(await cluster.call(executor, utils.newIdAt(utils.wallMs() + 120_000)), "unknown");
   cluster.shutdown.abort();
   t.is(cluster.runs.size, 0);
 });
@@ -177,7 +182,7 @@
         const calls = steps.map(async (s) => {
           if (s.disconnected !== undefined) cluster.disconnect(s.disconnected);
           return cluster.call(
-            instances[s.instance] as AtMostOnce<string>,
+            instances[s.instance] as AtMostOnceExecutor<string>,
             keys[s.key] as string,
             s.isLost,
             s.deadlineMs,
--- a/packages/common/src/errors/ShedtillerError.ts
+++ b/packages/common/src/errors/ShedtillerError.ts
@@ -59,10 +59,10 @@
   readonly code = "deadline_passed";
 
   constructor(
-    readonly what: string,
+    readonly operation: string,
     readonly afterMs: number,
   ) {
-    super(`${what} did not finish within ${Math.round(afterMs)} ms.`);
+    super(`${operation} did not finish within ${Math.round(afterMs)} ms.`);
   }
 }
 
@@ -70,8 +70,8 @@
 export class CancelledError extends ShedtillerError {
   readonly code = "cancelled";
 
-  constructor(readonly what: string) {
-    super(`${what} was cancelled.`);
+  constructor(readonly operation: string) {
+    super(`${operation} was cancelled.`);
   }
 }
 
--- a/packages/crashes/src/tests/CrashReportBroadcastTests.ts
+++ b/packages/crashes/src/tests/CrashReportBroadcastTests.ts
@@ -17,7 +17,7 @@
     address: "",
     isLeaving: false,
     lostSinceMs: undefined,
-    unlinkedSinceMs: 0,
+    lostSinceMonotonicMs: 0,
     heartbeat: {},
   };
 }
--- a/packages/entry/src/EntryInstance.ts
+++ b/packages/entry/src/EntryInstance.ts
@@ -28,7 +28,7 @@
 import { InFlightRequests } from "./InFlightRequests.js";
 import type { Logs, ComponentLog } from "./logs/createLogs.js";
 import { InstanceMetrics } from "./metrics/InstanceMetrics.js";
-import { ModelQueues } from "./ModelQueues.js";
+import { PipelineQueues } from "./PipelineQueues.js";
 import { PlanService } from "./operators/PlanService.js";
 import { Planner } from "./operators/Planner.js";
 import { StatusGatherer } from "./operators/StatusGatherer.js";
@@ -205,7 +205,7 @@
       this.membership.run(signal),
       this._container.get(ConfigurationSync).run(signal),
       this._container.get(ZoneStateExchange).run(signal),
-      this._container.get(ModelQueues).run(signal),
+      this._container.get(PipelineQueues).run(signal),
       this._container.get(OrderReconciler).run(signal),
       utils.repeat(retiringUpdateIntervalMs, signal, markRetiring, (error) =>
         this._log.error(errors.describeError(error)),
@@ -238,7 +238,7 @@
       settings: this.settings,
       configuration: this.configuration,
       accounts: container.get(AccountDirectory),
-      atMostOnce: container.get(claims.AtMostOnce) as claims.AtMostOnce<StoredAnswer>,
+      atMostOnceExecutor: container.get(claims.AtMostOnceExecutor) as claims.AtMostOnceExecutor<StoredAnswer>,
       timeline: this.timeline,
       metrics: this.metrics,
       inFlight: this._inFlight,
@@ -246,7 +246,7 @@
     const completions = new CompletionHandler({
       ...shared,
       limits: container.get(admission.AccountLimits),
-      queues: container.get(ModelQueues),
+      queues: container.get(PipelineQueues),
       versions: container.get(VersionsInUse),
       pipeline: this.pipeline,
       tokenizer: container.get(Tokenizer),
@@ -269,7 +269,7 @@
   }
 
   private _addMetricSources(): void {
-    const queues = this._container.get(ModelQueues);
+    const queues = this._container.get(PipelineQueues);
     this.metrics.addSources({
       membership: this.membership,
       pipeline: this.pipeline,
--- a/packages/entry/src/ModelQueues.ts
+++ b/packages/entry/src/PipelineQueues.ts
@@ -23,7 +23,7 @@
 export type QueueFactory = (getLimit: () => number) => Admission;
 
 /** Admits requests through one queue per pipeline, limited to this instance's share of the pipeline's streams. */
-export class ModelQueues {
+export class PipelineQueues {
   private readonly _queues = new Map<string, Admission>();
   /** Newest configuration of each pipeline, by name. A pipeline's version changes while its queue stays. */
   private readonly _pipelines = new Map<string, PipelineObject>();
--- a/packages/entry/src/composeEntry.ts
+++ b/packages/entry/src/composeEntry.ts
@@ -15,7 +15,7 @@
 import * as inversify from "inversify";
 import { ConfigurationSync } from "./configuration/ConfigurationSync.js";
 import { PeerCrashQuarantine } from "./crashes/PeerCrashQuarantine.js";
-import { createAtMostOnce } from "./createAtMostOnce.js";
+import { createAtMostOnceExecutor } from "./createAtMostOnceExecutor.js";
 import { EntryInstance } from "./EntryInstance.js";
 import { PipelineDemands } from "./feeds/PipelineDemands.js";
 import { VersionsInUse } from "./feeds/VersionsInUse.js";
@@ -25,7 +25,7 @@
 import { InFlightRequests } from "./InFlightRequests.js";
 import { createLogs, type LogOptions, type Logs } from "./logs/createLogs.js";
 import { InstanceMetrics } from "./metrics/InstanceMetrics.js";
-import { ModelQueues } from "./ModelQueues.js";
+import { PipelineQueues } from "./PipelineQueues.js";
 import { PlanService } from "./operators/PlanService.js";
 import { Planner } from "./operators/Planner.js";
 import { StatusGatherer } from "./operators/StatusGatherer.js";
@@ -192,13 +192,13 @@
     })
     .inSingletonScope();
   container
-    .bind(ModelQueues)
-    .toDynamicValue((c) => new ModelQueues(c.get(routing.EndpointDirectory)))
+    .bind(PipelineQueues)
+    .toDynamicValue((c) => new PipelineQueues(c.get(routing.EndpointDirectory)))
     .inSingletonScope();
   container
     .bind(PipelineDemands)
     .toDynamicValue((c) => {
-      const queues = c.get(ModelQueues);
+      const queues = c.get(PipelineQueues);
       const demands = new PipelineDemands(() => queues.getOwnDemands());
       queues.setDemands(demands, () => c.get(membership.Membership).getMembers().length + 1);
       return demands;
@@ -272,8 +272,8 @@
     })
     .inSingletonScope();
   container
-    .bind(claims.AtMostOnce)
-    .toDynamicValue((c) => createAtMostOnce(c, settings))
+    .bind(claims.AtMostOnceExecutor)
+    .toDynamicValue((c) => createAtMostOnceExecutor(c, settings))
     .inSingletonScope();
   container
     .bind(claims.ServiceCaller)
--- a/packages/entry/src/createAtMostOnce.ts
+++ b/packages/entry/src/createAtMostOnceExecutor.ts
@@ -1,4 +1,4 @@
-/** Creation of the at-most-once execution of one instance. */
+/** Creation of the at-most-once executor of one instance. */
 import * as claims from "@shedtiller/claims";
 import * as membership from "@shedtiller/membership";
 import * as timeline from "@shedtiller/timeline";
@@ -9,15 +9,15 @@
 const claimsTopic = "claims";
 
 /**
- * Creates the at-most-once execution of an instance, which requests answers from the instances that hold a key's claim.
+ * Creates the at-most-once executor of an instance, which requests answers from the instances that hold a key's claim.
  * Also adds a handler that replies to such requests of peers with the answers of this instance.
  */
-export function createAtMostOnce(
+export function createAtMostOnceExecutor(
   c: inversify.ResolutionContext,
   settings: InstanceSettings,
-): claims.AtMostOnce<StoredAnswer> {
+): claims.AtMostOnceExecutor<StoredAnswer> {
   const peers = c.get(membership.Membership);
-  const atMostOnce = new claims.AtMostOnce<StoredAnswer>({
+  const executor = new claims.AtMostOnceExecutor<StoredAnswer>({
     projection: c.get(claims.ClaimProjection),
     batcher: c.get(claims.ClaimBatcher),
     timeline: c.get(timeline.Timeline),
@@ -29,6 +29,6 @@
       return answer?.success === true ? answer.data : undefined;
     },
   });
-  peers.onRequest(claimsTopic, (body) => (typeof body === "string" ? atMostOnce.getAnswer(body) : undefined));
-  return atMostOnce;
+  peers.onRequest(claimsTopic, (body) => (typeof body === "string" ? executor.getAnswer(body) : undefined));
+  return executor;
 }
--- a/packages/entry/src/http/CompletionHandler.ts
+++ b/packages/entry/src/http/CompletionHandler.ts
@@ -7,7 +7,7 @@
   type AccountPermit,
   type AdmissionPermit,
 } from "@shedtiller/admission";
-import type { AtMostOnce } from "@shedtiller/claims";
+import type { AtMostOnceExecutor } from "@shedtiller/claims";
 import type * as intent from "@shedtiller/intent";
 import {
   PipelineRun,
@@ -22,7 +22,7 @@
 import type * as http from "node:http";
 import type { InstanceMetrics } from "../metrics/InstanceMetrics.js";
 import type { VersionsInUse } from "../feeds/VersionsInUse.js";
-import type { ModelQueues } from "../ModelQueues.js";
+import type { PipelineQueues } from "../PipelineQueues.js";
 import type { Tokenizer } from "../text/Tokenizer.js";
 import type { InFlightRequests } from "../InFlightRequests.js";
 import { AnswerWriter, type CompletionFormat } from "./AnswerWriter.js";
@@ -43,10 +43,10 @@
   readonly configuration: intent.ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly limits: AccountLimits;
-  readonly queues: ModelQueues;
+  readonly queues: PipelineQueues;
   readonly versions: VersionsInUse;
   readonly pipeline: PipelineContext;
-  readonly atMostOnce: AtMostOnce<StoredAnswer>;
+  readonly atMostOnceExecutor: AtMostOnceExecutor<StoredAnswer>;
   readonly tokenizer: Tokenizer;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
@@ -191,7 +191,7 @@
     writer: AnswerWriter,
   ): Promise<results.Result<PipelineAnswer, errors.ShedtillerError & { ran: "no" | "unknown" }>> {
     let hasRunHere = false;
-    const outcome = await this._structure.atMostOnce.run(key, {
+    const outcome = await this._structure.atMostOnceExecutor.run(key, {
       requestId: completion.requestId,
       deadlineMs: completion.deadlineMs,
       signal: completion.signal,
--- a/packages/entry/src/http/ServiceHandler.ts
+++ b/packages/entry/src/http/ServiceHandler.ts
@@ -1,6 +1,11 @@
 /** Handling of calls to plain services under `/services/{service}/…`. */
 import { errors, results, utils } from "@shedtiller/common";
-import { ServiceError, type AtMostOnce, type ServiceCall, type ServiceCaller } from "@shedtiller/claims";
+import {
+  ServiceError,
+  type AtMostOnceExecutor,
+  type ServiceCall,
+  type ServiceCaller,
+} from "@shedtiller/claims";
 import type { ConfigurationProjection, ServiceObject } from "@shedtiller/intent";
 import type { InstanceSettings } from "@shedtiller/settings";
 import type { Timeline } from "@shedtiller/timeline";
@@ -21,7 +26,7 @@
   readonly configuration: ConfigurationProjection;
   readonly accounts: AccountDirectory;
   readonly caller: ServiceCaller;
-  readonly atMostOnce: AtMostOnce<StoredAnswer>;
+  readonly atMostOnceExecutor: AtMostOnceExecutor<StoredAnswer>;
   readonly timeline: Timeline;
   readonly metrics: InstanceMetrics;
   readonly inFlight: InFlightRequests;
@@ -86,7 +91,7 @@
 
   private async _run(call: ServiceCall): Promise<ServiceOutcome> {
     if (call.isRepeatable || call.idempotencyKey === undefined) return this._call(call);
-    return this._structure.atMostOnce.run(call.idempotencyKey, {
+    return this._structure.atMostOnceExecutor.run(call.idempotencyKey, {
       requestId: call.requestId,
       deadlineMs: utils.monotonicMs() + call.timeoutMs,
       signal: call.signal,
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -2,7 +2,7 @@
 export * from "./composeEntry.js";
 export * from "./EntryInstance.js";
 export * from "./InFlightRequests.js";
-export * from "./ModelQueues.js";
+export * from "./PipelineQueues.js";
 export * from "./serviceIdentifiers.js";
 export * from "./secrets.js";
 export * from "./feeds/PipelineDemands.js";
--- a/packages/gateway/src/chains/ChainAdmission.ts
+++ b/packages/gateway/src/chains/ChainAdmission.ts
@@ -189,7 +189,7 @@
     const endpoints = this._endpoints.getUsable(acquisition.service);
     const stages = this._chooser.choose(endpoints, profile, acquisition.demand);
     const first = stages?.[0] && this._endpoints.get(stages[0].endpointId);
-    const permit = first?.tryTakePermit(utils.monotonicMs());
+    const permit = first?.tryAcquirePermit(utils.monotonicMs());
     if (stages === undefined || permit === undefined) return undefined;
     const { promptTokens, answerTokens } = acquisition.demand;
     return new ChainReservation(this._endpoints, stages, promptTokens + answerTokens, permit);
--- a/packages/gateway/src/chains/ChainChooser.ts
+++ b/packages/gateway/src/chains/ChainChooser.ts
@@ -102,7 +102,7 @@
     const tokens = demand.promptTokens + demand.answerTokens;
     const capacity = Math.min(
       getCapacityTokenLayers(endpoint, profile) * usableCapacityShare,
-      endpoint.getSeenFullTokenLayers(nowMs),
+      endpoint.getObservedCapacityTokenLayers(nowMs),
     );
     const load = endpoint.getLoad();
     const tokenUtilization = capacity <= 0 ? 1 : load.tokenLayers / capacity;
--- a/packages/gateway/src/chains/ChainReservation.ts
+++ b/packages/gateway/src/chains/ChainReservation.ts
@@ -48,12 +48,12 @@
     const endpoint = this._endpoints.get(stage.endpointId);
     if (endpoint === undefined) return undefined;
     const tokenLayers = (stage.end - stage.start) * this._tokens;
-    endpoint.addOwn(1, tokenLayers);
+    endpoint.addOwnLoad(1, tokenLayers);
     return { endpoint, tokenLayers };
   }
 
   private _removeLoads(): void {
-    for (const { endpoint, tokenLayers } of this._loads) endpoint.addOwn(-1, -tokenLayers);
+    for (const { endpoint, tokenLayers } of this._loads) endpoint.addOwnLoad(-1, -tokenLayers);
     this._loads = [];
   }
 }
--- a/packages/gateway/src/configuration/ActiveConfiguration.ts
+++ b/packages/gateway/src/configuration/ActiveConfiguration.ts
@@ -35,7 +35,7 @@
   }
 
   /** Resolves once a configuration is loaded, or after `timeoutMs`. */
-  async waitUntilKnown(timeoutMs: number): Promise<void> {
+  async waitUntilLoaded(timeoutMs: number): Promise<void> {
     if (this._table !== undefined) return;
     await waitFor(this._loaded.promise, timeoutMs);
   }
--- a/packages/gateway/src/discovery/CircuitBreaker.ts
+++ b/packages/gateway/src/discovery/CircuitBreaker.ts
@@ -7,7 +7,7 @@
 /** Maximum open time, and thus the interval of probe requests: endpoints that fail this way work again after a few seconds. */
 const maxOpenMs = 4_000;
 /** How long after the open time an endpoint that has not answered since its last failure gets no requests that cannot be retried. */
-const unprovenMs = 5_000;
+const maxRecoveryMs = 5_000;
 
 /**
  * Circuit breaker for one endpoint, based on the requests of this instance. Distinguishes an endpoint that fails every request right away
@@ -60,7 +60,7 @@
   }
 
   /** Returns whether the last request failed. A request that cannot be retried should then go to another endpoint. */
-  isUnproven(nowMs: number): boolean {
-    return this._failures > 0 && nowMs < this._openUntilMs + unprovenMs;
+  isRecovering(nowMs: number): boolean {
+    return this._failures > 0 && nowMs < this._openUntilMs + maxRecoveryMs;
   }
 }
--- a/packages/gateway/src/discovery/Endpoint.ts
+++ b/packages/gateway/src/discovery/Endpoint.ts
@@ -95,7 +95,7 @@
     return { requests, tokenLayers };
   }
 
-  addOwn(requests: number, tokenLayers: number): void {
+  addOwnLoad(requests: number, tokenLayers: number): void {
     this._ownLoad = {
       requests: this._ownLoad.requests + requests,
       tokenLayers: this._ownLoad.tokenLayers + tokenLayers,
@@ -109,7 +109,7 @@
   }
 
   /** Removes the loads of all peers that are not in `peers`. */
-  keepPeerLoads(peers: ReadonlySet<string>): void {
+  retainPeerLoads(peers: ReadonlySet<string>): void {
     for (const peer of this._peerLoads.keys()) if (!peers.has(peer)) this._peerLoads.delete(peer);
   }
 
@@ -120,15 +120,17 @@
    */
   noteFull(nowMs: number): boolean {
     const { tokenLayers } = this.getLoad();
-    const isLower = tokenLayers < this.getSeenFullTokenLayers(nowMs);
+    const isLower = tokenLayers < this.getObservedCapacityTokenLayers(nowMs);
     this._observedCapacity = { tokenLayers, untilMs: nowMs + observedCapacityMs };
     return isLower;
   }
 
   /** Returns the load at which the endpoint recently rejected a request for lack of capacity; infinite if there was no rejection. */
-  getSeenFullTokenLayers(nowMs: number): number {
-    const seen = this._observedCapacity;
-    return seen === undefined || nowMs >= seen.untilMs ? Number.POSITIVE_INFINITY : seen.tokenLayers;
+  getObservedCapacityTokenLayers(nowMs: number): number {
+    const observed = this._observedCapacity;
+    return observed === undefined || nowMs >= observed.untilMs
+      ? Number.POSITIVE_INFINITY
+      : observed.tokenLayers;
   }
 
   /** Returns whether a request may be sent to the endpoint, within its stated limit and outside its requested back-off. */
@@ -137,11 +139,11 @@
     return this.limit?.perSecond === undefined || this.permits.getCount(nowMs) > 0;
   }
 
-  /** Takes the permit to send one request; undefined if none is available now. */
-  tryTakePermit(nowMs: number): SendPermit | undefined {
+  /** Acquires the permit to send one request; undefined if none is available now. */
+  tryAcquirePermit(nowMs: number): SendPermit | undefined {
     if (!this.hasPermit(nowMs)) return undefined;
     const isLimited = this.limit?.perSecond !== undefined;
-    const expiresAtMs = isLimited ? this.permits.tryTake(nowMs) : undefined;
+    const expiresAtMs = isLimited ? this.permits.tryAcquire(nowMs) : undefined;
     if (!isLimited) this.permits.noteUnlimitedSend(nowMs);
     this.backoff.noteSent(nowMs);
     this.circuitBreaker.noteSent(nowMs);
@@ -165,8 +167,8 @@
    * Returns whether the last request to the endpoint failed or its back-off has just ended. A request that cannot be retried should then go
    * to another endpoint.
    */
-  isUnproven(nowMs: number): boolean {
-    return this.circuitBreaker.isUnproven(nowMs) || this.backoff.isUnproven(nowMs);
+  isRecovering(nowMs: number): boolean {
+    return this.circuitBreaker.isRecovering(nowMs) || this.backoff.isRecovering(nowMs);
   }
 
   isSuspect(nowMs: number): boolean {
--- a/packages/gateway/src/discovery/EndpointTable.ts
+++ b/packages/gateway/src/discovery/EndpointTable.ts
@@ -195,7 +195,7 @@
    * Assumes that the peers put the same load on endpoints as this instance, until one of them reports its load. For the first second after
    * a simultaneous start of all instances, none has received the loads of the others, and all choose the same cheapest chains. If callers
    * send requests twice as fast as usual, engines reject 5 % of the requests without this assumption and less than 1 % with it, at 5 % more
-   * time per token (see `ManyChoosersTests`).
+   * time per token (see `ChainChoosingFleetTests`).
    */
   assumePeers(count: number): void {
     if (this._mayAssumePeers) this._assumedPeers.count = count;
@@ -214,8 +214,8 @@
   }
 
   /** Removes the loads of all peers that are not in `peers`, since they can no longer be reached. */
-  keepPeerLoads(peers: ReadonlySet<string>): void {
-    for (const endpoint of this._endpoints.values()) endpoint.keepPeerLoads(peers);
+  retainPeerLoads(peers: ReadonlySet<string>): void {
+    for (const endpoint of this._endpoints.values()) endpoint.retainPeerLoads(peers);
   }
 
   private _setListed(listed: ListedEndpoint, isHeartbeat: boolean): void {
--- a/packages/gateway/src/discovery/LocalPermits.ts
+++ b/packages/gateway/src/discovery/LocalPermits.ts
@@ -34,8 +34,8 @@
     this._expiresAtMs.sort((a, b) => a - b);
   }
 
-  /** Takes a permit and returns the time at which the permit expires; undefined if there is none. */
-  tryTake(nowMs: number): number | undefined {
+  /** Acquires a permit and returns the time at which the permit expires; undefined if there is none. */
+  tryAcquire(nowMs: number): number | undefined {
     this._dropExpired(nowMs);
     const expiresAtMs = this._expiresAtMs.shift();
     if (expiresAtMs !== undefined) this._used += 1;
@@ -53,8 +53,8 @@
     this._unlimitedSends.add(nowMs);
   }
 
-  /** Returns the usage since the last call, and starts counting anew. */
-  takeUsage(nowMs: number): PermitUsage {
+  /** Returns the usage since the last call, and resets the counters. */
+  getAndResetUsage(nowMs: number): PermitUsage {
     this._dropExpired(nowMs);
     // A permit that was reported as used and returned afterwards is deducted from the next usage.
     const usage = {
--- a/packages/gateway/src/logs/DecisionLog.ts
+++ b/packages/gateway/src/logs/DecisionLog.ts
@@ -4,7 +4,7 @@
 export type LogLevel = "info" | "warn" | "error";
 
 /** Writes the log lines that are within the budget. */
-export abstract class LogSink {
+export abstract class LogOutput {
   /** Returns whether the consumer of the output has fallen behind. */
   abstract isBehind(): boolean;
   abstract write(level: LogLevel, event: string, fields: LogFields): void;
@@ -29,7 +29,7 @@
   private readonly _windows = new Map<string, EventWindow>();
 
   constructor(
-    private readonly _sink: LogSink,
+    private readonly _output: LogOutput,
     private readonly _nowMs: () => number,
   ) {}
 
@@ -47,14 +47,14 @@
 
   private _write(level: LogLevel, event: string, fields: LogFields): void {
     const window = this._getWindow(event);
-    if (window.lines >= linesPerSecond[level] || this._sink.isBehind()) {
+    if (window.lines >= linesPerSecond[level] || this._output.isBehind()) {
       window.leftOut += 1;
       return;
     }
     window.lines += 1;
     const { leftOut } = window;
     window.leftOut = 0;
-    this._sink.write(level, event, leftOut === 0 ? fields : { ...fields, leftOut });
+    this._output.write(level, event, leftOut === 0 ? fields : { ...fields, leftOut });
   }
 
   private _getWindow(event: string): EventWindow {
--- a/packages/gateway/src/logs/WinstonSink.ts
+++ b/packages/gateway/src/logs/WinstonSink.ts
@@ -1,11 +1,11 @@
 import * as winston from "winston";
-import { LogSink, type LogFields, type LogLevel } from "./DecisionLog.js";
+import { LogOutput, type LogFields, type LogLevel } from "./DecisionLog.js";
 
 /** Lines are left out while more than this is buffered for the consumer of the output. */
 const maxBufferedBytes = 64 * 1024;
 
 /** Writes log lines to the standard output through winston, one JSON object per line. */
-export class WinstonSink extends LogSink {
+export class WinstonSink extends LogOutput {
   private readonly _logger: winston.Logger;
 
   constructor(
--- a/packages/gateway/src/peers/LoadExchange.ts
+++ b/packages/gateway/src/peers/LoadExchange.ts
@@ -139,7 +139,7 @@
     const retained = this.isCollector
       ? [...this._members.keys(), ...this._otherZones.keys()]
       : [collectedSource];
-    this._structure.endpoints.keepPeerLoads(new Set(retained));
+    this._structure.endpoints.retainPeerLoads(new Set(retained));
   }
 
   private _sendOwn(): void {
--- a/packages/gateway/src/peers/PermitExchange.ts
+++ b/packages/gateway/src/peers/PermitExchange.ts
@@ -173,7 +173,7 @@
   ): LimitDemand | undefined {
     const { demand } = this._structure;
     const { service, isDraining } = endpoint.listed;
-    const usage = endpoint.permits.takeUsage(nowMs);
+    const usage = endpoint.permits.getAndResetUsage(nowMs);
     const localPermits = utils.getSum(sameService.map(({ permits }) => permits.getCount(nowMs)));
     const waiting = isDraining ? 0 : demand.getWaiting(service);
     const ahead = isDraining ? 0 : Math.max(0, this._getExpectedArrivals(service) - localPermits);
--- a/packages/gateway/src/requests/CallerListener.ts
+++ b/packages/gateway/src/requests/CallerListener.ts
@@ -114,7 +114,7 @@
     response.on("error", () => undefined);
     const fields = this._structure.codec.decodeCaller(message.rawHeaders);
     try {
-      await this._structure.activeConfiguration.waitUntilKnown(this._getMaxWaitMs(fields));
+      await this._structure.activeConfiguration.waitUntilLoaded(this._getMaxWaitMs(fields));
       if (response.destroyed) return;
       const admitted = await this._admitWhenFresh(message, fields);
       if (response.destroyed) return;
--- a/packages/gateway/src/requests/PermitQueue.ts
+++ b/packages/gateway/src/requests/PermitQueue.ts
@@ -16,8 +16,8 @@
   readonly accountName: string | undefined;
   readonly maxWaitMs: number;
   readonly signal: AbortSignal;
-  /** Takes a permit and returns it with its endpoint, or returns undefined if no permit is available. */
-  readonly tryTake: () => T | undefined;
+  /** Acquires a permit and returns it with its endpoint, or returns undefined if no permit is available. */
+  readonly tryAcquire: () => T | undefined;
 }
 
 interface Waiter {
@@ -26,7 +26,7 @@
   readonly accountName: string | undefined;
   /** Number of requests of the same account that waited when this one arrived; orders the round robin over the accounts. */
   readonly turn: number;
-  /** Tries to take a permit; returns whether it has taken one. */
+  /** Tries to acquire a permit; returns whether it has acquired one. */
   readonly tryComplete: () => boolean;
   /** Monotonic time at which the maximum wait ends. */
   readonly timeoutAtMs: number;
@@ -55,15 +55,15 @@
     return this._waiters.filter((waiter) => waiter.service === service).length;
   }
 
-  /** Takes a permit when the request's turn comes; returns undefined if the turn would come too late or the caller disconnects. */
+  /** Acquires a permit when the request's turn comes; returns undefined if the turn would come too late or the caller disconnects. */
   async acquire<T>(acquisition: PermitAcquisition<T>): Promise<T | undefined> {
-    const { service, priority, maxWaitMs, tryTake } = acquisition;
+    const { service, priority, maxWaitMs, tryAcquire } = acquisition;
     const turn = this._countWaitingOfAccount(acquisition);
     const ahead = this._waiters.filter(
       (waiter) => waiter.service === service && !isBefore({ priority, turn }, waiter),
     ).length;
-    const taken = ahead === 0 ? tryTake() : undefined;
-    if (taken !== undefined) return taken;
+    const acquired = ahead === 0 ? tryAcquire() : undefined;
+    if (acquired !== undefined) return acquired;
     const expectedMs = this._forecast.getWaitMs(service, ahead);
     if (expectedMs > maxWaitMs || this._waiters.length >= maxWaiters) return undefined;
     return this._wait(acquisition, turn);
@@ -71,7 +71,7 @@
 
   private async _wait<T>(acquisition: PermitAcquisition<T>, turn: number): Promise<T | undefined> {
     const done = new utils.Deferred<T | undefined>();
-    const { service, priority, maxWaitMs, signal, tryTake, accountName } = acquisition;
+    const { service, priority, maxWaitMs, signal, tryAcquire, accountName } = acquisition;
     const cancel = (): void => done.resolve(undefined);
     const waiter: Waiter = {
       service,
@@ -81,19 +81,19 @@
       turn,
       accountName,
       tryComplete: () => {
-        const taken = tryTake();
-        if (taken !== undefined) done.resolve(taken);
-        return taken !== undefined;
+        const acquired = tryAcquire();
+        if (acquired !== undefined) done.resolve(acquired);
+        return acquired !== undefined;
       },
     };
     const timer = setTimeout(cancel, maxWaitMs);
     signal.addEventListener("abort", cancel, { once: true });
     this._add(waiter);
-    const taken = await done.promise;
+    const acquired = await done.promise;
     clearTimeout(timer);
     signal.removeEventListener("abort", cancel);
     this._remove(waiter);
-    return taken;
+    return acquired;
   }
 
   private _add(waiter: Waiter): void {
--- a/packages/gateway/src/requests/PlainForwarder.ts
+++ b/packages/gateway/src/requests/PlainForwarder.ts
@@ -45,13 +45,13 @@
   }
 
   async run(request: CallerRequest, service: string): Promise<void> {
-    const tried = new Set<string>();
+    const excluded = new Set<string>();
     let lastAnswer: BufferedAnswer | undefined;
     let hasRun = false;
     for (;;) {
       if (await this.refuseIfQuarantined(request, hasRun)) return;
       if (request.getRemainingMs() < minSendMs) break;
-      const choice = await this._choose(request, service, tried, lastAnswer === undefined);
+      const choice = await this._choose(request, service, excluded, lastAnswer === undefined);
       if (request.signal.aborted) return choice?.permit.release();
       if (choice === undefined) break;
       const { endpoint, permit } = choice;
@@ -59,7 +59,7 @@
         permit.release();
         continue;
       }
-      tried.add(endpoint.id);
+      excluded.add(endpoint.id);
       const run = { request, endpointId: endpoint.id, hasBegun: true, firstEventAtMs: undefined };
       this.context.crashes.begin(run);
       const outcome = await this._send(request, endpoint, permit);
@@ -75,7 +75,7 @@
       if (outcome.kind !== "not-run") hasRun = true;
       this._logFailedSend(request, endpoint, outcome);
       const mayRepeat = request.isIdempotent || !hasRun;
-      if (!mayRepeat || (request.attempts > 0 && !this.tryTakeRetry(request, service))) break;
+      if (!mayRepeat || (request.attempts > 0 && !this.tryWithdrawRetry(request, service))) break;
     }
     this._end(request, service, lastAnswer, hasRun);
   }
@@ -89,52 +89,56 @@
     return !isQuarantined && request.getRemainingMs() >= minSendMs;
   }
 
-  /** Takes an endpoint with a permit. Waits for a permit if `mayWait` is set and an untried endpoint has none. */
+  /** Picks an endpoint and acquires a permit for it. Waits if `mayWait` is set and an endpoint that is not excluded has no permit. */
   private async _choose(
     request: CallerRequest,
     service: string,
-    tried: ReadonlySet<string>,
+    excluded: ReadonlySet<string>,
     mayWait: boolean,
   ): Promise<PlainChoice | undefined> {
     return this._queue.acquire({
       service,
       priority: request.priority,
       accountName: request.account?.name,
-      maxWaitMs: mayWait && this._lacksPermits(service, tried) ? request.getRemainingMs() - minSendMs : 0,
+      maxWaitMs: mayWait && this._lacksPermits(service, excluded) ? request.getRemainingMs() - minSendMs : 0,
       signal: request.signal,
-      tryTake: () => this._tryTake(request, service, tried),
+      tryAcquire: () => this._tryAcquire(request, service, excluded),
     });
   }
 
-  private _tryTake(
+  private _tryAcquire(
     request: CallerRequest,
     service: string,
-    tried: ReadonlySet<string>,
+    excluded: ReadonlySet<string>,
   ): PlainChoice | undefined {
-    const endpoint = this._pick(request, service, tried);
-    const permit = endpoint?.tryTakePermit(utils.monotonicMs());
+    const endpoint = this._pick(request, service, excluded);
+    const permit = endpoint?.tryAcquirePermit(utils.monotonicMs());
     return endpoint === undefined || permit === undefined ? undefined : { endpoint, permit };
   }
 
-  /** Returns whether an untried endpoint has no permit now. */
-  private _lacksPermits(service: string, tried: ReadonlySet<string>): boolean {
+  /** Returns whether an endpoint that is not excluded has no permit now. */
+  private _lacksPermits(service: string, excluded: ReadonlySet<string>): boolean {
     const nowMs = utils.monotonicMs();
-    const untried = this.context.endpoints.getUsable(service).filter(({ id }) => !tried.has(id));
-    return untried.some((endpoint) => !endpoint.hasPermit(nowMs));
+    const candidates = this.context.endpoints.getUsable(service).filter(({ id }) => !excluded.has(id));
+    return candidates.some((endpoint) => !endpoint.hasPermit(nowMs));
   }
 
   /**
    * Returns the least loaded endpoint. A request that may have crashed an endpoint goes to one without other such requests if possible,
    * so that a further crash can be attributed to a single request.
    */
-  private _pick(request: CallerRequest, service: string, tried: ReadonlySet<string>): Endpoint | undefined {
+  private _pick(
+    request: CallerRequest,
+    service: string,
+    excluded: ReadonlySet<string>,
+  ): Endpoint | undefined {
     const nowMs = utils.monotonicMs();
     const avoided = this.context.crashes.getAvoidedEndpointIds(request);
     const mayProbe = hasRetryLeft(request);
-    const pick = (excluded: ReadonlySet<string>): Endpoint | undefined =>
-      pickPlainEndpoint(this.context, { service, tried: excluded, mayProbe }, nowMs);
-    const isolated = avoided.length === 0 ? undefined : pick(new Set([...tried, ...avoided]));
-    return isolated ?? pick(tried);
+    const pick = (excludedIds: ReadonlySet<string>): Endpoint | undefined =>
+      pickPlainEndpoint(this.context, { service, excluded: excludedIds, mayProbe }, nowMs);
+    const isolated = avoided.length === 0 ? undefined : pick(new Set([...excluded, ...avoided]));
+    return isolated ?? pick(excluded);
   }
 
   private _end(
@@ -176,7 +180,7 @@
       ? Math.min(remainingMs, request.route.targetLatencyMs * resendAfterShare)
       : remainingMs;
     const isFresh = request.route.kind !== "safe" || request.attempts > 0;
-    endpoint.addOwn(1, 0);
+    endpoint.addOwnLoad(1, 0);
     request.attempts += 1;
     const sentAtMs = utils.monotonicMs();
     const result = await this.context.httpClient.fetch(
@@ -184,7 +188,7 @@
       maxAnswerBytes,
       Math.max(1, remainingMs),
     );
-    endpoint.addOwn(-1, 0);
+    endpoint.addOwnLoad(-1, 0);
     if (result.err && result.val instanceof errors.NotReachedError) permit.release();
     if (result.err && result.val instanceof errors.ConnectionLostError)
       endpoint.circuitBreaker.noteFailed(sentAtMs, utils.monotonicMs());
--- a/packages/gateway/src/requests/RequestForwarder.ts
+++ b/packages/gateway/src/requests/RequestForwarder.ts
@@ -122,12 +122,13 @@
   }
 
   /**
-   * Takes a retry from the budget of the service if the request has attempts and time left; returns whether the request may be sent again.
+   * Withdraws a retry from the budget of the service if the request has attempts and time left.
+   * @returns Whether the request may be sent again.
    */
-  protected tryTakeRetry(request: CallerRequest, service: string): boolean {
+  protected tryWithdrawRetry(request: CallerRequest, service: string): boolean {
     if (request.attempts >= request.route.maxAttempts) return false;
     if (request.getRemainingMs() <= 0 || request.signal.aborted) return false;
-    return this.context.budgets.tryTake(service);
+    return this.context.budgets.tryWithdraw(service);
   }
 }
 
--- a/packages/gateway/src/requests/RetryBudgets.ts
+++ b/packages/gateway/src/requests/RetryBudgets.ts
@@ -75,8 +75,8 @@
     this._get(service).requests.add(this._nowMs());
   }
 
-  /** Takes a retry for a service from the budget; returns false if the budget is exhausted. */
-  tryTake(service: string): boolean {
+  /** Withdraws a retry for a service from the budget; returns false if the budget is exhausted. */
+  tryWithdraw(service: string): boolean {
     const nowMs = this._nowMs();
     const { requests, retries } = this._get(service);
     const { ratio, slack } = this._options;
--- a/packages/gateway/src/requests/StreamForwarder.ts
+++ b/packages/gateway/src/requests/StreamForwarder.ts
@@ -101,7 +101,7 @@
       if (end === "lost") hasRun = true;
       const mayRepeat = !hasRun || request.isIdempotent;
       const isUnsent = request.attempts === 0;
-      if (mayRepeat && (isUnsent || this.tryTakeRetry(request, service))) continue;
+      if (mayRepeat && (isUnsent || this.tryWithdrawRetry(request, service))) continue;
       this._refuse(request, service, hasRun, hasRun ? "outcome-unknown" : "not-run");
     }
   }
@@ -266,7 +266,8 @@
    *
    * An engine that rejects immediately lacks memory or is unloading the layers. For a short time neither this instance nor its peers
    * put more than the current load on that engine; without the report to the peers, each of them would be rejected as well. At 1.5 times
-   * the requests that a zone can handle, 3 in 100 sends are rejected with the report and 24 in 100 without it (see `ManyChoosersTests`).
+   * the requests that a zone can handle, 3 in 100 sends are rejected with the report and 24 in 100 without it (see
+   * `ChainChoosingFleetTests`).
    *
    * A rejection after a long wait names an engine that does not respond, so that engine is reported to the failure detector.
    */
--- a/packages/gateway/src/requests/pickPlainEndpoint.ts
+++ b/packages/gateway/src/requests/pickPlainEndpoint.ts
@@ -16,7 +16,7 @@
 export interface PlainEndpointQuery {
   readonly service: string;
   /** Ids of the endpoints that are excluded. */
-  readonly tried: ReadonlySet<string>;
+  readonly excluded: ReadonlySet<string>;
   /** Whether the request can be retried, and may therefore probe an endpoint whose last request failed or whose back-off just ended. */
   readonly mayProbe: boolean;
 }
@@ -24,13 +24,13 @@
 /** Returns the endpoint with the lowest cost among those that are not excluded and have a permit; the first in the table wins a tie. */
 export function pickPlainEndpoint(
   context: { readonly endpoints: EndpointTable; readonly availabilityZone: string },
-  { service, tried, mayProbe }: PlainEndpointQuery,
+  { service, excluded, mayProbe }: PlainEndpointQuery,
   nowMs: number,
 ): Endpoint | undefined {
   const isDoubtful = (endpoint: Endpoint): boolean =>
     endpoint.isSuspect(nowMs) ||
     endpoint.circuitBreaker.isBlocked(nowMs) ||
-    (!mayProbe && endpoint.isUnproven(nowMs));
+    (!mayProbe && endpoint.isRecovering(nowMs));
   const cost = (endpoint: Endpoint): number =>
     endpoint.getLoad().requests +
     (endpoint.listed.availabilityZone === context.availabilityZone ? 0 : otherZonePenalty) -
@@ -38,7 +38,7 @@
     (isDoubtful(endpoint) ? suspectPenalty : 0);
   let best: Endpoint | undefined;
   for (const endpoint of context.endpoints.getUsable(service)) {
-    if (tried.has(endpoint.id) || !endpoint.hasPermit(nowMs)) continue;
+    if (excluded.has(endpoint.id) || !endpoint.hasPermit(nowMs)) continue;
     if (best === undefined || cost(endpoint) < cost(best)) best = endpoint;
   }
   return best;
--- a/packages/gateway/src/tests/RecordingSink.ts
+++ b/packages/gateway/src/tests/RecordingSink.ts
@@ -1,7 +1,7 @@
-import { LogSink, type LogLevel } from "../logs/DecisionLog.js";
+import { LogOutput, type LogLevel } from "../logs/DecisionLog.js";
 
 /** Records the level and the event name of each log line. */
-export class RecordingSink extends LogSink {
+export class RecordingSink extends LogOutput {
   readonly events: string[] = [];
 
   override isBehind(): boolean {
--- a/packages/gateway/src/tests/SilentSink.ts
+++ b/packages/gateway/src/tests/SilentSink.ts
@@ -1,7 +1,7 @@
-import { LogSink } from "../logs/DecisionLog.js";
+import { LogOutput } from "../logs/DecisionLog.js";
 
 /** Discards all log lines. */
-export class SilentSink extends LogSink {
+export class SilentSink extends LogOutput {
   override isBehind(): boolean {
     return true;
   }
--- a/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
+++ b/packages/gateway/src/tests/chains/ChainAdmissionTests.ts
@@ -7,7 +7,7 @@
 import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { createConfiguration, createListed, profile } from "../testData.js";
-import { createPermitParts } from "../createPermitParts.js";
+import { createPermitDependencies } from "../createPermitDependencies.js";
 
 const longMs = 60_000;
 
@@ -18,7 +18,7 @@
   const activeConfiguration = new ActiveConfiguration();
   const services = [{ name: "engines", healthPath: "/", maxConnections: 10, engine: profile }];
   activeConfiguration.accept({ ...createConfiguration(1), services });
-  const { demand, forecast } = createPermitParts(endpoints);
+  const { demand, forecast } = createPermitDependencies(endpoints);
   const admission = new ChainAdmission(activeConfiguration, endpoints, new ChainChooser(), demand, forecast);
   const served: string[] = [];
   const acquire = async (name: string, changes: Partial<ChainAcquisition> = {}) => {
--- a/packages/gateway/src/tests/chains/ChainChooserTests.ts
+++ b/packages/gateway/src/tests/chains/ChainChooserTests.ts
@@ -34,7 +34,7 @@
 
 test("an engine without free capacity is not used", (t) => {
   const full = createEngine("a", 0, 4);
-  full.addOwn(1, getCapacityTokenLayers(full, profile));
+  full.addOwnLoad(1, getCapacityTokenLayers(full, profile));
   const other = createEngine("b", 0, 4, { kind: "slow" });
   t.is(describe(chooser.choose([full, other], profile, demand)), "b=0-4");
   t.is(chooser.choose([full], profile, demand), undefined);
@@ -44,7 +44,7 @@
   const full = createEngine("a", 0, 4);
   full.setPeerLoad("peer", { requests: 9, tokenLayers: getCapacityTokenLayers(full, profile) });
   t.is(chooser.choose([full], profile, demand), undefined);
-  full.keepPeerLoads(new Set());
+  full.retainPeerLoads(new Set());
   t.is(describe(chooser.choose([full], profile, demand)), "a=0-4");
 });
 
@@ -79,9 +79,9 @@
   const start = createEngine("a", 0, 2);
   const end = createEngine("b", 2, 4, { availabilityZone: "west" });
   const full = createEngine("c", 0, 2, { availabilityZone: "west" });
-  full.addOwn(1, getCapacityTokenLayers(full, profile));
+  full.addOwnLoad(1, getCapacityTokenLayers(full, profile));
   t.is(describe(chooser.choose([start, end, full], profile, demand)), "a=0-2,b=2-4");
-  end.addOwn(1, getCapacityTokenLayers(end, profile) / 2);
+  end.addOwnLoad(1, getCapacityTokenLayers(end, profile) / 2);
   t.is(chooser.choose([start, end, full], profile, demand), undefined);
   t.is(describe(chooser.choose([start, end], profile, demand)), "a=0-2,b=2-4", "west cannot run all layers");
 });
@@ -89,9 +89,9 @@
 test("an engine without free slots cannot be the first of a chain, but can be a later one", (t) => {
   const busy = createEngine("a", 0, 4);
   const other = createEngine("b", 0, 2, { kind: "slow" });
-  busy.addOwn(busy.listed.slots - 1, 0);
+  busy.addOwnLoad(busy.listed.slots - 1, 0);
   t.is(describe(chooser.choose([busy, other], profile, demand)), "a=0-4");
-  busy.addOwn(1, 0);
+  busy.addOwnLoad(1, 0);
   t.is(describe(chooser.choose([busy, other], profile, demand)), "b=0-2,a=2-4");
   t.is(chooser.choose([busy], profile, demand), undefined);
   const moved = chooser.choose([busy, other], profile, { ...demand, firstEndpointId: "a", firstEnd: 4 });
@@ -152,14 +152,14 @@
   const timedChooser = new ChainChooser(() => clock.nowMs);
   const engine = createEngine("a", 0, 4);
   const choose = (): string | undefined => describe(timedChooser.choose([engine], profile, demand));
-  engine.addOwn(2, 80);
+  engine.addOwnLoad(2, 80);
   t.is(choose(), "a=0-4");
   t.true(engine.noteFull(clock.nowMs));
   t.false(engine.noteFull(clock.nowMs), "already known at this load");
   t.is(choose(), undefined);
-  engine.addOwn(-1, -40);
+  engine.addOwnLoad(-1, -40);
   t.is(choose(), "a=0-4", "the released load is available again");
-  engine.addOwn(1, 40);
+  engine.addOwnLoad(1, 40);
   t.is(choose(), undefined);
   clock.nowMs += 1_999;
   t.is(choose(), undefined);
--- a/packages/gateway/src/tests/createPermitParts.ts
+++ b/packages/gateway/src/tests/createPermitDependencies.ts
@@ -3,13 +3,13 @@
 import { RequestDemand } from "../requests/RequestDemand.js";
 
 /** Dependencies of forwarders that concern permits. */
-export interface PermitParts {
+export interface PermitDependencies {
   readonly demand: RequestDemand;
   readonly forecast: PermitForecast;
 }
 
 /** Creates the permit dependencies of an instance without peers. */
-export function createPermitParts(endpoints: EndpointTable): PermitParts {
+export function createPermitDependencies(endpoints: EndpointTable): PermitDependencies {
   const demand = new RequestDemand();
   const forecast = new PermitForecast({ endpoints, demand, getInstanceCount: () => 1 });
   return { demand, forecast };
--- a/packages/gateway/src/tests/discovery/CircuitBreakerTests.ts
+++ b/packages/gateway/src/tests/discovery/CircuitBreakerTests.ts
@@ -55,10 +55,10 @@
 
 test("after a failure a request that can't be retried is sent only after an answer, or after several seconds", (t) => {
   const breaker = new CircuitBreaker();
-  t.false(breaker.isUnproven(0));
+  t.false(breaker.isRecovering(0));
   breaker.noteFailed(0, 1);
-  t.true(breaker.isUnproven(1_000));
-  t.false(breaker.isUnproven(6_000));
+  t.true(breaker.isRecovering(1_000));
+  t.false(breaker.isRecovering(6_000));
   breaker.noteAnswered(2_000);
-  t.false(breaker.isUnproven(2_000));
+  t.false(breaker.isRecovering(2_000));
 });
--- a/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointLivesTests.ts
@@ -27,7 +27,7 @@
 test("an endpoint that restarted between two entries is replaced, without the previous load, suspicion and layers", (t) => {
   const { clock, table, events, list } = setUp();
   const before = table.get("a");
-  before?.addOwn(3, 300);
+  before?.addOwnLoad(3, 300);
   before?.noteFull(clock.nowMs);
   before?.setPeerLoad("collected", { requests: 2, tokenLayers: 20 });
   table.suspect("a");
@@ -36,7 +36,7 @@
   t.not(after, before);
   t.deepEqual(after?.getLoad(), { requests: 0, tokenLayers: 0 });
   t.false(after?.isSuspect(clock.nowMs));
-  t.is(after?.getSeenFullTokenLayers(clock.nowMs), Number.POSITIVE_INFINITY);
+  t.is(after?.getObservedCapacityTokenLayers(clock.nowMs), Number.POSITIVE_INFINITY);
   t.deepEqual(after?.listed.layers, []);
   t.deepEqual(events, ["added", "suspected", "restarted", "added"]);
 });
--- a/packages/gateway/src/tests/discovery/EndpointTableTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointTableTests.ts
@@ -80,7 +80,7 @@
   const createTable = (): EndpointTable => {
     const table = new EndpointTable(() => 0);
     table.setAll(new Map([["e1", createListed("e1")]]));
-    table.get("e1")?.addOwn(2, 50);
+    table.get("e1")?.addOwnLoad(2, 50);
     table.assumePeers(3);
     return table;
   };
--- a/packages/gateway/src/tests/logs/DecisionLogTests.ts
+++ b/packages/gateway/src/tests/logs/DecisionLogTests.ts
@@ -1,8 +1,8 @@
 /** Tests that the volume of the log is bounded, and that lines that were left out are counted. */
 import test from "ava";
-import { DecisionLog, LogSink, type LogFields, type LogLevel } from "../../logs/DecisionLog.js";
+import { DecisionLog, LogOutput, type LogFields, type LogLevel } from "../../logs/DecisionLog.js";
 
-class CollectingSink extends LogSink {
+class CollectingSink extends LogOutput {
   readonly lines: { level: LogLevel; event: string; fields: LogFields }[] = [];
   isSlow = false;
 
--- a/packages/gateway/src/tests/patterns/ManyChoosers.ts
+++ b/packages/gateway/src/tests/patterns/ChainChoosingFleet.ts
@@ -29,8 +29,8 @@
 /** Requests before this time are not counted, since the zone is not yet filled. */
 const warmUpMs = 5_000;
 
-/** Options of {@link ManyChoosers}. */
-export interface ManyChoosersOptions {
+/** Options of {@link ChainChoosingFleet}. */
+export interface ChainChoosingFleetOptions {
   readonly profile: EngineProfile;
   /** Number of engines by kind. */
   readonly engines: Readonly<Record<string, number>>;
@@ -47,7 +47,7 @@
 }
 
 /** Result of a simulation. */
-export interface ManyChoosersResult {
+export interface ChainChoosingFleetResult {
   readonly requests: number;
   /** Number of requests that an engine of their first chain rejected for lack of capacity. */
   readonly refused: number;
@@ -72,7 +72,7 @@
 }
 
 /** Simulates the requests of one zone. */
-export class ManyChoosers {
+export class ChainChoosingFleet {
   private _nowMs = 0;
   private readonly _random: utils.RandomSource;
   /** The endpoints with their actual load. */
@@ -88,7 +88,7 @@
   private readonly _counts = { requests: 0, refused: 0, withoutChain: 0, queued: 0, tokenMs: 0, stages: 0 };
   private readonly _starts = new Map<string, number>();
 
-  constructor(private readonly _options: ManyChoosersOptions) {
+  constructor(private readonly _options: ChainChoosingFleetOptions) {
     this._random = new utils.RandomSource(_options.seed);
     const listed = planZone(_options);
     this._actual = createTable(listed, () => this._nowMs);
@@ -100,7 +100,7 @@
     );
   }
 
-  run(): ManyChoosersResult {
+  run(): ChainChoosingFleetResult {
     const { durationMs, requestsPerSecond } = this._options;
     const perTick = (requestsPerSecond * tickMs) / utils.msPerSecond;
     let nextReportMs = 0;
@@ -215,7 +215,7 @@
     return { tokenMs, prefillMs };
   }
 
-  private _getResult(): ManyChoosersResult {
+  private _getResult(): ChainChoosingFleetResult {
     const { requests, refused, withoutChain, queued, tokenMs, stages } = this._counts;
     const firsts = this._actual.getAll().filter((endpoint) => endpoint.listed.layers[0]?.start === 0);
     const started = utils.getSum([...this._starts.values()]);
@@ -233,7 +233,7 @@
 }
 
 /** Creates the engines of a zone with the layers that the planner assigns to them. */
-function planZone({ profile, engines }: ManyChoosersOptions): ListedEndpoint[] {
+function planZone({ profile, engines }: ChainChoosingFleetOptions): ListedEndpoint[] {
   const model = toCopyModel(profile);
   const members = Object.entries(engines).flatMap(([kind, count]) =>
     Array.from({ length: count }, (_value, index) => {
--- a/packages/gateway/src/tests/patterns/ManyChoosersTests.ts
+++ b/packages/gateway/src/tests/patterns/ChainChoosingFleetTests.ts
@@ -6,7 +6,7 @@
 import { utils } from "@shedtiller/common";
 import test from "ava";
 import { largeProfile, largeZones } from "./largeFleet.js";
-import { ManyChoosers, type ManyChoosersResult } from "./ManyChoosers.js";
+import { ChainChoosingFleet, type ChainChoosingFleetResult } from "./ChainChoosingFleet.js";
 
 const durationMs = 20_000;
 /** Exceeds the rate of a usual burst, so that engines run out of capacity. */
@@ -16,7 +16,7 @@
   zone: (typeof largeZones)[number],
   load: number,
   areRefusalsBroadcast: boolean,
-): ManyChoosersResult {
+): ChainChoosingFleetResult {
   const requestsPerSecond = zone.requestsPerSecond * load;
   const options = {
     ...zone,
@@ -26,7 +26,7 @@
     seed: 1,
     areRefusalsBroadcast,
   };
-  return new ManyChoosers(options).run();
+  return new ChainChoosingFleet(options).run();
 }
 
 for (const zone of largeZones) {
@@ -49,7 +49,7 @@
       `${broadcast.refused} rejected instead of ${alone.refused}`,
     );
     // A request without a chain only waits for capacity. Yet the broadcast must not leave much capacity unused.
-    const getWithout = (result: ManyChoosersResult): number => result.refused + result.withoutChain;
+    const getWithout = (result: ChainChoosingFleetResult): number => result.refused + result.withoutChain;
     t.true(
       getWithout(broadcast) < getWithout(alone) * 1.3,
       `${getWithout(broadcast)} instead of ${getWithout(alone)}`,
@@ -65,7 +65,7 @@
 function simulateStartup(getAssumed: (instances: number) => number): number {
   const results = largeZones.flatMap((zone) =>
     startupSeeds.map((seed) =>
-      new ManyChoosers({
+      new ChainChoosingFleet({
         ...zone,
         profile: largeProfile,
         requestsPerSecond: zone.requestsPerSecond * retryFactor,
--- a/packages/gateway/src/tests/patterns/LimitedFleet.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleet.ts
@@ -332,19 +332,19 @@
     const { availabilityZone } = identity;
     const endpoint = pickPlainEndpoint(
       { endpoints, availabilityZone },
-      { service, tried: new Set(), mayProbe: true },
+      { service, excluded: new Set(), mayProbe: true },
       nowMs,
     );
-    if (endpoint?.tryTakePermit(nowMs) === undefined) return false;
+    if (endpoint?.tryAcquirePermit(nowMs) === undefined) return false;
     this._send(instance, endpoint, nowMs);
     return true;
   }
 
   private _send(instance: Instance, endpoint: Endpoint, sentAtMs: number): void {
-    endpoint.addOwn(1, 0);
+    endpoint.addOwnLoad(1, 0);
     this._clock.at(sentAtMs + messageMs, () => this.arrivalsAtMs.get(endpoint.id)?.push(this._clock.nowMs()));
     this._clock.at(sentAtMs + answerMs, () => {
-      endpoint.addOwn(-1, 0);
+      endpoint.addOwnLoad(-1, 0);
       this.served += 1;
       const perSecond = this._limitsPerSecond.get(endpoint.id);
       const stated: StatedLimit = perSecond === undefined ? { kind: "none" } : { kind: "named", perSecond };
--- a/packages/gateway/src/tests/peers/LoadExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/LoadExchangeTests.ts
@@ -68,7 +68,7 @@
 
 function createLoadedFleet(): Fleet {
   const fleet = new Fleet({ east, west });
-  for (const { endpoints } of fleet.instances) endpoints.get("engine")?.addOwn(1, 10);
+  for (const { endpoints } of fleet.instances) endpoints.get("engine")?.addOwnLoad(1, 10);
   return fleet;
 }
 
@@ -113,7 +113,7 @@
 test("a request that has ended no longer counts as load at any instance", (t) => {
   const fleet = createLoadedFleet();
   fleet.run(6);
-  fleet.get("b").endpoints.get("engine")?.addOwn(-1, -10);
+  fleet.get("b").endpoints.get("engine")?.addOwnLoad(-1, -10);
   fleet.run(6);
   for (const { name } of fleet.instances) t.is(fleet.getRequests(name), east.length + west.length - 1, name);
 });
@@ -131,7 +131,7 @@
 test("an instance that was suspended neither drops the others' load nor excludes its collector", (t) => {
   const zone = ["a", "b", "c"];
   const fleet = new Fleet({ east: zone });
-  for (const name of zone) fleet.get(name).endpoints.get("engine")?.addOwn(2, 10);
+  for (const name of zone) fleet.get(name).endpoints.get("engine")?.addOwnLoad(2, 10);
   fleet.run(6);
   const [collector = ""] = fleet.getCollectors(zone);
   const suspendedNames = [collector, zone.find((name) => name !== collector) ?? ""];
--- a/packages/gateway/src/tests/peers/PeerExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PeerExchangeTests.ts
@@ -72,10 +72,10 @@
   const near = join(network, "b");
   const far = join(network, "c", "west");
   for (const { endpoints } of [near, far]) endpoints.setAll(new Map([["e", createListed("e")]]));
-  near.endpoints.get("e")?.addOwn(1, 40);
+  near.endpoints.get("e")?.addOwnLoad(1, 40);
   sender.exchange.broadcastFull("e");
-  t.is(near.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), 40);
-  t.is(far.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), Number.POSITIVE_INFINITY);
+  t.is(near.endpoints.get("e")?.getObservedCapacityTokenLayers(utils.monotonicMs()), 40);
+  t.is(far.endpoints.get("e")?.getObservedCapacityTokenLayers(utils.monotonicMs()), Number.POSITIVE_INFINITY);
 });
 
 test("a restart that one instance has seen reaches all instances, and notices about the previous life are ignored", (t) => {
@@ -93,5 +93,8 @@
   sender.exchange.broadcastFull("e");
   t.false(behind.endpoints.get("e")?.isSuspect(utils.monotonicMs()));
   t.is(behind.endpoints.get("e")?.slowness, 1);
-  t.is(behind.endpoints.get("e")?.getSeenFullTokenLayers(utils.monotonicMs()), Number.POSITIVE_INFINITY);
+  t.is(
+    behind.endpoints.get("e")?.getObservedCapacityTokenLayers(utils.monotonicMs()),
+    Number.POSITIVE_INFINITY,
+  );
 });
--- a/packages/gateway/src/tests/peers/PermitExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PermitExchangeTests.ts
@@ -68,7 +68,7 @@
   t.is(fixture.permitRequests.length, 1, "without waiting requests every second tick sends a permit request");
   t.deepEqual([fixture.permitRequests[0]?.lending, fixture.permitRequests[0]?.known], [1, 8]);
   t.is(fixture.countPermits(), 2);
-  t.truthy(fixture.endpoints.get("engine")?.tryTakePermit(fixture.nowMs));
+  t.truthy(fixture.endpoints.get("engine")?.tryAcquirePermit(fixture.nowMs));
   fixture.nowMs += 1_000;
   t.is(fixture.countPermits(), 0);
   for (let tick = 0; tick < 2; tick++) await fixture.exchange.tick();
@@ -89,7 +89,7 @@
 
 test("requests that were sent before the limit was known are reported once", async (t) => {
   const fixture = new Fixture();
-  fixture.endpoints.get("engine")?.tryTakePermit(fixture.nowMs);
+  fixture.endpoints.get("engine")?.tryAcquirePermit(fixture.nowMs);
   fixture.limit();
   for (let tick = 0; tick < 4; tick++) await fixture.exchange.tick();
   t.deepEqual(
--- a/packages/gateway/src/tests/peers/toMember.ts
+++ b/packages/gateway/src/tests/peers/toMember.ts
@@ -6,7 +6,7 @@
     address: "",
     isLeaving: false,
     lostSinceMs: undefined,
-    unlinkedSinceMs: 0,
+    lostSinceMonotonicMs: 0,
     heartbeat: {},
   };
   return { ...peer, ...unknown };
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -37,7 +37,7 @@
 import { StallMonitor } from "../../requests/StallMonitor.js";
 import { StreamForwarder } from "../../requests/StreamForwarder.js";
 import { createConfiguration, createListed, profile } from "../testData.js";
-import { createPermitParts } from "../createPermitParts.js";
+import { createPermitDependencies } from "../createPermitDependencies.js";
 import { SilentSink } from "../SilentSink.js";
 
 /** A timeout that no test reaches, so that the speed of a test does not affect its result. */
@@ -153,7 +153,7 @@
     const budgets = new RetryBudgets({ ratio: 1, slack: 1_000, windowMs: 10_000 });
     budgets.setInstanceCount(1);
     const codec = new TestCodec();
-    const permits = createPermitParts(this.endpoints);
+    const permits = createPermitDependencies(this.endpoints);
     const context = {
       activeConfiguration: this.activeConfiguration,
       endpoints: this.endpoints,
--- a/packages/gateway/src/tests/requests/PermitQueueTests.ts
+++ b/packages/gateway/src/tests/requests/PermitQueueTests.ts
@@ -22,7 +22,7 @@
       accountName: "farm",
       maxWaitMs: longMs,
       signal: new AbortController().signal,
-      tryTake: () => (this.permits > 0 ? this._take(name) : undefined),
+      tryAcquire: () => (this.permits > 0 ? this._take(name) : undefined),
       ...changes,
     });
   }
--- a/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
+++ b/packages/gateway/src/tests/requests/RetryBudgetsTests.ts
@@ -4,11 +4,11 @@
 
 const options = { ratio: 0.2, slack: 200, windowMs: 10_000 };
 
-/** Takes retries until the budget is exhausted; returns their number. */
+/** Withdraws retries until the budget is exhausted; returns their number. */
 function exhaust(budgets: RetryBudgets): number {
-  let taken = 0;
-  while (budgets.tryTake("s")) taken += 1;
-  return taken;
+  let withdrawn = 0;
+  while (budgets.tryWithdraw("s")) withdrawn += 1;
+  return withdrawn;
 }
 
 function create(instances: number): RetryBudgets {
@@ -43,7 +43,7 @@
   const budgets = new RetryBudgets({ ...options, slack: 354 }, () => 0);
   budgets.setInstanceCount(85);
   budgets.recordRequest("s");
-  t.true(budgets.tryTake("s"));
+  t.true(budgets.tryWithdraw("s"));
 });
 
 for (const instances of [1, 8, 85, 340]) {
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -20,7 +20,7 @@
 import { StreamAttempt } from "../../requests/StreamAttempt.js";
 import { StreamProgress } from "../../requests/StreamProgress.js";
 import { createConfiguration, createListed, createRoute, profile } from "../testData.js";
-import { createPermitParts } from "../createPermitParts.js";
+import { createPermitDependencies } from "../createPermitDependencies.js";
 import { FakeEngines } from "../FakeEngines.js";
 import { SilentSink } from "../SilentSink.js";
 
@@ -80,7 +80,7 @@
       broadcast: () => undefined,
       getTrialRank: () => 0,
     }),
-    ...createPermitParts(endpoints),
+    ...createPermitDependencies(endpoints),
     statements: { noteAnswer: () => undefined },
     broadcastFull: () => undefined,
   };
@@ -135,7 +135,7 @@
   if (first === undefined) return t.fail();
   const capacity = getCapacityTokenLayers(first, profile);
   // The whole usable capacity is taken, including the reservation of this stream.
-  first.addOwn(1, Math.floor(capacity * 0.92) - first.ownLoad.tokenLayers);
+  first.addOwnLoad(1, Math.floor(capacity * 0.92) - first.ownLoad.tokenLayers);
   await monitor.check();
   t.deepEqual(orders.chains, ["a,c"]);
 });
--- a/packages/lease/src/LeaseHolder.ts
+++ b/packages/lease/src/LeaseHolder.ts
@@ -50,7 +50,7 @@
     const { projection, lease, durationMs, log, follower, timeline } = this._structure;
     const startMs = utils.monotonicMs();
     const current = projection.getLease(lease);
-    if (current !== undefined && current.holderId !== this._holderId && current.lapsesAtMs > utils.wallMs())
+    if (current !== undefined && current.holderId !== this._holderId && current.expiresAtMs > utils.wallMs())
       return false;
     const appended = await log.append(leasesStream, utils.newId(), this._createRecord("take"));
     if (appended.err) return this.getToken() !== undefined;
--- a/packages/lease/src/LeaseProjection.ts
+++ b/packages/lease/src/LeaseProjection.ts
@@ -25,7 +25,7 @@
   /** The fencing token: offset of the record that granted or last renewed the lease. */
   readonly fencingToken: number;
   /** Time by the clock of the log (`LogRecord.atMs`) at which the lease expires. */
-  readonly lapsesAtMs: number;
+  readonly expiresAtMs: number;
 }
 
 /** Derives the current leases from the records of the stream. */
@@ -55,13 +55,13 @@
 
   private _grant(record: LogRecord, request: LeaseRecord, current: LeaseState | undefined): void {
     const isAvailable =
-      current === undefined || current.holderId === request.holderId || current.lapsesAtMs <= record.atMs;
+      current === undefined || current.holderId === request.holderId || current.expiresAtMs <= record.atMs;
     if (!isAvailable) return;
     this._leases.set(request.lease, {
       holder: request.holder,
       holderId: request.holderId,
       fencingToken: record.offset,
-      lapsesAtMs: record.atMs + request.durationMs,
+      expiresAtMs: record.atMs + request.durationMs,
     });
   }
 
--- a/packages/membership/src/Member.ts
+++ b/packages/membership/src/Member.ts
@@ -9,7 +9,7 @@
   /** Wall-clock time since which there is no open link; undefined while the link is open. */
   lostSinceMs: number | undefined;
   /** Monotonic time at which the link was last lost; before the first link, the time at which the member was added. */
-  unlinkedSinceMs: number;
+  lostSinceMonotonicMs: number;
   /** Fields of the last received heartbeat. */
   heartbeat: Record<string, unknown>;
 }
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -199,10 +199,10 @@
     return Math.max(...contacts.map((member) => member.lostSinceMs ?? 0));
   }
 
-  /** Sends a notice to all linked members that `isReceiver` accepts. */
-  notifyAll(topic: string, body: unknown, isReceiver: (member: Member) => boolean = () => true): void {
+  /** Sends a notice to all linked members that `isRecipient` accepts. */
+  notifyAll(topic: string, body: unknown, isRecipient: (member: Member) => boolean = () => true): void {
     for (const member of this.getLinked())
-      if (isReceiver(member)) this._links.get(member.name)?.notify(topic, body);
+      if (isRecipient(member)) this._links.get(member.name)?.notify(topic, body);
   }
 
   /** Sends a request to an instance over its link; without a link, a linked instance of the same zone forwards the request. */
@@ -243,7 +243,7 @@
     for (const member of this._members.values()) {
       if (!this._needsLink(member) || this._links.get(member.name)?.isOpen === true) continue;
       const isDialler = this.self.name < member.name;
-      const waitedMs = utils.monotonicMs() - member.unlinkedSinceMs;
+      const waitedMs = utils.monotonicMs() - member.lostSinceMonotonicMs;
       if (isDialler || waitedMs > dialGraceMs) void this._dial(member);
     }
   }
@@ -300,7 +300,7 @@
       address: listed.address,
       isLeaving: false,
       lostSinceMs: existing === undefined || existing.address !== "" ? utils.wallMs() : existing.lostSinceMs,
-      unlinkedSinceMs: utils.monotonicMs(),
+      lostSinceMonotonicMs: utils.monotonicMs(),
       heartbeat: {},
     };
     this._members.set(listed.name, member);
@@ -331,7 +331,7 @@
     const member = this._members.get(name);
     if (member === undefined) return;
     member.lostSinceMs = utils.wallMs();
-    member.unlinkedSinceMs = utils.monotonicMs();
+    member.lostSinceMonotonicMs = utils.monotonicMs();
     if (!this._isClosed) this._structure.timeline.add("member-lost", { subject: name });
   }
 
--- a/packages/membership/src/PeerBroadcast.ts
+++ b/packages/membership/src/PeerBroadcast.ts
@@ -66,7 +66,7 @@
     return availabilityZone === this._structure.membership.self.availabilityZone;
   }
 
-  private _notify(update: T, isReceiver: (member: Member) => boolean): void {
-    this._structure.membership.notifyAll(this._structure.topic, update, isReceiver);
+  private _notify(update: T, isRecipient: (member: Member) => boolean): void {
+    this._structure.membership.notifyAll(this._structure.topic, update, isRecipient);
   }
 }
--- a/packages/routing/src/EndpointBackoff.ts
+++ b/packages/routing/src/EndpointBackoff.ts
@@ -5,7 +5,7 @@
 /** Maximum back-off: an endpoint that is unavailable for longer stops or restarts, so a longer requested time is probably a mistake. */
 export const maxBackoffMs = 600_000;
 /** How long after the back-off an endpoint in slow start gets no requests that cannot be retried. */
-const unprovenMs = 5_000;
+const maxRecoveryMs = 5_000;
 
 /**
  * The back-off that one life of an endpoint has requested from this instance, followed by a slow start. Not shared with other instances,
@@ -22,9 +22,9 @@
     return this._untilMs;
   }
 
-  /** Returns whether the slow start is still in progress; after `unprovenMs` a slow start that lacks requests no longer counts. */
-  isUnproven(nowMs: number): boolean {
-    return !this._slowStart.isOver && nowMs < this._untilMs + unprovenMs;
+  /** Returns whether the slow start is still in progress; after `maxRecoveryMs` a slow start that lacks requests no longer counts. */
+  isRecovering(nowMs: number): boolean {
+    return !this._slowStart.isOver && nowMs < this._untilMs + maxRecoveryMs;
   }
 
   /**
--- a/packages/routing/src/RetryBudget.ts
+++ b/packages/routing/src/RetryBudget.ts
@@ -42,10 +42,10 @@
   }
 
   /**
-   * Takes one retry from the budget.
+   * Withdraws one retry from the budget.
    * @returns Whether the budget allowed a retry.
    */
-  tryTake(): boolean {
+  tryWithdraw(): boolean {
     if (this._balance < 1) return false;
     this._balance -= 1;
     return true;
--- a/packages/routing/src/tests/EndpointBackoffTests.ts
+++ b/packages/routing/src/tests/EndpointBackoffTests.ts
@@ -28,9 +28,9 @@
   backoff.noteAnswered(1_010);
   backoff.noteAnswered(1_010);
   t.is(sendAll(1_020), 8);
-  t.true(backoff.isUnproven(1_020));
+  t.true(backoff.isRecovering(1_020));
   for (let answer = 0; answer < 2; answer++) backoff.noteAnswered(1_020);
-  t.false(backoff.isUnproven(1_020));
+  t.false(backoff.isRecovering(1_020));
   t.is(sendAll(1_030), 100);
 });
 
--- a/packages/routing/src/tests/routingTests.ts
+++ b/packages/routing/src/tests/routingTests.ts
@@ -142,12 +142,12 @@
 
 test("retries are limited to a share of the requests", (t) => {
   const budget = new RetryBudget(0.2, 10);
-  const takeAll = (): number => {
-    let taken = 0;
-    while (budget.tryTake()) taken += 1;
-    return taken;
+  const withdrawAll = (): number => {
+    let withdrawn = 0;
+    while (budget.tryWithdraw()) withdrawn += 1;
+    return withdrawn;
   };
-  t.is(takeAll(), 10);
+  t.is(withdrawAll(), 10);
   for (let count = 0; count < 25; count++) budget.recordRequest();
-  t.is(takeAll(), 5);
+  t.is(withdrawAll(), 5);
 });
--- a/packages/standins/src/bench/claims.ts
+++ b/packages/standins/src/bench/claims.ts
@@ -1,6 +1,6 @@
 /** Benchmark of claims: the latency that a claim adds to a call and the load on the log, by rate of calls over eight instances. */
 import { results, utils } from "@shedtiller/common";
-import { AtMostOnce, ClaimBatcher, ClaimProjection, claimsStream } from "@shedtiller/claims";
+import { AtMostOnceExecutor, ClaimBatcher, ClaimProjection, claimsStream } from "@shedtiller/claims";
 import { HttpLogService, LogFollower } from "@shedtiller/logservice";
 import { Timeline } from "@shedtiller/timeline";
 import { StandInLog } from "../platform/StandInLog.js";
@@ -58,7 +58,7 @@
 }
 
 /** Runs a call without work. Returns the duration of the claim in milliseconds, or undefined if the call was refused. */
-async function call(executor: AtMostOnce<string>): Promise<number | undefined> {
+async function call(executor: AtMostOnceExecutor<string>): Promise<number | undefined> {
   const startMs = utils.monotonicMs();
   const outcome = await executor.run(utils.newId(), {
     requestId: "bench",
@@ -69,7 +69,7 @@
   return outcome.ok ? utils.monotonicMs() - startMs : undefined;
 }
 
-function createInstance(standIn: StandInLog, name: string, signal: AbortSignal): AtMostOnce<string> {
+function createInstance(standIn: StandInLog, name: string, signal: AbortSignal): AtMostOnceExecutor<string> {
   const log = new HttpLogService(standIn.address);
   const projection = new ClaimProjection(horizonMs);
   void new LogFollower(log, claimsStream, projection).run(signal);
@@ -78,7 +78,7 @@
     signal,
   );
   const requestFromHolder = async (): Promise<undefined> => undefined;
-  return new AtMostOnce<string>({
+  return new AtMostOnceExecutor<string>({
     projection,
     batcher,
     timeline: new Timeline(name),
--- a/packages/standins/src/bench/overload.ts
+++ b/packages/standins/src/bench/overload.ts
@@ -1,7 +1,7 @@
 /** Benchmark of admission by priority class at 0.8, 1.5 and 3 times the capacity, compared with a FIFO queue. */
 import { FifoAdmission } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
-import { ModelQueues } from "@shedtiller/entry";
+import { PipelineQueues } from "@shedtiller/entry";
 import { getHardwareBound } from "@shedtiller/placement";
 import { EndpointDirectory } from "@shedtiller/routing";
 import { Fleet } from "../fleet/Fleet.js";
@@ -57,8 +57,11 @@
     fleet.addContainerHook((container) => {
       const limit =
         (slots * structure.endpoints.length * baselineStreamsPerSlot) / structure.instances.length;
-      const queues = new ModelQueues(container.get(EndpointDirectory), () => new FifoAdmission(() => limit));
-      container.rebind(ModelQueues).toConstantValue(queues);
+      const queues = new PipelineQueues(
+        container.get(EndpointDirectory),
+        () => new FifoAdmission(() => limit),
+      );
+      container.rebind(PipelineQueues).toConstantValue(queues);
     });
   await fleet.start();
   const engines = structure.endpoints.map(({ name, availabilityZone, layers }) => {
--- a/packages/standins/src/bench/routing.ts
+++ b/packages/standins/src/bench/routing.ts
@@ -1,7 +1,7 @@
 /** Benchmark of all chain choosers at 85% load over eight entry instances, with outdated load reports. */
 import { FifoAdmission } from "@shedtiller/admission";
 import { utils } from "@shedtiller/common";
-import { ModelQueues } from "@shedtiller/entry";
+import { PipelineQueues } from "@shedtiller/entry";
 import * as routing from "@shedtiller/routing";
 import { Fleet } from "../fleet/Fleet.js";
 import type { FleetEngine, FleetStructure } from "../fleet/FleetStructure.js";
@@ -73,11 +73,11 @@
     name = chooser.name;
     container.rebind(routing.ChainChooser).toConstantValue(chooser);
     // Every request starts without queueing, so that differences result only from the chooser.
-    const queues = new ModelQueues(
+    const queues = new PipelineQueues(
       container.get(routing.EndpointDirectory),
       () => new FifoAdmission(() => Infinity),
     );
-    container.rebind(ModelQueues).toConstantValue(queues);
+    container.rebind(PipelineQueues).toConstantValue(queues);
   });
   await fleet.start();
   const capacity = utils.getSum(stepTimesMs.map((stepMs) => (slots * utils.msPerSecond) / stepMs));
