--- a/packages/gateway/src/logs/WinstonSink.ts
+++ b/packages/gateway/src/logs/WinstonLogOutput.ts
@@ -5,7 +5,7 @@
 const maxBufferedBytes = 64 * 1024;
 
 /** Writes log lines to the standard output through winston, one JSON object per line. */
-export class WinstonSink extends LogOutput {
+export class WinstonLogOutput extends LogOutput {
   private readonly _logger: winston.Logger;
 
   constructor(
--- a/packages/gateway/src/tests/RecordingSink.ts
+++ b/packages/gateway/src/tests/RecordingLogOutput.ts
@@ -1,7 +1,7 @@
 import { LogOutput, type LogLevel } from "../logs/DecisionLog.js";
 
 /** Records the level and the event name of each log line. */
-export class RecordingSink extends LogOutput {
+export class RecordingLogOutput extends LogOutput {
   readonly events: string[] = [];
 
   override isBehind(): boolean {
--- a/packages/gateway/src/tests/SilentSink.ts
+++ b/packages/gateway/src/tests/SilentLogOutput.ts
@@ -1,7 +1,7 @@
 import { LogOutput } from "../logs/DecisionLog.js";
 
 /** Discards all log lines. */
-export class SilentSink extends LogOutput {
+export class SilentLogOutput extends LogOutput {
   override isBehind(): boolean {
     return true;
   }
--- a/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
+++ b/packages/gateway/src/tests/crashes/CrashDetectorTests.ts
@@ -12,7 +12,7 @@
 import type { ListedEndpoint } from "../../discovery/ListedEndpoint.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { createListed } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { SimulatedClock } from "../patterns/SimulatedClock.js";
 
 const ids = ["i-1", "i-2", "i-3", "i-4"];
@@ -27,7 +27,7 @@
   readonly crashed: string[] = [];
   readonly detector = new CrashDetector({
     endpoints: this.endpoints,
-    log: new DecisionLog(new SilentSink(), this.clock.nowMs),
+    log: new DecisionLog(new SilentLogOutput(), this.clock.nowMs),
     probe: () => {
       this.probes += 1;
       return Promise.resolve(this.probeResult);
--- a/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
+++ b/packages/gateway/src/tests/crashes/QuarantineReconcilerTests.ts
@@ -5,7 +5,7 @@
 import { QuarantineReconciler } from "../../crashes/QuarantineReconciler.js";
 import type { StoreError } from "../../discovery/ChangeFeed.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 class MemoryStore extends QuarantineStore {
   readonly quarantines = new Map<string, StoredQuarantine>();
@@ -36,7 +36,7 @@
   const reader = { isReader: true };
   const reconciler = new QuarantineReconciler({
     store,
-    log: new DecisionLog(new SilentSink(), () => 0),
+    log: new DecisionLog(new SilentLogOutput(), () => 0),
     isReader: () => reader.isReader,
     merge: (quarantines) => merged.push(...quarantines),
     getQuarantinedFor: () => quarantined,
--- a/packages/gateway/src/tests/discovery/EndpointLimitsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointLimitsTests.ts
@@ -4,12 +4,12 @@
 import { EndpointLimits } from "../../discovery/EndpointLimits.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { createEngine } from "../testData.js";
-import { RecordingSink } from "../RecordingSink.js";
+import { RecordingLogOutput } from "../RecordingLogOutput.js";
 
 class Fixture {
   nowMs = 1_000;
   readonly endpoint: Endpoint = createEngine("a", 0, 4);
-  readonly lines = new RecordingSink();
+  readonly lines = new RecordingLogOutput();
   readonly limits = new EndpointLimits({
     log: new DecisionLog(this.lines, () => this.nowMs),
     nowMs: () => this.nowMs,
--- a/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
+++ b/packages/gateway/src/tests/discovery/EndpointStatementsTests.ts
@@ -6,11 +6,11 @@
 import { emptyStatement, type EndpointStatement } from "../../http/EndpointStatement.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { createListed } from "../testData.js";
-import { RecordingSink } from "../RecordingSink.js";
+import { RecordingLogOutput } from "../RecordingLogOutput.js";
 
 class Fixture {
   nowMs = 1_000;
-  readonly lines = new RecordingSink();
+  readonly lines = new RecordingLogOutput();
   readonly counted: string[] = [];
   readonly endpoints = new EndpointTable(() => this.nowMs);
   private readonly _log = new DecisionLog(this.lines, () => this.nowMs);
--- a/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
+++ b/packages/gateway/src/tests/discovery/FailureDetectorTests.ts
@@ -5,7 +5,7 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { createListed } from "../testData.js";
 import { FakeEngines } from "../FakeEngines.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 const nowMs = 10_000;
 
@@ -17,7 +17,7 @@
   const detector = new FailureDetector({
     endpoints,
     orders,
-    log: new DecisionLog(new SilentSink(), () => 0),
+    log: new DecisionLog(new SilentLogOutput(), () => 0),
     broadcastSuspicion: (id) => sent.push(id),
     broadcastLayers: (id, layers) => sent.push(`${id} holds ${JSON.stringify(layers)}`),
     count: () => undefined,
--- a/packages/gateway/src/tests/logs/DecisionLogTests.ts
+++ b/packages/gateway/src/tests/logs/DecisionLogTests.ts
@@ -2,7 +2,7 @@
 import test from "ava";
 import { DecisionLog, LogOutput, type LogFields, type LogLevel } from "../../logs/DecisionLog.js";
 
-class CollectingSink extends LogOutput {
+class CollectingLogOutput extends LogOutput {
   readonly lines: { level: LogLevel; event: string; fields: LogFields }[] = [];
   isSlow = false;
 
@@ -16,26 +16,26 @@
 }
 
 test("lines beyond the rate limit of their event name are left out and counted", (t) => {
-  const sink = new CollectingSink();
+  const output = new CollectingLogOutput();
   let nowMs = 0;
-  const log = new DecisionLog(sink, () => nowMs);
+  const log = new DecisionLog(output, () => nowMs);
   for (let index = 0; index < 1_000; index++) log.info("often", {});
   log.warn("seldom", {});
-  const often = sink.lines.filter((line) => line.event === "often").length;
+  const often = output.lines.filter((line) => line.event === "often").length;
   t.true(often < 1_000);
-  t.is(sink.lines.filter((line) => line.event === "seldom").length, 1);
+  t.is(output.lines.filter((line) => line.event === "seldom").length, 1);
   nowMs = 1_000;
   log.info("often", {});
-  t.is(sink.lines.at(-1)?.fields["leftOut"], 1_000 - often);
+  t.is(output.lines.at(-1)?.fields["leftOut"], 1_000 - often);
 });
 
 test("nothing is written while the consumer of the output is behind", (t) => {
-  const sink = new CollectingSink();
-  const log = new DecisionLog(sink, () => 0);
-  sink.isSlow = true;
+  const output = new CollectingLogOutput();
+  const log = new DecisionLog(output, () => 0);
+  output.isSlow = true;
   log.error("lost", {});
-  t.is(sink.lines.length, 0);
-  sink.isSlow = false;
+  t.is(output.lines.length, 0);
+  output.isSlow = false;
   log.error("lost", {});
-  t.is(sink.lines[0]?.fields["leftOut"], 1);
+  t.is(output.lines[0]?.fields["leftOut"], 1);
 });
--- a/packages/gateway/src/tests/orders/LeadershipTests.ts
+++ b/packages/gateway/src/tests/orders/LeadershipTests.ts
@@ -5,7 +5,7 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { LeaderElection } from "../../orders/LeaderElection.js";
 import { Leadership } from "../../orders/Leadership.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 class ScriptedElection extends LeaderElection {
   override readonly termMs = 3_000;
@@ -25,7 +25,7 @@
   const clock = { nowMs: 0 };
   const candidacy = { mayCampaign: true };
   const election = new ScriptedElection();
-  const leadership = new Leadership(election, new DecisionLog(new SilentSink(), () => clock.nowMs), {
+  const leadership = new Leadership(election, new DecisionLog(new SilentLogOutput(), () => clock.nowMs), {
     nowMs: () => clock.nowMs,
     mayCampaign: () => candidacy.mayCampaign,
   });
--- a/packages/gateway/src/tests/orders/LostEngineDetectorTests.ts
+++ b/packages/gateway/src/tests/orders/LostEngineDetectorTests.ts
@@ -4,13 +4,17 @@
 import { LostEngineDetector } from "../../orders/LostEngineDetector.js";
 import { createEngine } from "../testData.js";
 import { FakeEngines } from "../FakeEngines.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 const nowMs = 10_000;
 
 function setUp() {
   const orders = new FakeEngines();
-  const detector = new LostEngineDetector(orders, new DecisionLog(new SilentSink(), () => 0), () => nowMs);
+  const detector = new LostEngineDetector(
+    orders,
+    new DecisionLog(new SilentLogOutput(), () => 0),
+    () => nowMs,
+  );
   const members = ["a", "b", "c"].map((id, at) => createEngine(id, at, at + 1));
   const [first] = members;
   if (first === undefined) throw new Error("There are three members.");
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -16,7 +16,7 @@
 import { ConfigurationChangeCodec, WholeChangeCodec } from "../../peers/ChangeCodec.js";
 import { StoreRelay } from "../../peers/StoreRelay.js";
 import { createConfiguration, createRoute } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { FleetNetwork } from "./FleetNetwork.js";
 import { SimulatedClock } from "./SimulatedClock.js";
 import { SimulatedLink } from "./SimulatedLink.js";
@@ -108,7 +108,7 @@
     const getInForceAtMs = (version: number): number =>
       activations.find((activation) => activation.version >= version)?.atMs ?? Number.POSITIVE_INFINITY;
     const isCutOff = (): boolean => this.withoutStore.has(availabilityZone);
-    const log = new DecisionLog(new SilentSink(), clock.nowMs);
+    const log = new DecisionLog(new SilentLogOutput(), clock.nowMs);
     const feed = this.store.createFeed({ inLink, decode, isCutOff });
     const time = { nowMs: clock.nowMs, pause: clock.sleep };
     const watch = new ConfigurationWatch(activeConfiguration, feed, log, deadlineMs, time);
--- a/packages/gateway/src/tests/patterns/CrashingFleet.ts
+++ b/packages/gateway/src/tests/patterns/CrashingFleet.ts
@@ -14,7 +14,7 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { createListed } from "../testData.js";
 import { toMember } from "../peers/toMember.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import type { SimulatedClock } from "./SimulatedClock.js";
 
 const zones = ["east", "west", "harbor"];
@@ -267,7 +267,7 @@
       },
       endpoints: this._endpoints,
       store: new EmptyQuarantineStore(),
-      log: new DecisionLog(new SilentSink(), this._clock.nowMs),
+      log: new DecisionLog(new SilentLogOutput(), this._clock.nowMs),
       probe: (address) => this._probe(address),
       isReader: () => false,
       getInstanceNames: () => this._instances.map((each) => each.identity.name),
--- a/packages/gateway/src/tests/patterns/LimitedFleet.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleet.ts
@@ -23,7 +23,7 @@
 import { RequestDemand } from "../../requests/RequestDemand.js";
 import { createListed } from "../testData.js";
 import { toMember } from "../peers/toMember.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import type { SimulatedClock } from "./SimulatedClock.js";
 
 export const zones = ["east", "west", "harbor"];
@@ -151,7 +151,7 @@
     const linkedListeners: ((peer: PeerIdentity) => void)[] = [];
     const endpoints = new EndpointTable(nowMs);
     endpoints.setAll(new Map(this._list().map((listed) => [listed.id, listed])));
-    const log = new DecisionLog(new SilentSink(), nowMs);
+    const log = new DecisionLog(new SilentLogOutput(), nowMs);
     const membership = this._createMembership(identity, { notices, requests, linkedListeners });
     const limits = new EndpointLimits({ log, nowMs });
     const demand = new RequestDemand(nowMs);
--- a/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/ConfigurationExchangeTests.ts
@@ -6,7 +6,7 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { ConfigurationExchange } from "../../peers/ConfigurationExchange.js";
 import { createConfiguration, createRoute } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
 /** Exceeds all delays for which an instance waits for the store before it requests a configuration from peers. */
@@ -30,7 +30,7 @@
       membership: this.network.join({ name, availabilityZone: "east" }),
       activeConfiguration,
       history: new ConfigurationHistory(activeConfiguration),
-      log: new DecisionLog(new SilentSink(), nowMs),
+      log: new DecisionLog(new SilentLogOutput(), nowMs),
       getBehindMs: () => 0,
       getConfigurationOffset: () => 7,
       advanceTo: (nextOffset) => void advancedTo.push(nextOffset),
--- a/packages/gateway/src/tests/peers/DrainingBroadcastTests.ts
+++ b/packages/gateway/src/tests/peers/DrainingBroadcastTests.ts
@@ -7,7 +7,7 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { DrainingBroadcast } from "../../peers/DrainingBroadcast.js";
 import { createListed } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
 const zones = ["east", "east", "west", "west", "west"];
@@ -18,7 +18,7 @@
 }
 
 function createInstance(network: PeerNetwork, name: string, availabilityZone: string): Instance {
-  const log = new DecisionLog(new SilentSink(), () => 0);
+  const log = new DecisionLog(new SilentLogOutput(), () => 0);
   const endpoints = new EndpointTable(() => 0);
   endpoints.setAll(new Map([["a", createListed("a")]]));
   const statements = new EndpointStatements({ endpoints, limits: new EndpointLimits({ log }), log });
--- a/packages/gateway/src/tests/peers/LoadExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/LoadExchangeTests.ts
@@ -4,7 +4,7 @@
 import { EndpointTable } from "../../discovery/EndpointTable.js";
 import { LoadExchange } from "../../peers/LoadExchange.js";
 import { createListed } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
 const tickMs = 200;
@@ -54,7 +54,7 @@
     const endpoints = new EndpointTable(nowMs);
     endpoints.setAll(new Map([["engine", createListed("engine")]]));
     const membership = this.network.join({ name, availabilityZone });
-    const log = new DecisionLog(new SilentSink(), nowMs);
+    const log = new DecisionLog(new SilentLogOutput(), nowMs);
     this.instances.push({
       name,
       endpoints,
--- a/packages/gateway/src/tests/peers/PeerExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PeerExchangeTests.ts
@@ -7,7 +7,7 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { PeerExchange } from "../../peers/PeerExchange.js";
 import { createConfiguration, createListed } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
 const timeoutMs = 60_000;
@@ -25,7 +25,7 @@
     membership: network.join({ name, availabilityZone }),
     activeConfiguration,
     endpoints,
-    log: new DecisionLog(new SilentSink(), utils.monotonicMs),
+    log: new DecisionLog(new SilentLogOutput(), utils.monotonicMs),
     getEndpointListAgeMs: () => 0,
     history: new ConfigurationHistory(activeConfiguration),
     getBehindMs: () => 0,
--- a/packages/gateway/src/tests/peers/PermitExchangeTests.ts
+++ b/packages/gateway/src/tests/peers/PermitExchangeTests.ts
@@ -7,7 +7,7 @@
 import { peerTopics } from "../../peers/peerMessages.js";
 import { RequestDemand } from "../../requests/RequestDemand.js";
 import { createListed } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
 const east = { availabilityZone: "east" };
@@ -37,7 +37,7 @@
         getKnownSinceMs: () => undefined,
       },
       demand: this.demand,
-      log: new DecisionLog(new SilentSink(), () => this.nowMs),
+      log: new DecisionLog(new SilentLogOutput(), () => this.nowMs),
       getInstanceCount: () => 8,
       nowMs: () => this.nowMs,
     });
--- a/packages/gateway/src/tests/peers/StoreRelayTests.ts
+++ b/packages/gateway/src/tests/peers/StoreRelayTests.ts
@@ -14,7 +14,7 @@
 import { WholeChangeCodec } from "../../peers/ChangeCodec.js";
 import { StoreRelay } from "../../peers/StoreRelay.js";
 import { createListed } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { PeerNetwork } from "./PeerNetwork.js";
 
 const topic = "endpoints-read";
@@ -122,7 +122,7 @@
     const options = { waitMs: 0, retryMs: 0, gatherMs: 0, nowMs, pause: utils.yieldToEvents };
     const follower = new FeedFollower(feed, listener, options);
     const membership = this.network.join({ name, availabilityZone: "east" });
-    const relay = new StoreRelay({ membership, log: new DecisionLog(new SilentSink(), nowMs), nowMs });
+    const relay = new StoreRelay({ membership, log: new DecisionLog(new SilentLogOutput(), nowMs), nowMs });
     relay.addFeed(topic, follower, new WholeChangeCodec(listedEndpointSchema));
     this.instances.set(name, { known, follower, relay, regained: 0 });
     void follower.run(this._stop.signal);
--- a/packages/gateway/src/tests/peers/instanceLeaveTests.ts
+++ b/packages/gateway/src/tests/peers/instanceLeaveTests.ts
@@ -6,7 +6,7 @@
 import test, { type ExecutionContext } from "ava";
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { DrainingBroadcast } from "../../peers/DrainingBroadcast.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 const waitMs = 20_000;
 
@@ -30,7 +30,7 @@
     membership,
     endpoints: { noteDraining: () => false, getDrainingLives: () => [] },
     statements: { onDraining: () => undefined },
-    log: new DecisionLog(new SilentSink(), utils.monotonicMs),
+    log: new DecisionLog(new SilentLogOutput(), utils.monotonicMs),
   });
 }
 
--- a/packages/gateway/src/tests/requests/GatewayFixture.ts
+++ b/packages/gateway/src/tests/requests/GatewayFixture.ts
@@ -38,7 +38,7 @@
 import { StreamForwarder } from "../../requests/StreamForwarder.js";
 import { createConfiguration, createListed, profile } from "../testData.js";
 import { createPermitDependencies } from "../createPermitDependencies.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 /** A timeout that no test reaches, so that the speed of a test does not affect its result. */
 const generousMs = 60_000;
@@ -149,7 +149,7 @@
 
   /** Starts the gateway without a configuration. */
   async listen(route: Route): Promise<void> {
-    const log = new DecisionLog(new SilentSink(), utils.monotonicMs);
+    const log = new DecisionLog(new SilentLogOutput(), utils.monotonicMs);
     const budgets = new RetryBudgets({ ratio: 1, slack: 1_000, windowMs: 10_000 });
     budgets.setInstanceCount(1);
     const codec = new TestCodec();
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -22,7 +22,7 @@
 import { createConfiguration, createListed, createRoute, profile } from "../testData.js";
 import { createPermitDependencies } from "../createPermitDependencies.js";
 import { FakeEngines } from "../FakeEngines.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 function createRequest(): CallerRequest {
   const response = new EventEmitter() as http.ServerResponse;
@@ -66,7 +66,7 @@
     httpClient: new HttpClient(),
     codec: {} as MessageCodec,
     budgets: new RetryBudgets({ ratio: 1, slack: 10, windowMs: 10_000 }),
-    log: new DecisionLog(new SilentSink(), () => 0),
+    log: new DecisionLog(new SilentLogOutput(), () => 0),
     availabilityZone: "east",
     failureDetector: {
       noteUnresponsive: (id: string) => void endpoints.suspect(id),
@@ -75,7 +75,7 @@
     },
     crashes: new CrashDetector({
       endpoints,
-      log: new DecisionLog(new SilentSink(), () => 0),
+      log: new DecisionLog(new SilentLogOutput(), () => 0),
       probe: () => Promise.resolve("open"),
       broadcast: () => undefined,
       getTrialRank: () => 0,
--- a/packages/gateway/src/tests/suspensionTests.ts
+++ b/packages/gateway/src/tests/suspensionTests.ts
@@ -8,7 +8,7 @@
 import { LeaderElection } from "../orders/LeaderElection.js";
 import { Leadership } from "../orders/Leadership.js";
 import { createConfiguration } from "./testData.js";
-import { SilentSink } from "./SilentSink.js";
+import { SilentLogOutput } from "./SilentLogOutput.js";
 
 const suspendedMs = 6_000;
 const deadlineMs = 2_000;
@@ -42,7 +42,9 @@
 
 test("an instance is no longer the leader after a suspension that is longer than its term", async (t) => {
   const { nowMs, run, suspend } = createMachine();
-  const leadership = new Leadership(new WonElection(), new DecisionLog(new SilentSink(), nowMs), { nowMs });
+  const leadership = new Leadership(new WonElection(), new DecisionLog(new SilentLogOutput(), nowMs), {
+    nowMs,
+  });
   await leadership.campaign();
   run(100);
   t.true(leadership.isLeader());
