--- a/packages/gateway/src/peers/GatewayPeers.ts
+++ b/packages/gateway/src/peers/GatewayPeers.ts
@@ -19,7 +19,8 @@
 import { peerTopics } from "./peerMessages.js";
 import type { PeerRegistry } from "./PeerRegistry.js";
 import { PermitExchange } from "./PermitExchange.js";
-import { ConfigurationChangeCodec, WholeChangeCodec } from "./ChangeCodec.js";
+import { ConfigurationChangeCodec } from "./ConfigurationChangeCodec.js";
+import { WholeChangeCodec } from "./WholeChangeCodec.js";
 import { StoreRelay } from "./StoreRelay.js";
 
 /**
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -13,7 +13,8 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { PeerExchange } from "../../peers/PeerExchange.js";
 import { peerTopics } from "../../peers/peerMessages.js";
-import { ConfigurationChangeCodec, WholeChangeCodec } from "../../peers/ChangeCodec.js";
+import { ConfigurationChangeCodec } from "../../peers/ConfigurationChangeCodec.js";
+import { WholeChangeCodec } from "../../peers/WholeChangeCodec.js";
 import { StoreRelay } from "../../peers/StoreRelay.js";
 import { createConfiguration, createRoute } from "../testData.js";
 import { SilentLogOutput } from "../SilentLogOutput.js";
--- a/packages/gateway/src/tests/peers/ChangeCodecTests.ts
+++ b/packages/gateway/src/tests/peers/ChangeCodecTests.ts
@@ -4,7 +4,8 @@
 import { ActiveConfiguration } from "../../configuration/ActiveConfiguration.js";
 import type { GatewayConfiguration } from "../../configuration/gatewayConfiguration.js";
 import { listedEndpointSchema } from "../../discovery/ListedEndpoint.js";
-import { ConfigurationChangeCodec, WholeChangeCodec } from "../../peers/ChangeCodec.js";
+import { ConfigurationChangeCodec } from "../../peers/ConfigurationChangeCodec.js";
+import { WholeChangeCodec } from "../../peers/WholeChangeCodec.js";
 import { createConfiguration, createListed, createRoute } from "../testData.js";
 
 function createCodec(...versions: GatewayConfiguration[]): ConfigurationChangeCodec {
--- a/packages/gateway/src/tests/peers/StoreRelayTests.ts
+++ b/packages/gateway/src/tests/peers/StoreRelayTests.ts
@@ -11,7 +11,7 @@
 import { FeedFollower } from "../../discovery/FeedFollower.js";
 import { listedEndpointSchema, type ListedEndpoint } from "../../discovery/ListedEndpoint.js";
 import { DecisionLog } from "../../logs/DecisionLog.js";
-import { WholeChangeCodec } from "../../peers/ChangeCodec.js";
+import { WholeChangeCodec } from "../../peers/WholeChangeCodec.js";
 import { StoreRelay } from "../../peers/StoreRelay.js";
 import { createListed } from "../testData.js";
 import { SilentLogOutput } from "../SilentLogOutput.js";
