--- a/packages/claims/src/AtMostOnceExecutor.ts
+++ b/packages/claims/src/AtMostOnceExecutor.ts
@@ -2,27 +2,9 @@
 import type { Timeline } from "@shedtiller/timeline";
 import type { ClaimBatcher } from "./ClaimBatcher.js";
 import type { ClaimProjection, ClaimOutcome } from "./ClaimProjection.js";
+import { ClaimRefusedError } from "./ClaimRefusedError.js";
 import type { Claim } from "./claimRecords.js";
-
-/** Error for a call whose key could not be claimed. Nothing ran for this call. */
-export class ClaimRefusedError extends errors.ShedtillerError {
-  readonly code = "claim_refused";
-  readonly ran: ExecutionStatus = "no";
-
-  constructor(readonly reason: string) {
-    super(`The call was not run: ${reason}.`);
-  }
-}
-
-/** Error for a call whose key was used before, while the outcome of that call is not available. */
-export class OutcomeUnknownError extends errors.ShedtillerError {
-  readonly code = "outcome_unknown";
-  readonly ran: ExecutionStatus = "unknown";
-
-  constructor(readonly reason: string) {
-    super(`The outcome of this key is unknown: ${reason}.`);
-  }
-}
+import { OutcomeUnknownError } from "./OutcomeUnknownError.js";
 
 /** Failure of the work itself. */
 export interface WorkError extends errors.ShedtillerError {
--- a/packages/claims/src/tests/atMostOnceTests.ts
+++ b/packages/claims/src/tests/atMostOnceTests.ts
@@ -4,10 +4,11 @@
 import { Timeline } from "@shedtiller/timeline";
 import test from "ava";
 import * as fc from "fast-check";
-import { AtMostOnceExecutor, OutcomeUnknownError } from "../AtMostOnceExecutor.js";
+import { AtMostOnceExecutor } from "../AtMostOnceExecutor.js";
 import { ClaimBatcher } from "../ClaimBatcher.js";
 import { ClaimProjection } from "../ClaimProjection.js";
 import { claimsStream } from "../claimRecords.js";
+import { OutcomeUnknownError } from "../OutcomeUnknownError.js";
 import { FakeLog, type AppendFault } from "./FakeLog.js";
 
 const windowMs = 600_000;
