--- a/packages/claims/src/index.ts
+++ b/packages/claims/src/index.ts
@@ -5,3 +5,4 @@
 export * from "./ClaimRefusedError.js";
 export * from "./OutcomeUnknownError.js";
 export * from "./service/ServiceCaller.js";
+export * from "./service/ServiceError.js";
--- a/packages/claims/src/service/ServiceCaller.ts
+++ b/packages/claims/src/service/ServiceCaller.ts
@@ -1,4 +1,4 @@
-import { errors, results, utils, type ExecutionStatus } from "@shedtiller/common";
+import { type errors, results, utils, type ExecutionStatus } from "@shedtiller/common";
 import { classifyHttpError } from "@shedtiller/logservice";
 import {
   EndpointBackoff,
@@ -9,6 +9,7 @@
   type RetryBudget,
 } from "@shedtiller/routing";
 import got from "got";
+import { ServiceError } from "./ServiceError.js";
 
 /** A call of a service, as received from the caller. */
 export interface ServiceCall {
@@ -35,23 +36,6 @@
   readonly endpoint: string;
 }
 
-/** Error for a call to which the service did not respond. */
-export class ServiceError extends errors.ShedtillerError {
-  readonly code: "service_unreachable" | "service_lost";
-
-  constructor(
-    readonly service: string,
-    readonly ran: ExecutionStatus,
-    cause?: unknown,
-  ) {
-    super(
-      ran === "no" ? `The service ${service} can't be reached.` : `The service ${service} did not respond.`,
-      { cause },
-    );
-    this.code = ran === "no" ? "service_unreachable" : "service_lost";
-  }
-}
-
 const connectTimeoutMs = 1_000;
 
 /** Calls the endpoints of a plain service one after the other, and retries only if the call did not run or is repeatable. */
