--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -27,6 +27,7 @@
 export * from "./http/readBody.js";
 export * from "./http/startListening.js";
 export * from "./logs/DecisionLog.js";
+export * from "./logs/LogOutput.js";
 export * from "./logs/WinstonLogOutput.js";
 export * from "./orders/EngineOrders.js";
 export * from "./orders/getSlowness.js";
--- a/packages/gateway/src/logs/DecisionLog.ts
+++ b/packages/gateway/src/logs/DecisionLog.ts
@@ -1,14 +1,4 @@
-/** Fields of a log line; their values are plain data. */
-export type LogFields = Readonly<Record<string, string | number | boolean | undefined | readonly string[]>>;
-
-export type LogLevel = "info" | "warn" | "error";
-
-/** Writes the log lines that are within the budget. */
-export abstract class LogOutput {
-  /** Returns whether the consumer of the output has fallen behind. */
-  abstract isBehind(): boolean;
-  abstract write(level: LogLevel, event: string, fields: LogFields): void;
-}
+import type { LogFields, LogLevel, LogOutput } from "./LogOutput.js";
 
 /** Maximum lines per second for each event name. A failed request causes about five lines, and a line takes about 20 µs. */
 const linesPerSecond: Readonly<Record<LogLevel, number>> = { info: 20, warn: 60, error: 60 };
--- a/packages/gateway/src/logs/WinstonLogOutput.ts
+++ b/packages/gateway/src/logs/WinstonLogOutput.ts
@@ -1,5 +1,5 @@
 import * as winston from "winston";
-import { LogOutput, type LogFields, type LogLevel } from "./DecisionLog.js";
+import { LogOutput, type LogFields, type LogLevel } from "./LogOutput.js";
 
 /** Lines are left out while more than this is buffered for the consumer of the output. */
 const maxBufferedBytes = 64 * 1024;
--- a/packages/gateway/src/requests/CallerRequest.ts
+++ b/packages/gateway/src/requests/CallerRequest.ts
@@ -3,7 +3,7 @@
 import { utils } from "@shedtiller/common";
 import type { GatewayAccount, Route } from "../configuration/gatewayConfiguration.js";
 import type { CallerFields, MessageCodec } from "../http/MessageCodec.js";
-import type { LogFields } from "../logs/DecisionLog.js";
+import type { LogFields } from "../logs/LogOutput.js";
 import { digestRequest, type RequestIdentity } from "@shedtiller/crashes";
 import { sendRefusal, type RefusalReason } from "./sendRefusal.js";
 
--- a/packages/gateway/src/requests/StreamProgress.ts
+++ b/packages/gateway/src/requests/StreamProgress.ts
@@ -1,7 +1,7 @@
 /** The progress of a streamed answer, and the latencies that its caller experienced. */
 import { utils } from "@shedtiller/common";
 import type { Route } from "../configuration/gatewayConfiguration.js";
-import type { LogFields } from "../logs/DecisionLog.js";
+import type { LogFields } from "../logs/LogOutput.js";
 
 /** Collects the progress of a request over all of its attempts. */
 export class StreamProgress {
--- a/packages/gateway/src/tests/RecordingLogOutput.ts
+++ b/packages/gateway/src/tests/RecordingLogOutput.ts
@@ -1,4 +1,4 @@
-import { LogOutput, type LogLevel } from "../logs/DecisionLog.js";
+import { LogOutput, type LogLevel } from "../logs/LogOutput.js";
 
 /** Records the level and the event name of each log line. */
 export class RecordingLogOutput extends LogOutput {
--- a/packages/gateway/src/tests/SilentLogOutput.ts
+++ b/packages/gateway/src/tests/SilentLogOutput.ts
@@ -1,4 +1,4 @@
-import { LogOutput } from "../logs/DecisionLog.js";
+import { LogOutput } from "../logs/LogOutput.js";
 
 /** Discards all log lines. */
 export class SilentLogOutput extends LogOutput {
--- a/packages/gateway/src/tests/logs/DecisionLogTests.ts
+++ b/packages/gateway/src/tests/logs/DecisionLogTests.ts
@@ -1,6 +1,7 @@
 /** Tests that the volume of the log is bounded, and that lines that were left out are counted. */
 import test from "ava";
-import { DecisionLog, LogOutput, type LogFields, type LogLevel } from "../../logs/DecisionLog.js";
+import { DecisionLog } from "../../logs/DecisionLog.js";
+import { LogOutput, type LogFields, type LogLevel } from "../../logs/LogOutput.js";
 
 class CollectingLogOutput extends LogOutput {
   readonly lines: { level: LogLevel; event: string; fields: LogFields }[] = [];
