--- a/packages/gateway/src/logs/DecisionLog.ts
+++ b/packages/gateway/src/logs/DecisionLog.ts
@@ -1,14 +1,4 @@
-/** Fields of a log line; their values are plain data. */
-export type LogFields = Readonly<Record<string, string | number | boolean | undefined | readonly string[]>>;
-
-export type LogLevel = "info" | "warn" | "error";
-
-/** Writes the log lines that are within the budget. */
-export abstract class LogSink {
-  /** Returns whether the consumer of the output has fallen behind. */
-  abstract isBehind(): boolean;
-  abstract write(level: LogLevel, event: string, fields: LogFields): void;
-}
+import type { LogFields, LogLevel, LogOutput } from "./LogOutput.js";
 
 /** Maximum lines per second for each event name. A failed request causes about five lines, and a line takes about 20 µs. */
 const linesPerSecond: Readonly<Record<LogLevel, number>> = { info: 20, warn: 60, error: 60 };
@@ -29,7 +19,7 @@
   private readonly _windows = new Map<string, EventWindow>();
 
   constructor(
-    private readonly _sink: LogSink,
+    private readonly _output: LogOutput,
     private readonly _nowMs: () => number,
   ) {}
 
@@ -47,14 +37,14 @@
 
   private _write(level: LogLevel, event: string, fields: LogFields): void {
     const window = this._getWindow(event);
-    if (window.lines >= linesPerSecond[level] || this._sink.isBehind()) {
+    if (window.lines >= linesPerSecond[level] || this._output.isBehind()) {
       window.leftOut += 1;
       return;
     }
     window.lines += 1;
     const { leftOut } = window;
     window.leftOut = 0;
-    this._sink.write(level, event, leftOut === 0 ? fields : { ...fields, leftOut });
+    this._output.write(level, event, leftOut === 0 ? fields : { ...fields, leftOut });
   }
 
   private _getWindow(event: string): EventWindow {
--- a/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
+++ b/packages/gateway/src/tests/patterns/ConfigurationFleet.ts
@@ -13,10 +13,11 @@
 import { DecisionLog } from "../../logs/DecisionLog.js";
 import { PeerExchange } from "../../peers/PeerExchange.js";
 import { peerTopics } from "../../peers/peerMessages.js";
-import { ConfigurationChangeCodec, WholeChangeCodec } from "../../peers/ChangeCodec.js";
+import { ConfigurationChangeCodec } from "../../peers/ConfigurationChangeCodec.js";
+import { WholeChangeCodec } from "../../peers/WholeChangeCodec.js";
 import { StoreRelay } from "../../peers/StoreRelay.js";
 import { createConfiguration, createRoute } from "../testData.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import { FleetNetwork } from "./FleetNetwork.js";
 import { SimulatedClock } from "./SimulatedClock.js";
 import { SimulatedLink } from "./SimulatedLink.js";
@@ -108,7 +109,7 @@
     const getInForceAtMs = (version: number): number =>
       activations.find((activation) => activation.version >= version)?.atMs ?? Number.POSITIVE_INFINITY;
     const isCutOff = (): boolean => this.withoutStore.has(availabilityZone);
-    const log = new DecisionLog(new SilentSink(), clock.nowMs);
+    const log = new DecisionLog(new SilentLogOutput(), clock.nowMs);
     const feed = this.store.createFeed({ inLink, decode, isCutOff });
     const time = { nowMs: clock.nowMs, pause: clock.sleep };
     const watch = new ConfigurationWatch(activeConfiguration, feed, log, deadlineMs, time);
--- a/packages/gateway/src/tests/patterns/LimitedFleet.ts
+++ b/packages/gateway/src/tests/patterns/LimitedFleet.ts
@@ -23,7 +23,7 @@
 import { RequestDemand } from "../../requests/RequestDemand.js";
 import { createListed } from "../testData.js";
 import { toMember } from "../peers/toMember.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 import type { SimulatedClock } from "./SimulatedClock.js";
 
 export const zones = ["east", "west", "harbor"];
@@ -151,7 +151,7 @@
     const linkedListeners: ((peer: PeerIdentity) => void)[] = [];
     const endpoints = new EndpointTable(nowMs);
     endpoints.setAll(new Map(this._list().map((listed) => [listed.id, listed])));
-    const log = new DecisionLog(new SilentSink(), nowMs);
+    const log = new DecisionLog(new SilentLogOutput(), nowMs);
     const membership = this._createMembership(identity, { notices, requests, linkedListeners });
     const limits = new EndpointLimits({ log, nowMs });
     const demand = new RequestDemand(nowMs);
@@ -332,19 +332,19 @@
     const { availabilityZone } = identity;
     const endpoint = pickPlainEndpoint(
       { endpoints, availabilityZone },
-      { service, tried: new Set(), mayProbe: true },
+      { service, excluded: new Set(), mayProbe: true },
       nowMs,
     );
-    if (endpoint?.tryTakePermit(nowMs) === undefined) return false;
+    if (endpoint?.tryAcquirePermit(nowMs) === undefined) return false;
     this._send(instance, endpoint, nowMs);
     return true;
   }
 
   private _send(instance: Instance, endpoint: Endpoint, sentAtMs: number): void {
-    endpoint.addOwn(1, 0);
+    endpoint.addOwnLoad(1, 0);
     this._clock.at(sentAtMs + messageMs, () => this.arrivalsAtMs.get(endpoint.id)?.push(this._clock.nowMs()));
     this._clock.at(sentAtMs + answerMs, () => {
-      endpoint.addOwn(-1, 0);
+      endpoint.addOwnLoad(-1, 0);
       this.served += 1;
       const perSecond = this._limitsPerSecond.get(endpoint.id);
       const stated: StatedLimit = perSecond === undefined ? { kind: "none" } : { kind: "named", perSecond };
--- a/packages/gateway/src/tests/requests/StallMonitorTests.ts
+++ b/packages/gateway/src/tests/requests/StallMonitorTests.ts
@@ -20,9 +20,9 @@
 import { StreamAttempt } from "../../requests/StreamAttempt.js";
 import { StreamProgress } from "../../requests/StreamProgress.js";
 import { createConfiguration, createListed, createRoute, profile } from "../testData.js";
-import { createPermitParts } from "../createPermitParts.js";
+import { createPermitDependencies } from "../createPermitDependencies.js";
 import { FakeEngines } from "../FakeEngines.js";
-import { SilentSink } from "../SilentSink.js";
+import { SilentLogOutput } from "../SilentLogOutput.js";
 
 function createRequest(): CallerRequest {
   const response = new EventEmitter() as http.ServerResponse;
@@ -66,7 +66,7 @@
     httpClient: new HttpClient(),
     codec: {} as MessageCodec,
     budgets: new RetryBudgets({ ratio: 1, slack: 10, windowMs: 10_000 }),
-    log: new DecisionLog(new SilentSink(), () => 0),
+    log: new DecisionLog(new SilentLogOutput(), () => 0),
     availabilityZone: "east",
     failureDetector: {
       noteUnresponsive: (id: string) => void endpoints.suspect(id),
@@ -75,12 +75,12 @@
     },
     crashes: new CrashDetector({
       endpoints,
-      log: new DecisionLog(new SilentSink(), () => 0),
+      log: new DecisionLog(new SilentLogOutput(), () => 0),
       probe: () => Promise.resolve("open"),
       broadcast: () => undefined,
       getTrialRank: () => 0,
     }),
-    ...createPermitParts(endpoints),
+    ...createPermitDependencies(endpoints),
     statements: { noteAnswer: () => undefined },
     broadcastFull: () => undefined,
   };
@@ -135,7 +135,7 @@
   if (first === undefined) return t.fail();
   const capacity = getCapacityTokenLayers(first, profile);
   // The whole usable capacity is taken, including the reservation of this stream.
-  first.addOwn(1, Math.floor(capacity * 0.92) - first.ownLoad.tokenLayers);
+  first.addOwnLoad(1, Math.floor(capacity * 0.92) - first.ownLoad.tokenLayers);
   await monitor.check();
   t.deepEqual(orders.chains, ["a,c"]);
 });
