--- a/packages/gateway/src/tests/patterns/FleetNetwork.ts
+++ b/packages/gateway/src/tests/patterns/FleetNetwork.ts
@@ -3,29 +3,17 @@
 import {
   pickContacts,
   type Member,
-  type Membership,
   type NoticeHandler,
   type PeerError,
   type PeerIdentity,
   type RequestHandler,
 } from "@shedtiller/membership";
+import type { NetworkMembership } from "../peers/PeerNetwork.js";
 import { toMember } from "../peers/toMember.js";
 import type { SimulatedClock } from "./SimulatedClock.js";
 import { transfer, type SimulatedLink } from "./SimulatedLink.js";
 import { getSizeBytes } from "./SimulatedStore.js";
 
-export type FleetMembership = Pick<
-  Membership,
-  | "self"
-  | "getZoneRoleCandidates"
-  | "getLinked"
-  | "notifyAll"
-  | "onLinked"
-  | "onNotice"
-  | "onRequest"
-  | "request"
->;
-
 /** An instance with its links and its processor. */
 export interface FleetNode {
   readonly identity: PeerIdentity;
@@ -55,7 +43,7 @@
 
   constructor(private readonly _clock: SimulatedClock) {}
 
-  join(node: FleetNode): FleetMembership {
+  join(node: FleetNode): NetworkMembership {
     const self = node.identity;
     const joined: JoinedNode = { ...node, notices: new Map(), requests: new Map() };
     this._joined.set(self.name, joined);
--- a/packages/gateway/src/tests/peers/PeerNetwork.ts
+++ b/packages/gateway/src/tests/peers/PeerNetwork.ts
@@ -3,7 +3,8 @@
 import type { Membership, NoticeHandler, PeerIdentity, RequestHandler } from "@shedtiller/membership";
 import { toMember } from "./toMember.js";
 
-type NetworkMember = Pick<
+/** The part of a membership that the simulated networks of tests provide. */
+export type NetworkMembership = Pick<
   Membership,
   | "self"
   | "getZoneRoleCandidates"
@@ -26,7 +27,7 @@
   private readonly _removed = new Set<string>();
 
   /** Adds an instance that is linked to all others. */
-  join(self: PeerIdentity): NetworkMember {
+  join(self: PeerIdentity): NetworkMembership {
     const handlers = new Map<string, NoticeHandler>();
     this._peers.push(self);
     this._handlers.set(self.name, handlers);
